--- a/src/gateway/configuration-in-force.ts
+++ b/src/gateway/configuration-in-force.ts
@@ -1,4 +1,4 @@
-/** The newest configuration that a gateway knows; versions never fall. */
+/** Holds the routing configuration that a gateway applies; its version only increases. */
 import type { Clock } from '../clock.js';
 import { DEFAULT_CALLER_LIMITS } from '../routing/configuration.js';
 import type { CallerLimits, RoutingConfiguration, Service } from '../routing/configuration.js';
@@ -6,55 +6,60 @@
 import type { ColdStartHello } from '../slot-agent/slot-messages.js';
 import { RoutingTable } from '../routing/routing-table.js';
 
-/** The newest configuration that a gateway knows. */
-export class ConfigurationInForce {
+/** The newest routing configuration that this gateway has received. */
+export class ActiveConfiguration {
   private current: RoutingTable | undefined;
   private installedAtMs: number | undefined;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Undefined before the first configuration. */
+  /** Routing table of the active configuration; undefined before the first one. */
   get table(): RoutingTable | undefined {
     return this.current;
   }
 
-  /** Version in force; undefined before the first. */
+  /** Version of the active configuration; undefined before the first one. */
   get version(): number | undefined {
     return this.current?.configuration.version;
   }
 
-  /** Regions that its routes and tenants name; undefined before the first. */
-  get homes(): NamedHomes | undefined {
+  /** Regions that its routes and tenants are restricted to; undefined before the first one. */
+  get namedRegions(): NamedHomes | undefined {
     return this.current?.homes;
   }
 
-  /** Limits of what callers may send. */
+  /** Size limits for requests of callers. */
   get limits(): CallerLimits {
     return this.current?.configuration.limits ?? DEFAULT_CALLER_LIMITS;
   }
 
-  /** How long the configuration has been in force, in milliseconds; undefined before the first. */
+  /**
+   * Time since the configuration was installed, in milliseconds; undefined before the first one.
+   */
   get ageMs(): number | undefined {
     return this.installedAtMs === undefined ? undefined : this.clock.now() - this.installedAtMs;
   }
 
-  /** Whether a service is named; any may be before the first configuration. */
-  isNamed(service: string): boolean {
+  /** Whether the configuration names the service; true for every service before the first one. */
+  isServiceConfigured(service: string): boolean {
     return this.current === undefined || this.current.findService(service) !== undefined;
   }
 
-  /** Whether a service's back ends are engines, which serve in batches. */
+  /** Whether the backends of a service are engines, which process requests in batches. */
   isEngine(service: string): boolean {
     return this.current?.findService(service)?.isEngine ?? false;
   }
 
-  /** What a service says of slow starts; undefined where its back ends bear any rate from their start. */
+  /**
+   * The service's cold-start settings; undefined if its backends take the full rate from their
+   * start.
+   */
   coldStartOf(service: string): Service | undefined {
     const found = this.current?.findService(service);
     return found === undefined || found.coldRequestsPerS <= 0 ? undefined : found;
   }
 
-  /** The same for the agents of its back ends. */
+  /** The cold-start settings that are sent to the agents of the service's backends. */
   coldStartHello(service: string): ColdStartHello | undefined {
     const coldStart = this.coldStartOf(service);
     if (coldStart === undefined) {
@@ -64,12 +69,12 @@
     return { coldStartMs, coldRequestsPerS };
   }
 
-  /** Tokens that an engine of the service gathers in one event. */
+  /** Tokens that an engine of the service batches into one stream event. */
   tokensPerEvent(service: string): number {
     return this.current?.findService(service)?.tokensPerEvent ?? 0;
   }
 
-  /** Puts a configuration in force; false if it is not newer than the one that is. */
+  /** Activates a configuration; returns false if it is not newer than the active one. */
   install(configuration: RoutingConfiguration): boolean {
     if (this.version !== undefined && configuration.version <= this.version) {
       return false;
--- a/src/gateway/gateway-adapter.ts
+++ b/src/gateway/gateway-adapter.ts
@@ -1,4 +1,7 @@
-/** What an adapter to a platform supplies: its store, its names and its formats. */
+/**
+ * Interface between a gateway and a platform: the store, the caller protocol and the record
+ * formats.
+ */
 import type { ClusterStore, StoreWriteResult } from '../cluster/cluster-store.js';
 import type { StorePosition } from '../cluster/store-position.js';
 import type { RolloutOrder, RolloutState } from '../rollout/rollout-order.js';
@@ -6,16 +9,16 @@
 import type { OwnRecordName } from './own-records.js';
 import type { CallerProtocol } from './admission/caller-protocol.js';
 
-/** What an adapter supplies to a gateway. */
+/** The platform-specific parts of a gateway. */
 export interface GatewayAdapter {
   readonly protocol: CallerProtocol;
   readonly store: ClusterStore;
-  /** Reads a record of the store. */
+  /** Decodes a record of the store. */
   readonly decode: DecodeRecord;
   /**
-   * Writes a record that gateways keep for themselves.
+   * Writes a record that gateways own, if the stored one is still at `expected`.
    *
-   * @param expected - the store's position of the record that it follows; revision 0 for the first
+   * @param expected - store position of the record to replace; revision 0 if there is none
    */
   writeOwnRecord(
     name: OwnRecordName,
@@ -23,9 +26,9 @@
     expected: StorePosition,
   ): Promise<StoreWriteResult>;
   /**
-   * Writes how far a roll-out has come.
+   * Writes the state of a rollout, if the stored one is still at `follows`.
    *
-   * @param follows - the store's position of the state that it follows; revision 0 for the first
+   * @param follows - store position of the state to replace; revision 0 if there is none
    */
   writeRolloutState(
     order: RolloutOrder,
--- a/src/gateway/gateway-backends.ts
+++ b/src/gateway/gateway-backends.ts
@@ -1,4 +1,4 @@
-/** Takes the announcements of back ends in: tells their lives apart, leaves out what is none, and logs both. */
+/** Processes backend announcements: tracks incarnations, rejects unusable records and logs both. */
 import type { Clock } from '../clock.js';
 import type { StorePosition } from '../cluster/store-position.js';
 import { BackendLives } from '../routing/backend-lives.js';
@@ -9,54 +9,62 @@
 import type { Dispatcher } from './dispatch/dispatcher.js';
 import type { GatewayMetrics } from './metrics/gateway-metrics.js';
 
-/** What the announcements are taken in with. */
-export interface GatewayBackendsParts {
+/** Dependencies of `GatewayBackends`. */
+export interface GatewayBackendsDependencies {
   readonly dispatcher: Pick<Dispatcher, 'updateBackend'>;
   readonly unknownZones: UnknownZones;
   readonly clock: Clock;
   readonly log: DecisionLog;
   readonly metrics: GatewayMetrics;
-  /** Another life of a back end announced itself: this one has ended. */
-  onLifeOver(backendId: string): void;
+  /** Called when a new incarnation of a backend announced itself, so that `backendId` has ended. */
+  onIncarnationEnded(backendId: string): void;
 }
 
-/** The back ends that are announced to a gateway. */
+/** The backends that are announced in the store. */
 export class GatewayBackends {
-  private readonly lives = new BackendLives();
-  /** What was wrong with the records of back ends, by name, as it was logged last. */
-  private readonly problems = new Map<string, string>();
+  private readonly incarnations = new BackendLives();
+  /** The last logged problem of each backend's record, by name. */
+  private readonly loggedProblems = new Map<string, string>();
 
-  constructor(private readonly parts: GatewayBackendsParts) {}
+  constructor(private readonly dependencies: GatewayBackendsDependencies) {}
 
-  /** Takes in the record under a back end's name. */
-  take({ name, announcement, problem: unreadable }: DecodedBackend, position: StorePosition): void {
-    const { changes, formerId, problem: passedOver } = this.lives.take(name, announcement);
-    this.noteProblem(name, unreadable ?? passedOver, position);
+  /** Applies the record stored under a backend's name. */
+  applyRecord(
+    { name, announcement, problem: unreadable }: DecodedBackend,
+    position: StorePosition,
+  ): void {
+    const { changes, formerId, problem: rejected } = this.incarnations.take(name, announcement);
+    this.reportProblem(name, unreadable ?? rejected, position);
     for (const { id, backend } of changes) {
       this.logChange(id, backend, position);
       const isWithdrawn = unreadable !== undefined;
-      this.parts.dispatcher.updateBackend(id, backend, this.parts.clock.now(), isWithdrawn);
+      this.dependencies.dispatcher.updateBackend(
+        id,
+        backend,
+        this.dependencies.clock.now(),
+        isWithdrawn,
+      );
     }
     if (formerId !== undefined) {
-      this.parts.onLifeOver(formerId);
+      this.dependencies.onIncarnationEnded(formerId);
     }
   }
 
-  /** A line for each new problem of a back end: a record that is bad may be written with each heartbeat. */
-  private noteProblem(
+  /** Logs a backend's problem once: an invalid record may be written again with each heartbeat. */
+  private reportProblem(
     name: string,
     problem: string | undefined,
     { epoch, revision }: StorePosition,
   ): void {
     if (problem === undefined) {
-      this.problems.delete(name);
+      this.loggedProblems.delete(name);
       return;
     }
-    this.parts.metrics.record(({ recordsRefused }) => recordsRefused.inc());
-    if (this.problems.get(name) !== problem) {
-      this.problems.set(name, problem);
+    this.dependencies.metrics.record(({ recordsRefused }) => recordsRefused.inc());
+    if (this.loggedProblems.get(name) !== problem) {
+      this.loggedProblems.set(name, problem);
       const fields = { backend: name, problem, epoch, revision };
-      this.parts.log.write('record-refused', 'state', fields);
+      this.dependencies.log.write('record-refused', 'state', fields);
     }
   }
 
@@ -65,7 +73,7 @@
     backend: Backend | undefined,
     { epoch, revision }: StorePosition,
   ): void {
-    const { log, unknownZones } = this.parts;
+    const { log, unknownZones } = this.dependencies;
     log.write(backend === undefined ? 'backend-gone' : 'backend-learned', 'state', {
       backend: id,
       state: backend?.state,
--- a/src/gateway/gateway-cluster.ts
+++ b/src/gateway/gateway-cluster.ts
@@ -1,6 +1,6 @@
 /**
- * What a gateway knows of its cluster and how it learns it: the replica of the store's records, the
- * follower of the store, the gateways that read it, and the peers.
+ * A gateway's view of the cluster and its sources: the replica of the store's records, the store
+ * follower, the selection of gateways that read the store, and the peers.
  */
 import { splitAddress } from '../address.js';
 import { KnowledgeAge } from '../cluster/knowledge-age.js';
@@ -28,19 +28,20 @@
 import type { PeerCrashTallies, PeerStatements } from './links/gateway-peers.js';
 import type { GatewayMetrics } from './metrics/gateway-metrics.js';
 
-/** Time behind other gateways after which one reads the store itself, whoever else does, in milliseconds. */
-const BEHIND_LIMIT_MS = 1_000;
+/** Replication lag behind peers above which a gateway reads the store itself, in milliseconds. */
+const MAX_REPLICATION_LAG_MS = 1_000;
 
 /**
- * Age from which on what a gateway knows of the store counts as old, in milliseconds: then it reads the store itself,
- * and claims nothing of the newest configuration. In calm the word of some reader is much younger.
+ * Age above which the view of the store is stale, in milliseconds: the gateway then reads the store
+ * itself and delays refusals for a missing route or key. In normal operation the last report of a
+ * reader is much younger.
  */
-const OLD_KNOWLEDGE_MS = 2_500;
+const STALE_VIEW_MS = 2_500;
 
-/** What a gateway's part in the cluster is made from. */
+/** Dependencies of `GatewayCluster`. */
 export interface GatewayClusterParts {
   readonly settings: GatewaySettings;
-  /** Differs after each start of the process. */
+  /** Unique for each start of the process. */
   readonly incarnation: string;
   readonly store: ClusterStore;
   readonly quotas: GatewayQuotas;
@@ -51,28 +52,28 @@
   readonly random: RandomSource;
   readonly log: DecisionLog;
   readonly metrics: GatewayMetrics;
-  /** Connections among gateways. Default: TCP. */
+  /** Transport between gateways. Default: TCP. */
   readonly network?: PeerNetwork;
-  /** Compares records by their owners' counts; see `CompareByOwner`. */
+  /** Orders records by the counters of their owners; see `CompareByOwner`. */
   readonly compareByOwner: CompareByOwner;
-  /** Records that were not known, from the store or from peers. */
+  /** Called with new or changed records from the store or from peers. */
   onRecords(records: readonly RecordNews[], source: RecordsSource): void;
 }
 
-/** A gateway's part in the cluster. */
+/** Membership of a gateway in the cluster. */
 export class GatewayCluster {
   readonly records: ReplicatedRecords;
   readonly exchange: RecordExchange;
   private readonly peers: GatewayPeers;
   private readonly readers: StoreReaders;
   private readonly follower: StoreFollower;
-  private readonly knowledge = new KnowledgeAge();
+  private readonly viewAge = new KnowledgeAge();
   private isStoreReader = true;
   private wasKnowledgeOld = true;
   private readonly epochs: StoreEpochs;
 
-  constructor(private readonly parts: GatewayClusterParts) {
-    const { incarnation, clock, compareByOwner } = parts;
+  constructor(private readonly dependencies: GatewayClusterParts) {
+    const { incarnation, clock, compareByOwner } = dependencies;
     this.records = new ReplicatedRecords(compareByOwner);
     this.epochs = new StoreEpochs(this.records, clock);
     this.readers = new StoreReaders(incarnation, DEFAULT_STORE_READERS_OPTIONS, this.region);
@@ -80,7 +81,7 @@
       this.records,
       {
         isStoreReachable: () => this.follower.isFollowing,
-        onNews: (records) => this.learn(records, 'peer'),
+        onNews: (records) => this.deliverRecords(records, 'peer'),
       },
       clock,
     );
@@ -89,51 +90,51 @@
   }
 
   private get region(): string | undefined {
-    const { process, places } = this.parts.settings;
+    const { process, places } = this.dependencies.settings;
     return places.zones.get(process.zone);
   }
 
-  /** Gateways that are known, this one included. */
+  /** Number of known gateways, including this one. */
   get size(): number {
     return this.peers.size;
   }
 
-  /** What this gateway knows of the others. */
+  /** This gateway's view of the other gateways. */
   get view(): GatewayView {
     return this.peers.view;
   }
 
-  /** Longest time between two beats of a peer that is well, in milliseconds. */
-  get beatMs(): number {
+  /** Longest interval between two heartbeats of a healthy peer, in milliseconds. */
+  get heartbeatMs(): number {
     return this.peers.beatMs;
   }
 
   /**
-   * How long ago the store's records were as this gateway knows them, by an answer of the store or by the word of
-   * another gateway, in milliseconds; undefined before the first.
+   * Age of the view of the store, in milliseconds: time since a response of the store or a report
+   * of another gateway confirmed it. Undefined before the first confirmation.
    */
   get storeAgeMs(): number | undefined {
-    return this.knowledge.ageMs(this.parts.clock.now());
+    return this.viewAge.ageMs(this.dependencies.clock.now());
   }
 
-  /** Whether there may be changes that this gateway should know by now, and does not. */
+  /** Whether the view of the store is stale, so that changes may be missing. */
   get isKnowledgeOld(): boolean {
-    return (this.storeAgeMs ?? Infinity) > OLD_KNOWLEDGE_MS;
+    return (this.storeAgeMs ?? Infinity) > STALE_VIEW_MS;
   }
 
-  /** Whether this gateway reads the store itself; it learns from others otherwise. */
+  /** Whether this gateway reads the store itself instead of receiving changes from peers. */
   get isReadingStore(): boolean {
     return this.isStoreReader;
   }
 
-  /** Position of the store through which every value is known; `NO_POSITION` before the first listing. */
+  /** Store position up to which every value is known; `NO_POSITION` before the first listing. */
   get position(): StorePosition {
     return this.records.currentTo;
   }
 
-  /** Takes connections of peers, connects to the seeds and follows the store. */
+  /** Listens for peers, connects to the seeds and starts to follow the store. */
   start(): void {
-    const { peers } = this.parts.settings.listen;
+    const { peers } = this.dependencies.settings.listen;
     if (peers !== '') {
       const { host, port } = splitAddress(peers);
       this.peers.listen(host, port);
@@ -142,41 +143,41 @@
     void this.follower.run();
   }
 
-  /** Sends to peers what is due; to be called each tick. */
+  /** Sends due heartbeats and updates to peers; called on each tick. */
   tick(): void {
     this.peers.tick();
-    this.noteKnowledge();
+    this.logViewStaleness();
   }
 
-  /** Says `message` to the gateway at `address`; false if no connection to it stands. */
+  /** Sends `message` to the gateway at `address`; returns false if there is no connection to it. */
   sendTo(address: string, message: PeerMessage): boolean {
     return this.peers.sendTo(address, message);
   }
 
-  /** Connects to gateways that were not known. */
-  learnPeers(addresses: readonly string[]): void {
+  /** Connects to the gateways among `addresses` that are not known yet. */
+  addPeers(addresses: readonly string[]): void {
     this.peers.learnAddresses(addresses);
   }
 
-  /** Tells peers at once what was learned of requests that crash back ends. */
-  tellCrashes(requests: readonly RequestCrashes[]): void {
+  /** Sends new tallies of requests that crash backends to all peers immediately. */
+  broadcastCrashes(requests: readonly RequestCrashes[]): void {
     this.peers.tellCrashes(requests);
   }
 
-  /** Tells peers what back ends said of themselves. */
-  tellConditions(conditions: readonly ToldCondition[]): void {
+  /** Sends conditions that backends reported to all peers. */
+  broadcastConditions(conditions: readonly ToldCondition[]): void {
     this.peers.tellConditions(conditions);
   }
 
-  /** Leaves the cluster. */
+  /** Stops following the store and closes the connections to peers. */
   stop(): void {
     this.follower.stop();
     this.peers.stop();
   }
 
   private createPeers(): GatewayPeers {
-    const { settings, incarnation, quotas, rollouts, clock, random, log } = this.parts;
-    const { crashes, statements } = this.parts;
+    const { settings, incarnation, quotas, rollouts, clock, random, log } = this.dependencies;
+    const { crashes, statements } = this.dependencies;
     return new GatewayPeers({
       name: settings.process.name,
       incarnation,
@@ -193,44 +194,50 @@
       statements,
       isReading: () => this.follower.isFollowing,
       knowledgeAgeMs: () => this.storeAgeMs,
-      onKnowledge: (reach, ageMs) => this.hearKnowledge(reach, ageMs),
+      onKnowledge: (reach, ageMs) => this.applyPeerViewAge(reach, ageMs),
       clock,
       random,
-      network: this.parts.network,
+      network: this.dependencies.network,
       onPeer: (peer, isPresent) =>
         log.write(isPresent ? 'peer-heard' : 'peer-gone', 'state', { peer }),
     });
   }
 
   private createFollower(): StoreFollower {
-    const { store, clock, random, metrics } = this.parts;
+    const { store, clock, random, metrics } = this.dependencies;
     return new StoreFollower(
       store,
       {
         onListing: (read) => {
-          this.noteRead(read, 'listing');
-          this.learn(this.records.applyListing(read.records, read), 'listing');
+          this.logOutdatedRead(read, 'listing');
+          this.deliverRecords(this.records.applyListing(read.records, read), 'listing');
         },
         onListingAfterOutage: (read) => {
-          this.noteRead(read, 'listing-after-outage');
-          this.learn(this.records.addListing(read.records, read), 'listing-after-outage');
+          this.logOutdatedRead(read, 'listing-after-outage');
+          this.deliverRecords(this.records.addListing(read.records, read), 'listing-after-outage');
         },
         onChanges: (read, since) => {
-          this.noteRead(read, 'watch');
-          this.learn(this.records.applyChanges(read.records, since, read), 'watch');
+          this.logOutdatedRead(read, 'watch');
+          this.deliverRecords(this.records.applyChanges(read.records, since, read), 'watch');
         },
-        onConfirmed: (atMs) => this.knowledge.confirm(atMs),
+        onConfirmed: (atMs) => this.viewAge.confirm(atMs),
         onChangesMissing: (seenTo, { epoch, revision }) =>
-          this.parts.log.write('store-changes-missing', 'state', {
+          this.dependencies.log.write('store-changes-missing', 'state', {
             epoch,
             seenTo: seenTo.revision,
             revision,
           }),
         onOtherEpoch: (call, asked, { epoch, revision }) =>
-          this.parts.log.write('store-answer-dropped', 'state', { call, asked, epoch, revision }),
-        onReachable: (isReachable, reason, heldMs) => this.noteStore(isReachable, reason, heldMs),
+          this.dependencies.log.write('store-answer-dropped', 'state', {
+            call,
+            asked,
+            epoch,
+            revision,
+          }),
+        onReachable: (isReachable, reason, heldMs) =>
+          this.reportStoreReachability(isReachable, reason, heldMs),
         countFollowers: () => Math.min(this.size, this.readers.sharing),
-        mustFollow: () => this.mustReadStore(),
+        mustFollow: () => this.updateReaderRole(),
         completeTo: () => this.records.completeTo,
         knownEpoch: () => this.epochs.newest,
         onCall: (call, result) =>
@@ -241,21 +248,26 @@
     );
   }
 
-  /** Another gateway, which reaches so far, knows the store's records as they were `ageMs` ago. */
-  private hearKnowledge(reach: ReplicaReach, ageMs: number): void {
+  /**
+   * Confirms the view if a peer's view, `ageMs` old and complete up to `reach`, holds nothing that
+   * it lacks.
+   */
+  private applyPeerViewAge(reach: ReplicaReach, ageMs: number): void {
     if (!this.records.isBehind(reach)) {
-      this.knowledge.confirm(this.parts.clock.now() - ageMs);
+      this.viewAge.confirm(this.dependencies.clock.now() - ageMs);
     }
   }
 
-  private mustReadStore(): boolean {
-    // Those that are heard to read the store may not hear this gateway's questions.
-    const isBehind = this.exchange.behindMs > BEHIND_LIMIT_MS;
+  private updateReaderRole(): boolean {
+    // Messages may be lost in one direction: a reader whose heartbeats arrive may not receive
+    // this gateway's queries.
+    const isBehind = this.exchange.behindMs > MAX_REPLICATION_LAG_MS;
     const mustCatchUp = isBehind || this.isKnowledgeOld;
-    const mustRead = this.readers.mustRead(this.beatMs, this.parts.clock.now()) || mustCatchUp;
+    const mustRead =
+      this.readers.mustRead(this.heartbeatMs, this.dependencies.clock.now()) || mustCatchUp;
     if (mustRead !== this.isStoreReader) {
       this.isStoreReader = mustRead;
-      this.parts.log.write(mustRead ? 'store-reader-on' : 'store-reader-off', 'state', {
+      this.dependencies.log.write(mustRead ? 'store-reader-on' : 'store-reader-off', 'state', {
         gateways: this.size,
         ...this.records.completeTo,
       });
@@ -263,13 +275,13 @@
     return mustRead;
   }
 
-  private noteKnowledge(): void {
+  private logViewStaleness(): void {
     const isOld = this.isKnowledgeOld;
     if (isOld === this.wasKnowledgeOld) {
       return;
     }
     this.wasKnowledgeOld = isOld;
-    this.parts.log.write(isOld ? 'knowledge-old' : 'knowledge-confirmed', 'state', {
+    this.dependencies.log.write(isOld ? 'knowledge-old' : 'knowledge-confirmed', 'state', {
       storeAgeMs: this.storeAgeMs,
       ...this.records.reach,
       behindMs: this.exchange.behindMs,
@@ -277,8 +289,8 @@
     });
   }
 
-  private learn(records: readonly RecordNews[], source: RecordsSource): void {
-    const { log, onRecords } = this.parts;
+  private deliverRecords(records: readonly RecordNews[], source: RecordsSource): void {
+    const { log, onRecords } = this.dependencies;
     const change = this.epochs.look();
     if (change !== undefined) {
       log.write(change.event, 'state', { source, ...change.fields });
@@ -286,26 +298,29 @@
     onRecords(records, source);
   }
 
-  /** Tells of an answer that is older than what is known, and of records that are: the known ones stay. */
-  private noteRead(read: StoreRead, source: RecordsSource): void {
-    const { log } = this.parts;
+  /**
+   * Logs a read that is older than the replica and records older than the known ones, which are
+   * kept.
+   */
+  private logOutdatedRead(read: StoreRead, source: RecordsSource): void {
+    const { log } = this.dependencies;
     const { epoch, revision } = read;
     const { completeTo, currentTo } = this.records.reach;
     if (isLater(currentTo, read)) {
       log.write('store-read-older', 'state', { source, epoch, revision, completeTo, currentTo });
     }
-    const passedOver = this.records.findLaterThan(read.records);
-    const [first] = passedOver;
+    const rejected = this.records.findLaterThan(read.records);
+    const [first] = rejected;
     if (first !== undefined) {
       const { key, epoch: knownEpoch, revision: knownRevision } = first;
       const known = { epoch: knownEpoch, revision: knownRevision };
-      const fields = { source, epoch, revision, key, known, records: passedOver.length };
+      const fields = { source, epoch, revision, key, known, records: rejected.length };
       log.write('records-passed-over', 'state', fields);
     }
   }
 
-  private noteStore(isReachable: boolean, reason: string, heldMs: number): void {
-    const { metrics, log } = this.parts;
+  private reportStoreReachability(isReachable: boolean, reason: string, heldMs: number): void {
+    const { metrics, log } = this.dependencies;
     metrics.record(({ storeReachable }) => storeReachable.set(isReachable ? 1 : 0));
     log.write(isReachable ? 'store-regained' : 'store-lost', 'state', { reason, heldMs });
   }
--- a/src/gateway/gateway-cold-starts.ts
+++ b/src/gateway/gateway-cold-starts.ts
@@ -1,51 +1,56 @@
-/** Joins the limits of slow starts to what a gateway knows: configuration, zones, other gateways, log and metrics. */
+/**
+ * Connects the cold-start rate limits to a gateway's configuration, zones, view of peers, log and
+ * metrics.
+ */
 import type { Clock } from '../clock.js';
 import { coldStartBound } from '../routing/cold-start.js';
 import type { ColdStartBound, ColdStartLimits, Coldness } from '../routing/cold-start.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
-import type { ConfigurationInForce } from './configuration-in-force.js';
+import type { ActiveConfiguration } from './configuration-in-force.js';
 import { coldShare } from './dispatch/cold-share.js';
 import type { GatewayView } from './dispatch/cold-share.js';
 import { ColdStarts } from './dispatch/cold-starts.js';
 import type { KnownBackend } from './dispatch/known-backend.js';
 import type { GatewayMetrics } from './metrics/gateway-metrics.js';
 
-/** What the limits are made from. */
-export interface GatewayColdStartsParts {
+/** Dependencies of the cold-start limits. */
+export interface GatewayColdStartsDependencies {
   readonly limits: ColdStartLimits;
-  readonly configuration: ConfigurationInForce;
-  /** When this process learned that a zone was taken back into use; undefined if it was not. */
+  readonly configuration: ActiveConfiguration;
+  /** When this process learned that a zone's evacuation had ended; undefined if it did not end. */
   returnedAtMs(zone: string): number | undefined;
-  /** What this gateway knows of the others. */
+  /** This gateway's view of the other gateways. */
   view(): GatewayView;
   readonly clock: Clock;
   readonly log: DecisionLog;
   readonly metrics: GatewayMetrics;
 }
 
-/** Creates the limits of one gateway. */
-export function createColdStarts(parts: GatewayColdStartsParts): ColdStarts {
-  const { metrics } = parts;
-  const bounds = new ServiceBounds(parts);
+/** Creates the cold-start limits of one gateway. */
+export function createColdStarts(dependencies: GatewayColdStartsDependencies): ColdStarts {
+  const { metrics } = dependencies;
+  const bounds = new ServiceBoundsCache(dependencies);
   return new ColdStarts({
     boundOf: (service) => bounds.find(service),
-    returnedAtMs: (zone) => parts.returnedAtMs(zone),
-    share: (backendId, total, nowMs) => coldShare(parts.view(), backendId, total, nowMs),
+    returnedAtMs: (zone) => dependencies.returnedAtMs(zone),
+    share: (backendId, total, nowMs) => coldShare(dependencies.view(), backendId, total, nowMs),
     onHeld: ({ backend: { service } }) =>
       metrics.record(({ startsHeld }) => startsHeld.inc({ service })),
-    onChange: (known, coldness) => noteChange(known, coldness, parts),
+    onChange: (known, coldness) => logChange(known, coldness, dependencies),
   });
 }
 
-/** The bounds of the configuration in force, reckoned once for each version: each choice of a back end asks. */
-class ServiceBounds {
+/** Caches the bounds per configuration version, as they are needed for each backend selection. */
+class ServiceBoundsCache {
   private readonly bounds = new Map<string, ColdStartBound | undefined>();
   private version: number | undefined;
 
-  constructor(private readonly parts: Pick<GatewayColdStartsParts, 'configuration' | 'limits'>) {}
+  constructor(
+    private readonly dependencies: Pick<GatewayColdStartsDependencies, 'configuration' | 'limits'>,
+  ) {}
 
   find(service: string): ColdStartBound | undefined {
-    const { configuration, limits } = this.parts;
+    const { configuration, limits } = this.dependencies;
     if (configuration.version !== this.version) {
       this.version = configuration.version;
       this.bounds.clear();
@@ -58,10 +63,10 @@
   }
 }
 
-function noteChange(
+function logChange(
   { backend, agent }: KnownBackend,
   coldness: Coldness | undefined,
-  { log, clock }: GatewayColdStartsParts,
+  { log, clock }: GatewayColdStartsDependencies,
 ): void {
   const nowMs = clock.now();
   log.write(coldness === undefined ? 'cold-limit-left' : 'cold-limit-entered', 'state', {
--- a/src/gateway/gateway-crashes.ts
+++ b/src/gateway/gateway-crashes.ts
@@ -1,4 +1,7 @@
-/** Joins what is known of crashing requests to a gateway: its peers, the store, its back ends, the log. */
+/**
+ * Connects the detection of requests that crash backends with a gateway's peers, store, backends
+ * and log.
+ */
 import type { Clock } from '../clock.js';
 import type { WeirvaleError } from '../request/errors.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
@@ -14,38 +17,38 @@
 import type { GatewayAdapter } from './gateway-adapter.js';
 import type { GatewayMetrics } from './metrics/gateway-metrics.js';
 
-/** What a gateway's knowledge of crashes is made from. */
-export interface GatewayCrashesParts {
+/** Dependencies of `GatewayCrashes`. */
+export interface GatewayCrashesDependencies {
   readonly directory: BackendDirectory;
   readonly adapter: Pick<GatewayAdapter, 'writeOwnRecord'>;
   readonly clock: Clock;
   readonly log: DecisionLog;
   readonly metrics: GatewayMetrics;
-  /** Tells every other gateway. */
-  tellPeers(news: readonly RequestCrashes[]): void;
-  /** Answers what waits of the requests that are refused from now on. */
+  /** Sends crash tallies to every other gateway. */
+  broadcastToPeers(tallies: readonly RequestCrashes[]): void;
+  /** Refuses the waiting requests that have been found to crash backends. */
   refuseWaiting(): void;
 }
 
-/** A gateway's knowledge of requests that crash back ends. */
+/** Tracks requests that crash backends. */
 export class GatewayCrashes {
   readonly requests: CrashingRequests;
-  private readonly looks: CrashLooks;
-  private readonly record: CrashRecordWriter;
+  private readonly portProbes: CrashLooks;
+  private readonly recordWriter: CrashRecordWriter;
 
-  constructor(private readonly parts: GatewayCrashesParts) {
-    const { directory, adapter, clock } = parts;
+  constructor(private readonly dependencies: GatewayCrashesDependencies) {
+    const { directory, adapter, clock } = dependencies;
     this.requests = new CrashingRequests(
       {
         isLeaving: (backendId) => directory.find(backendId)?.isLeaving === true,
-        look: (backend) => this.looks.begin(backend),
-        onCrash: (crash) => this.noteCrash(crash),
-        onNews: (news, source) => this.noteNews(news, source),
-        onRefused: () => parts.refuseWaiting(),
+        look: (backend) => this.portProbes.begin(backend),
+        onCrash: (crash) => this.reportCrash(crash),
+        onNews: (tallies, source) => this.publishTallies(tallies, source),
+        onRefused: () => dependencies.refuseWaiting(),
       },
       clock,
     );
-    this.looks = new CrashLooks(
+    this.portProbes = new CrashLooks(
       {
         hasAgent: (backendId) => directory.find(backendId)?.agent !== undefined,
         look: lookAtPort,
@@ -53,47 +56,47 @@
       },
       clock,
     );
-    this.record = new CrashRecordWriter(
+    this.recordWriter = new CrashRecordWriter(
       {
         write: (requests, expected) =>
           adapter.writeOwnRecord('crashing-requests', encodeCrashRecord(requests), expected),
-        onWritten: (requests, failure) => this.noteWritten(requests, failure),
+        onWritten: (requests, failure) => this.logWrite(requests, failure),
         timeOfDayMs: () => Date.now(),
       },
       clock,
     );
   }
 
-  /** Takes in what a peer tells; returns what that lacks. */
-  hear(told: readonly RequestCrashes[]): readonly RequestCrashes[] {
-    return this.requests.hear(told, 'peer');
+  /** Merges a peer's tallies; returns those that the peer lacks. */
+  mergePeerTallies(tallies: readonly RequestCrashes[]): readonly RequestCrashes[] {
+    return this.requests.hear(tallies, 'peer');
   }
 
-  /** Takes in the store's record. */
-  takeRecord(record: CrashRecord): void {
+  /** Applies the crash record of the store. */
+  applyRecord(record: CrashRecord): void {
     const { requests, epoch, revision } = record;
-    const recent = this.record.take(record);
-    this.parts.log.write('crash-record', 'state', {
+    const recent = this.recordWriter.take(record);
+    this.dependencies.log.write('crash-record', 'state', {
       requests: requests?.length,
       epoch,
       revision,
     });
     if (requests === undefined) {
-      // Operators removed it.
+      // An operator removed the record to clear all tallies.
       this.requests.forgetAll();
     }
-    this.record.add(this.requests.hear(recent, 'store'));
+    this.recordWriter.add(this.requests.hear(recent, 'store'));
   }
 
-  /** Nothing is written any more. */
+  /** Stops writing to the store. */
   stop(): void {
-    this.record.stop();
+    this.recordWriter.stop();
   }
 
-  private noteCrash({ fingerprint, crashes, run, evidence }: CountedCrash): void {
+  private reportCrash({ fingerprint, crashes, run, evidence }: CountedCrash): void {
     const { request, backendId, sentAtMs } = run;
-    this.parts.metrics.record(({ crashes: counted }) => counted.inc({ evidence }));
-    this.parts.log.write('backend-crashed', 'failure', {
+    this.dependencies.metrics.record(({ crashes: counted }) => counted.inc({ evidence }));
+    this.dependencies.log.write('backend-crashed', 'failure', {
       backend: backendId,
       evidence,
       request: request.requestId,
@@ -101,26 +104,26 @@
       crashes,
       route: request.route.name,
       tenant: request.tenant,
-      afterMs: this.parts.clock.now() - sentAtMs,
+      afterMs: this.dependencies.clock.now() - sentAtMs,
     });
   }
 
-  private noteNews(news: readonly RequestCrashes[], source: TallySource): void {
-    for (const { fingerprint, crashes, clearances } of news) {
-      // Of a first crash the line of the crash itself tells, of each request that was at work there.
+  private publishTallies(tallies: readonly RequestCrashes[], source: TallySource): void {
+    for (const { fingerprint, crashes, clearances } of tallies) {
+      // A first crash is already logged by `reportCrash`, for each request that ran on the backend.
       if (crashes !== 1) {
         const fields = { fingerprint, crashes, clearances, source };
-        this.parts.log.write('crashing-request', 'state', fields);
+        this.dependencies.log.write('crashing-request', 'state', fields);
       }
     }
     if (source === 'own') {
-      this.parts.tellPeers(news);
-      this.record.add(news);
+      this.dependencies.broadcastToPeers(tallies);
+      this.recordWriter.add(tallies);
     }
   }
 
-  private noteWritten(requests: number, failure: WeirvaleError | undefined): void {
+  private logWrite(requests: number, failure: WeirvaleError | undefined): void {
     const event = failure === undefined ? 'crash-record-written' : 'crash-record-not-written';
-    this.parts.log.write(event, 'state', { requests, reason: failure?.message });
+    this.dependencies.log.write(event, 'state', { requests, reason: failure?.message });
   }
 }
--- a/src/gateway/gateway-evacuations.ts
+++ b/src/gateway/gateway-evacuations.ts
@@ -1,4 +1,7 @@
-/** Joins the operators' evacuations to a gateway: what is sent, what is reckoned with, the log. */
+/**
+ * Applies zone evacuations ordered by operators to a gateway's dispatcher and waiting requests, and
+ * logs them.
+ */
 import type { Clock } from '../clock.js';
 import { isLater } from '../cluster/store-position.js';
 import type { Places } from '../routing/places.js';
@@ -9,73 +12,76 @@
 import type { Dispatcher } from './dispatch/dispatcher.js';
 import type { KnownBackend } from './dispatch/known-backend.js';
 
-/** What a gateway's evacuations are made from. */
-export interface GatewayEvacuationsParts {
+/** Dependencies of `GatewayEvacuations`. */
+export interface GatewayEvacuationsDependencies {
   readonly directory: Pick<BackendDirectory, 'list'>;
   readonly dispatcher: Pick<Dispatcher, 'changeOrders'>;
   readonly places: Places;
   readonly clock: Clock;
   readonly log: Pick<DecisionLog, 'write'>;
-  /** How old the store's last word is, in milliseconds. */
+  /** Age of the view of the store, in milliseconds; undefined before the first confirmation. */
   storeAgeMs(): number | undefined;
-  /** Requests whose back end is not permitted any more go elsewhere where nothing was sent; says how many. */
+  /** Redirects unsent requests whose backend is not permitted any more; returns their number. */
   withdrawUnsent(): number;
 }
 
-/** A gateway's evacuations. */
+/** The zone evacuations that this gateway applies. */
 export class GatewayEvacuations {
   readonly zones = new ZoneEvacuations();
-  /** Evacuated zones where requests of this gateway still run. */
-  private readonly clearing = new Set<string>();
+  /** Evacuated zones in which requests of this gateway still run. */
+  private readonly drainingZones = new Set<string>();
 
-  constructor(private readonly parts: GatewayEvacuationsParts) {}
+  constructor(private readonly dependencies: GatewayEvacuationsDependencies) {}
 
-  /** Takes in an order or its removal; it is acted on before this returns. */
+  /** Applies an evacuation order or its removal before it returns. */
   take(change: EvacuationChange): void {
-    const { dispatcher, clock } = this.parts;
+    const { dispatcher, clock } = this.dependencies;
     const nowMs = clock.now();
-    const before = this.zones.find(change.zone);
-    if (before !== undefined && !isLater(change, before)) {
+    const previous = this.zones.find(change.zone);
+    if (previous !== undefined && !isLater(change, previous)) {
       return;
     }
     dispatcher.changeOrders(() => this.zones.take(change, nowMs), nowMs);
-    const withdrawn = change.isOrdered ? this.parts.withdrawUnsent() : 0;
-    this.noteActed(change, before, withdrawn);
+    const withdrawn = change.isOrdered ? this.dependencies.withdrawUnsent() : 0;
+    this.logApplied(change, previous, withdrawn);
   }
 
-  /** Notices when nothing of this gateway runs in an evacuated zone any more; to be called each tick. */
+  /**
+   * Logs each evacuated zone in which this gateway's last request has ended; called on each tick.
+   */
   tick(): void {
-    const { clock, log, places } = this.parts;
-    for (const zone of this.clearing) {
+    const { clock, log, places } = this.dependencies;
+    for (const zone of this.drainingZones) {
       const backends = this.backendsOf(zone);
       if (countRunning(backends) > 0) {
         continue;
       }
-      this.clearing.delete(zone);
+      this.drainingZones.delete(zone);
       const { epoch, revision, learnedAtMs } = this.zones.find(zone)!;
       log.write('zone-cleared', 'state', {
         evacuatedZone: zone,
         epoch,
         revision,
         afterMs: clock.now() - learnedAtMs,
-        // Said here, not with the order: a listing names orders before the back ends of their zones.
+        // Logged here, not with the order: a listing names orders before the backends of their
+        // zones.
         isKnownZone: places.isKnown(zone) || backends.length > 0,
       });
     }
   }
 
-  private noteActed(
+  private logApplied(
     change: EvacuationChange,
-    before: KnownEvacuation | undefined,
+    previous: KnownEvacuation | undefined,
     withdrawn: number,
   ): void {
-    const { log, clock, storeAgeMs } = this.parts;
+    const { log, clock, storeAgeMs } = this.dependencies;
     const { zone, isOrdered, epoch, revision } = change;
     const backends = this.backendsOf(zone);
     if (isOrdered) {
-      this.clearing.add(zone);
+      this.drainingZones.add(zone);
     } else {
-      this.clearing.delete(zone);
+      this.drainingZones.delete(zone);
     }
     log.write('zone-evacuation', 'state', {
       evacuatedZone: zone,
@@ -85,13 +91,13 @@
       backends: backends.length,
       running: countRunning(backends),
       withdrawn,
-      stoodForMs: before?.isOrdered === true ? clock.now() - before.learnedAtMs : undefined,
+      stoodForMs: previous?.isOrdered === true ? clock.now() - previous.learnedAtMs : undefined,
       storeAgeMs: storeAgeMs(),
     });
   }
 
   private backendsOf(zone: string): KnownBackend[] {
-    return this.parts.directory.list().filter(({ backend }) => backend.zone === zone);
+    return this.dependencies.directory.list().filter(({ backend }) => backend.zone === zone);
   }
 }
 
--- a/src/gateway/gateway-paths.ts
+++ b/src/gateway/gateway-paths.ts
@@ -1,4 +1,4 @@
-/** Joins the watch over paths to a gateway: its links to agents, its connections to back ends, the log. */
+/** Connects network path monitoring with a gateway's agent links, backend connections and log. */
 import type { Clock } from '../clock.js';
 import type { Backend } from '../routing/backend.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
@@ -9,65 +9,69 @@
 import { onceArrivalsRead } from './links/arrivals-read.js';
 import type { SlotAgentLinks } from './links/slot-agent-links.js';
 
-/** What a gateway's paths are made from. */
-export interface GatewayPathsParts {
+/** Dependencies of `GatewayPaths`. */
+export interface GatewayPathsDependencies {
   readonly directory: BackendDirectory;
   readonly sender: Pick<HttpBackendSender, 'endResting'>;
   readonly clock: Clock;
   readonly log: DecisionLog;
-  /** The links to agents, which are kept up beside the watch. */
+  /** The links to agents, which are maintained after each check of the paths. */
   links(): SlotAgentLinks;
 }
 
-/** A gateway's paths to its back ends. */
+/** The network paths from this gateway to its backends. */
 export class GatewayPaths {
-  private readonly watch: PathWatch;
-  /** Whatever arrived up to then has been read. */
+  private readonly monitor: PathWatch;
+  /** Time up to which all received data has been read. */
   private readUpToMs = -Infinity;
-  private hasEnded = false;
+  private isStopped = false;
 
-  constructor(private readonly parts: GatewayPathsParts) {
-    this.watch = new PathWatch(parts.directory, {
-      onSuspected: ({ backend }, cause, silentMs) => this.noteLost(backend, cause, silentMs),
+  constructor(private readonly dependencies: GatewayPathsDependencies) {
+    this.monitor = new PathWatch(dependencies.directory, {
+      onSuspected: ({ backend }, cause, silentMs) => this.handleSuspected(backend, cause, silentMs),
       onRegained: ({ backend: { id, zone } }, ended) =>
-        parts.log.write('path-regained', 'state', { backend: id, backendZone: zone, ...ended }),
+        dependencies.log.write('path-regained', 'state', {
+          backend: id,
+          backendZone: zone,
+          ...ended,
+        }),
     });
   }
 
-  /** Back ends whose paths are believed to be cut. */
-  countSuspect(): number {
-    return this.watch.countSuspect();
+  /** Number of backends whose network paths are suspected to be cut. */
+  countSuspected(): number {
+    return this.monitor.countSuspect();
   }
 
-  /** Looks for silence and opens the links that are missing; to be called each tick. */
+  /** Checks the paths for silence and opens missing links; called on each tick. */
   tick(): void {
-    onceArrivalsRead(this.parts.clock, (readUpToMs) => this.lookForSilence(readUpToMs));
+    onceArrivalsRead(this.dependencies.clock, (readUpToMs) => this.checkSilence(readUpToMs));
   }
 
-  /** Back ends came or went: links are opened or closed at once. */
-  followBackends(): void {
-    this.parts.links().maintain(this.readUpToMs);
+  /** Opens or closes links immediately after backends were added or removed. */
+  syncLinks(): void {
+    this.dependencies.links().maintain(this.readUpToMs);
   }
 
-  /** Nothing is looked for any more. */
+  /** Stops checking the paths. */
   stop(): void {
-    this.hasEnded = true;
+    this.isStopped = true;
   }
 
-  private lookForSilence(readUpToMs: number): void {
-    if (this.hasEnded) {
+  private checkSilence(readUpToMs: number): void {
+    if (this.isStopped) {
       return;
     }
     this.readUpToMs = readUpToMs;
-    this.watch.review(readUpToMs);
-    this.parts.links().maintain(readUpToMs);
+    this.monitor.review(readUpToMs);
+    this.dependencies.links().maintain(readUpToMs);
   }
 
-  private noteLost(backend: Backend, cause: SuspicionCause, silentMs: number): void {
+  private handleSuspected(backend: Backend, cause: SuspicionCause, silentMs: number): void {
     const { id, zone, address } = backend;
-    const belief = { backend: id, backendZone: zone, cause, silentMs };
-    this.parts.log.write('path-suspected', 'state', belief);
-    // What is sent on a resting connection now could arrive after its caller has left.
-    this.parts.sender.endResting(address);
+    const fields = { backend: id, backendZone: zone, cause, silentMs };
+    this.dependencies.log.write('path-suspected', 'state', fields);
+    // A request sent on an idle connection now might arrive after its caller has disconnected.
+    this.dependencies.sender.endResting(address);
   }
 }
--- a/src/gateway/gateway-quotas.ts
+++ b/src/gateway/gateway-quotas.ts
@@ -1,4 +1,4 @@
-/** Joins tenants' quotas to a gateway: the record of members, its peers, the store, the log. */
+/** Connects tenant quotas with a gateway's peers, store and log. */
 import type { Clock } from '../clock.js';
 import type {
   PeerBeat,
@@ -27,50 +27,50 @@
 import { QuotaRights } from './quotas/quota-rights.js';
 import type { BucketTerms } from './quotas/quota-terms.js';
 
-/** What a gateway's quotas are made from. */
-export interface GatewayQuotasParts {
+/** Dependencies of `GatewayQuotas`. */
+export interface GatewayQuotasDependencies {
   readonly settings: GatewaySettings;
-  /** Differs after each start of the process. */
+  /** Unique for each start of the process. */
   readonly incarnation: string;
-  /** When this process was started, in milliseconds: its predecessor had ended by then. */
+  /** Start of this process, in milliseconds; its predecessor had ended by then. */
   readonly startedAtMs: number;
   readonly places: Places;
   readonly adapter: Pick<GatewayAdapter, 'writeOwnRecord'>;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly log: DecisionLog;
-  /** The quota of a tenant in the configuration in force; undefined for one that has none. */
+  /** A tenant's quota in the active configuration; undefined if it has none. */
   quotaOf(tenant: string): TenantQuota | undefined;
-  /** Says something to the gateway at that address; false if no connection to it stands. */
+  /** Sends a message to the gateway at `address`; returns false if there is no connection to it. */
   sendToPeer(address: string, message: PeerMessage): boolean;
-  /** Other gateways are at these addresses. */
+  /** Called with the addresses of other gateways. */
   learnPeers(addresses: readonly string[]): void;
-  /** How old the newest word of the store is, in milliseconds; undefined before the first. */
+  /** Age of the view of the store, in milliseconds; undefined before the first confirmation. */
   storeAgeMs(): number | undefined;
-  /** Names of all tenants of the configuration in force. */
+  /** Names of all tenants in the active configuration. */
   tenants(): readonly string[];
-  /** The time of day, in milliseconds. */
+  /** Wall-clock time, in milliseconds. */
   timeOfDayMs(): number;
 }
 
 const MS_PER_S = 1_000;
-/** Ticks between two looks at what is to be written. */
-const LOOK_TICKS = 3;
-/** A gateway's own pool costs no message, one in its zone the shortest way. */
-const DISTANCES = { 'same-zone': 1, 'same-region': 2, 'other-region': 3 } as const;
+/** Ticks between two checks whether the member record must be written. */
+const MEMBERS_CHECK_TICKS = 3;
+/** Cost order of pool holders; this gateway's own pools rank 0, as they need no message. */
+const DISTANCE_RANKS = { 'same-zone': 1, 'same-region': 2, 'other-region': 3 } as const;
 
-/** A gateway's part in tenants' quotas. */
+/** Charges requests to tenant quotas and holds this gateway's share of the quota pools. */
 export class GatewayQuotas {
   private readonly rights: QuotaRights;
   private readonly pools: QuotaPools;
   private readonly charges: QuotaCharges;
   private readonly writer: QuotaMembersWriter;
-  private readonly heard = new Map<string, HeardMember>();
+  private readonly peersByName = new Map<string, HeardMember>();
   private hadRights = false;
   private ticks = 0;
 
-  constructor(private readonly parts: GatewayQuotasParts) {
-    const { settings, clock, places } = parts;
+  constructor(private readonly dependencies: GatewayQuotasDependencies) {
+    const { settings, clock, places } = dependencies;
     const { name, zone } = settings.process;
     const tolerance = {
       overShare: settings.limits.quotaOver,
@@ -79,15 +79,15 @@
     };
     this.rights = new QuotaRights(
       name,
-      parts.startedAtMs,
-      () => this.review(),
-      () => this.pools.credit(parts.tenants(), clock.now()),
+      dependencies.startedAtMs,
+      () => this.reviewRights(),
+      () => this.pools.credit(dependencies.tenants(), clock.now()),
     );
     this.pools = new QuotaPools(tolerance, {
-      quotaOf: (tenant) => parts.quotaOf(tenant),
+      quotaOf: (tenant) => dependencies.quotaOf(tenant),
       heldSinceMs: (tenant) => this.rights.heldSinceMs(tenant, clock.now()),
       countPools: () => this.rights.pools,
-      onDry: (tenant, isDry, level, terms) => this.noteDry(tenant, isDry, level, terms),
+      onDry: (tenant, isDry, level, terms) => this.logPoolState(tenant, isDry, level, terms),
     });
     this.charges = new QuotaCharges(
       name,
@@ -95,74 +95,78 @@
       this.rights,
       this.pools,
       {
-        quotaOf: (tenant) => parts.quotaOf(tenant),
+        quotaOf: (tenant) => dependencies.quotaOf(tenant),
         sendAsk: (holder, ask) => this.sendTo(holder, { kind: 'quota-ask', ...ask }),
         sendBack: (holder, { id, tenant }) =>
           void this.sendTo(holder, { kind: 'quota-return', id, tenant }),
         distanceOf: (holder) => this.distanceOf(holder),
       },
       clock,
-      parts.random,
+      dependencies.random,
     );
     this.writer = new QuotaMembersWriter(
       { name, zone, region: places.regionOf(zone) ?? '', address: settings.listen.peers },
       {
         write: (change, expected) =>
-          parts.adapter.writeOwnRecord('quota-members', encodeQuotaMembers(change), expected),
-        onWritten: (record, failure) => this.noteWritten(record, failure),
-        heard: () => [...this.heard.values()],
+          dependencies.adapter.writeOwnRecord(
+            'quota-members',
+            encodeQuotaMembers(change),
+            expected,
+          ),
+        onWritten: (record, failure) => this.handleWritten(record, failure),
+        heard: () => [...this.peersByName.values()],
         record: () => this.rights.record,
-        storeAgeMs: () => parts.storeAgeMs(),
-        timeOfDayMs: () => parts.timeOfDayMs(),
+        storeAgeMs: () => dependencies.storeAgeMs(),
+        timeOfDayMs: () => dependencies.timeOfDayMs(),
       },
       clock,
     );
   }
 
-  /** The store's position of the record that this gateway follows; revision 0 for none. */
+  /** Store position of the applied member record; revision 0 if there is none. */
   get position(): StorePosition {
     return positionOf(this.rights.record);
   }
 
-  /** Time since this process was started, in milliseconds. */
+  /** Time since the start of this process, in milliseconds. */
   get ageMs(): number {
-    return this.parts.clock.now() - this.parts.startedAtMs;
+    return this.dependencies.clock.now() - this.dependencies.startedAtMs;
   }
 
-  /** Tokens (or requests) let pass here since the start, by tenant. */
-  get use(): ReadonlyMap<string, number> {
+  /** Tokens (or requests) that this gateway has charged since its start, by tenant. */
+  get usageByTenant(): ReadonlyMap<string, number> {
     return this.charges.use;
   }
 
-  /** What is in the pools that this gateway holds, by tenant. */
-  get levels(): ReadonlyMap<string, number> {
-    return this.pools.levels(this.parts.clock.now());
+  /** Fill levels of the quota pools that this gateway holds, by tenant. */
+  get levelsByTenant(): ReadonlyMap<string, number> {
+    return this.pools.levels(this.dependencies.clock.now());
   }
 
-  /** Charges `cost` to a tenant; `onResult` is called once, maybe before this returns. */
+  /** Charges `cost` to a tenant; `onResult` is called once, possibly before this returns. */
   charge(tenant: string, cost: number, onResult: (result: ChargeResult) => void): Charge {
     return this.charges.charge(tenant, cost, onResult);
   }
 
-  /** Name of the one gateway that holds what `key` names and is not divided; undefined while that is not known. */
+  /** Name of the only gateway that holds the undivided resource `key`; undefined while unknown. */
   soleHolderOf(key: string): string | undefined {
     return this.rights.soleHolderOf(key);
   }
 
-  /** Since when this gateway alone holds what `key` names, in milliseconds; undefined if it does not. */
+  /** When this gateway became the only holder of `key`, in milliseconds; undefined if it is not. */
   soleSinceMs(key: string): number | undefined {
-    return this.rights.soleSinceMs(key, this.parts.clock.now());
+    return this.rights.soleSinceMs(key, this.dependencies.clock.now());
   }
 
-  /** Takes in the store's record of members. */
+  /** Applies the member record of the store. */
   takeRecord(record: QuotaMembersRecord): void {
-    if (!this.rights.take(record, this.parts.clock.now())) {
+    if (!this.rights.take(record, this.dependencies.clock.now())) {
       return;
     }
     const { members, settled, epoch, revision, sequence, credits, isLost } = this.rights.record;
-    this.parts.learnPeers((members ?? []).map(({ address }) => address));
-    this.noteContact();
-    this.parts.log.write('quota-members', 'state', {
+    this.dependencies.learnPeers((members ?? []).map(({ address }) => address));
+    this.refreshContact();
+    this.dependencies.log.write('quota-members', 'state', {
       members: members?.length,
       settled: settled.length,
       epoch,
@@ -173,103 +177,111 @@
     });
   }
 
-  /** A peer shows that it lives, and which record it follows. */
+  /** Processes a peer's heartbeat, which names the member record that the peer has applied. */
   hearBeat({ name, address, zone = '' }: PeerHello, { quotaPosition, ageMs }: PeerBeat): void {
-    const region = this.parts.places.regionOf(zone) ?? '';
-    const heardAtMs = this.parts.clock.now();
+    const region = this.dependencies.places.regionOf(zone) ?? '';
+    const heardAtMs = this.dependencies.clock.now();
     const startedAtMs = heardAtMs - ageMs;
     const follows = quotaPosition;
-    this.heard.set(name, { name, zone, region, address, heardAtMs, startedAtMs, follows });
+    this.peersByName.set(name, { name, zone, region, address, heardAtMs, startedAtMs, follows });
   }
 
-  /** Answers a peer that asks for a charge. */
+  /** Answers a peer's request for a grant from a pool of this gateway. */
   answer({ incarnation }: PeerHello, ask: PeerQuotaAsk): PeerQuotaAnswer {
-    const nowMs = this.parts.clock.now();
+    const nowMs = this.dependencies.clock.now();
     const grant = this.pools.ask(ask.tenant, ask, grantName(incarnation, ask.id), nowMs);
     return { kind: 'quota-answer', id: ask.id, grant };
   }
 
-  /** A holder answered. */
+  /** Processes a pool holder's answer to a grant request. */
   receiveAnswer({ id, grant }: PeerQuotaAnswer): void {
     this.charges.receive(id, grant);
   }
 
-  /** A peer gives back what it was granted. */
+  /** Returns a peer's unused grant to its pool. */
   takeBack({ incarnation }: PeerHello, { id, tenant }: PeerQuotaReturn): void {
-    this.pools.giveBack(tenant, grantName(incarnation, id), this.parts.clock.now());
+    this.pools.giveBack(tenant, grantName(incarnation, id), this.dependencies.clock.now());
   }
 
-  /** Looks at who is in contact and at what is to be written; to be called each tick. */
+  /** Updates the contact state and writes the member record if due; called on each tick. */
   tick(): void {
     this.ticks += 1;
-    this.noteContact();
-    if (this.ticks % LOOK_TICKS === 0) {
+    this.refreshContact();
+    if (this.ticks % MEMBERS_CHECK_TICKS === 0) {
       this.writer.tick();
     }
   }
 
-  /** Nothing is written any more. */
+  /** Stops writing the member record. */
   stop(): void {
     this.writer.stop();
   }
 
-  private noteContact(): void {
-    const nowMs = this.parts.clock.now();
-    const storeAgeMs = this.parts.storeAgeMs() ?? Infinity;
-    this.rights.noteContact(Math.max(nowMs - storeAgeMs, this.mostHeardAtMs(nowMs)), nowMs);
+  private refreshContact(): void {
+    const nowMs = this.dependencies.clock.now();
+    const storeAgeMs = this.dependencies.storeAgeMs() ?? Infinity;
+    this.rights.noteContact(Math.max(nowMs - storeAgeMs, this.majorityHeardAtMs(nowMs)), nowMs);
     const hasRights = !this.rights.hasLapsed(nowMs);
     if (hasRights !== this.hadRights) {
       this.hadRights = hasRights;
-      this.review();
-      this.parts.log.write(hasRights ? 'quota-rights-held' : 'quota-rights-lapsed', 'state', {
-        ...this.position,
-        storeAgeMs: Number.isFinite(storeAgeMs) ? storeAgeMs : undefined,
-      });
+      this.reviewRights();
+      this.dependencies.log.write(
+        hasRights ? 'quota-rights-held' : 'quota-rights-lapsed',
+        'state',
+        {
+          ...this.position,
+          storeAgeMs: Number.isFinite(storeAgeMs) ? storeAgeMs : undefined,
+        },
+      );
     }
   }
 
-  /** When a majority of the members, this one included, had been heard last, in milliseconds. */
-  private mostHeardAtMs(nowMs: number): number {
+  /**
+   * Time of the last contact with a majority of the members, including this one, in milliseconds.
+   */
+  private majorityHeardAtMs(nowMs: number): number {
     const { members = [] } = this.rights.record;
     const heardAtMs = members
       .map(({ name }) =>
-        name === this.name ? nowMs : (this.heard.get(name)?.heardAtMs ?? -Infinity),
+        name === this.name ? nowMs : (this.peersByName.get(name)?.heardAtMs ?? -Infinity),
       )
       .sort((left, right) => right - left);
     return heardAtMs[Math.floor(members.length / 2)] ?? -Infinity;
   }
 
   private get name(): string {
-    return this.parts.settings.process.name;
+    return this.dependencies.settings.process.name;
   }
 
-  private review(): void {
+  private reviewRights(): void {
     this.pools.review();
     this.charges.review();
   }
 
-  /** Says something to the holder of that name; false if no connection to it stands. */
+  /** Sends a message to the named holder; returns false if there is no connection to it. */
   sendTo(holder: string, message: PeerMessage): boolean {
-    return this.parts.sendToPeer(this.memberNamed(holder)?.address ?? '', message);
+    return this.dependencies.sendToPeer(this.findMember(holder)?.address ?? '', message);
   }
 
-  /** A member as it was heard last, or as the record has it. */
-  private memberNamed(name: string): QuotaMember | undefined {
+  /** A member as of its last heartbeat, or else as in the member record. */
+  private findMember(name: string): QuotaMember | undefined {
     const { members = [] } = this.rights.record;
-    return this.heard.get(name) ?? members.find((member) => member.name === name);
+    return this.peersByName.get(name) ?? members.find((member) => member.name === name);
   }
 
   private distanceOf(holder: string): number {
     if (holder === this.name) {
       return 0;
     }
-    const zone = this.memberNamed(holder)?.zone ?? '';
-    return DISTANCES[this.parts.places.distance(this.parts.settings.process.zone, zone)];
+    const zone = this.findMember(holder)?.zone ?? '';
+    return DISTANCE_RANKS[
+      this.dependencies.places.distance(this.dependencies.settings.process.zone, zone)
+    ];
   }
 
-  private noteWritten(record: QuotaMembersRecord, failure: WeirvaleError | undefined): void {
+  private handleWritten(record: QuotaMembersRecord, failure: WeirvaleError | undefined): void {
     const event = failure === undefined ? 'quota-members-written' : 'quota-members-not-written';
-    this.parts.log.write(event, 'state', {
+    this.dependencies.log.write(event, 'state', {
       members: record.members?.length,
       settled: record.settled.length,
       epoch: record.epoch,
@@ -282,8 +294,8 @@
     }
   }
 
-  private noteDry(tenant: string, isDry: boolean, level: number, terms: BucketTerms): void {
-    this.parts.log.write(isDry ? 'quota-pool-dry' : 'quota-pool-refilled', 'state', {
+  private logPoolState(tenant: string, isDry: boolean, level: number, terms: BucketTerms): void {
+    this.dependencies.log.write(isDry ? 'quota-pool-dry' : 'quota-pool-refilled', 'state', {
       tenant,
       level,
       capacity: terms.capacity,
--- a/src/gateway/gateway-requests.ts
+++ b/src/gateway/gateway-requests.ts
@@ -1,4 +1,4 @@
-/** The requests of a gateway's callers, from the first bytes of their heads to their ends. */
+/** Lifecycle of a gateway's requests, from the received head to the end of the response. */
 import type { Clock } from '../clock.js';
 import type { RandomSource } from '../random.js';
 import { err } from '../result.js';
@@ -18,24 +18,24 @@
 import { UnconfirmedRefusals } from './admission/unconfirmed-refusals.js';
 import type { GatewayQuotas } from './gateway-quotas.js';
 import type { Charge, ChargeResult } from './quotas/open-charge.js';
-import type { ConfigurationInForce } from './configuration-in-force.js';
+import type { ActiveConfiguration } from './configuration-in-force.js';
 import type { BackendDirectory } from './dispatch/backend-directory.js';
 import type { Dispatcher } from './dispatch/dispatcher.js';
 import type { GatewayAdapter } from './gateway-adapter.js';
 import type { EndingEvidence } from './crashes/broken-runs.js';
 import type { CrashingRequests } from './crashes/crashing-requests.js';
 import type { GatewayCluster } from './gateway-cluster.js';
-import { reportHomes, reportKept } from './homes/home-report.js';
+import { reportRegions, reportExcluded } from './homes/home-report.js';
 import type { HomeReport } from './homes/home-report.js';
 import { followHomes, RequestHomes } from './homes/request-homes.js';
 import type { GatewaySettings } from './gateway-settings.js';
 import type { GatewayMetrics } from './metrics/gateway-metrics.js';
 
-/** What a gateway's requests are made from. */
-export interface GatewayRequestsParts {
+/** Dependencies of `GatewayRequests`. */
+export interface GatewayRequestsDependencies {
   readonly adapter: Pick<GatewayAdapter, 'protocol'>;
   readonly limits: GatewaySettings['limits'];
-  readonly configuration: ConfigurationInForce;
+  readonly configuration: ActiveConfiguration;
   readonly quotas: Pick<GatewayQuotas, 'charge'>;
   readonly directory: BackendDirectory;
   readonly dispatcher: Dispatcher;
@@ -46,64 +46,67 @@
   readonly random: RandomSource;
   readonly log: DecisionLog;
   readonly metrics: GatewayMetrics;
-  /** Whether the gateway leaves and takes nothing more. */
+  /** Whether the gateway is shutting down and refuses new requests. */
   isRefusing(): boolean;
   /** See `RequestPorts`. */
   readonly onStatement: RequestPorts['onStatement'];
   /** See `RequestPorts`. */
   readonly onTryOver: RequestPorts['onTryOver'];
-  /** A request ended. */
+  /** Called after each request has ended. */
   onEnd(): void;
 }
 
 const MS_PER_S = 1_000;
 const FIRST_ERROR_STATUS = 400;
-/** Wait from which a request's line says what it was kept from, in milliseconds: shorter ones trouble nobody. */
-const HELD_UP_MS = 100;
+/**
+ * Wait from which the log entry of a request lists excluded backends, in milliseconds; shorter
+ * waits are harmless.
+ */
+const LONG_WAIT_MS = 100;
 
-const UNCONFIRMED: GatewayRefusal = {
+const UNCONFIRMED_REFUSAL: GatewayRefusal = {
   reason: 'configuration-unconfirmed',
   retryAfterMs: DEFAULT_REQUEST_OPTIONS.retryAfterMs,
 };
 
-/** A request that waits or runs. */
+/** A request that waits for a backend or runs. */
 interface ActiveRequest {
-  readonly homes: RequestHomes;
+  readonly regions: RequestHomes;
   readonly proxied: ProxiedRequest;
-  /** Gives its tenant back what it was charged at first. */
-  giveBack(): void;
+  /** Returns the initial charge to the tenant's quota. */
+  refund(): void;
 }
 
-/** A request that was taken, as far as its caller's connection is concerned. */
-interface TakenRequest {
+/** The caller-side handle of an admitted request. */
+interface AdmittedRequest {
   callerLeft(): void;
 }
 
-/** The requests of a gateway's callers. */
+/** Admits, charges, dispatches and reports the requests of callers. */
 export class GatewayRequests {
   private readonly active = new Map<AcceptedRequest, ActiveRequest>();
-  /** Requests that are being charged to their tenants. */
+  /** Requests whose quota charge is pending. */
   private readonly charging = new Set<AcceptedRequest>();
   private readonly admission: RequestAdmission;
-  private readonly unconfirmed: UnconfirmedRefusals;
-  private readonly budget: RetryBudget;
+  private readonly unconfirmedRefusals: UnconfirmedRefusals;
+  private readonly retryBudget: RetryBudget;
   private readonly ports: RequestPorts;
 
-  constructor(private readonly parts: GatewayRequestsParts) {
-    const { adapter, limits, clock, random } = parts;
+  constructor(private readonly dependencies: GatewayRequestsDependencies) {
+    const { adapter, limits, clock, random } = dependencies;
     this.admission = new RequestAdmission(
       random,
       {
         canServe: (service, allowedRegions) =>
-          parts.dispatcher.hasReady({ service, allowedRegions }, new Set()),
+          dependencies.dispatcher.hasReady({ service, allowedRegions }, new Set()),
       },
-      parts.crashes,
+      dependencies.crashes,
     );
-    this.unconfirmed = new UnconfirmedRefusals(
-      { isKnowledgeOld: () => parts.cluster.isKnowledgeOld },
+    this.unconfirmedRefusals = new UnconfirmedRefusals(
+      { isKnowledgeOld: () => dependencies.cluster.isKnowledgeOld },
       clock,
     );
-    this.budget = new RetryBudget({
+    this.retryBudget = new RetryBudget({
       ratio: limits.retryRatio,
       windowMs: limits.retryWindowS * MS_PER_S,
       slack: limits.retrySlack,
@@ -111,148 +114,154 @@
     this.ports = {
       clock,
       random,
-      directory: parts.directory,
-      dispatcher: parts.dispatcher,
-      sender: parts.sender,
-      crashes: parts.crashes,
+      directory: dependencies.directory,
+      dispatcher: dependencies.dispatcher,
+      sender: dependencies.sender,
+      crashes: dependencies.crashes,
       protocol: adapter.protocol,
-      takeRepeat: (service) => this.takeRepeat(service),
+      takeRepeat: (service) => this.takeRetry(service),
       chargeAgain: (request, onResult) =>
         this.charge(request, ({ isGranted }) => onResult(isGranted)),
-      onStatement: parts.onStatement,
-      onTryOver: parts.onTryOver,
-      onEnd: (request, end) => this.noteEnd(request, end),
+      onStatement: dependencies.onStatement,
+      onTryOver: dependencies.onTryOver,
+      onEnd: (request, end) => this.handleEnd(request, end),
     };
   }
 
-  /** Requests that wait for a confirmed configuration, are being charged, wait for a back end or run. */
+  /** Requests that wait for a confirmed configuration, a quota charge or a backend, or run. */
   get countActive(): number {
-    return this.unconfirmed.count + this.charging.size + this.active.size;
+    return this.unconfirmedRefusals.count + this.charging.size + this.active.size;
   }
 
-  /** Requests whose back end is not permitted any more go elsewhere where nothing was sent; says how many. */
+  /** Redirects unsent requests whose backend is not permitted any more; returns their number. */
   withdrawUnsent(): number {
     return [...this.active.values()].filter(({ proxied }) => proxied.withdrawUnsent()).length;
   }
 
-  /** A back end is known to have ended: what is at work there is lost. */
-  noteBackendEnded(backendId: string, evidence: EndingEvidence): void {
+  /** Treats the attempts that run on a backend as lost once its process has ended. */
+  handleBackendEnded(backendId: string, evidence: EndingEvidence): void {
     for (const { proxied } of [...this.active.values()]) {
       proxied.noteBackendEnded(backendId, evidence);
     }
   }
 
-  /** Answers what waits of requests that are found to crash back ends. */
+  /** Refuses waiting requests that have been found to crash backends. */
   refuseCrashing(): void {
     for (const { proxied } of [...this.active.values()]) {
       proxied.refuseCrashing();
     }
   }
 
-  /** Repeats that the budget still allows, by service. */
+  /** Retries that the retry budget still allows, by service. */
   repeatsLeft(nowMs: number): ReturnType<RetryBudget['repeatsLeft']> {
-    return this.budget.repeatsLeft(this.parts.cluster.size, nowMs);
+    return this.retryBudget.repeatsLeft(this.dependencies.cluster.size, nowMs);
   }
 
-  /** A configuration came into force: what waits, is tried again or resumed keeps to its homes from now on. */
-  followConfiguration(): void {
-    for (const { homes } of this.active.values()) {
-      homes.refresh();
+  /**
+   * Applies the allowed regions of the active configuration to waiting requests, retries and stream
+   * resumptions.
+   */
+  applyConfiguration(): void {
+    for (const { regions } of this.active.values()) {
+      regions.refresh();
     }
   }
 
-  /** A caller sent the head of a request. */
-  take(head: ReceivedHead, reply: CallerReply): PendingBody {
-    const arrivedAtMs = this.parts.clock.now();
-    const caller = this.parts.adapter.protocol.readRequest(head.headers);
+  /** Processes a received request head; returns the handlers of its body. */
+  receive(head: ReceivedHead, reply: CallerReply): PendingBody {
+    const arrivedAtMs = this.dependencies.clock.now();
+    const caller = this.dependencies.adapter.protocol.readRequest(head.headers);
     for (const header of caller.reservedHeaders) {
-      this.parts.metrics.record(({ reservedHeaders }) => reservedHeaders.inc({ header }));
+      this.dependencies.metrics.record(({ reservedHeaders }) => reservedHeaders.inc({ header }));
     }
-    let taken: TakenRequest | undefined;
+    let request: AdmittedRequest | undefined;
     return {
       onBody: (body) => {
-        taken = this.admit({ head, caller, body, arrivedAtMs }, reply);
+        request = this.admit({ head, caller, body, arrivedAtMs }, reply);
       },
       onTooLong: () => {
         this.refuse(caller, reply, { reason: 'body-too-long' });
       },
-      onCallerLeft: () => taken?.callerLeft(),
+      onCallerLeft: () => request?.callerLeft(),
     };
   }
 
-  private admit(received: ReceivedRequest, reply: CallerReply): TakenRequest | undefined {
-    const admitted = this.parts.isRefusing()
+  private admit(received: ReceivedRequest, reply: CallerReply): AdmittedRequest | undefined {
+    const admitted = this.dependencies.isRefusing()
       ? err<GatewayRefusal>({ reason: 'stopping', retryAfterMs: 0 })
-      : this.admission.admit(received, this.parts.configuration.table);
+      : this.admission.admit(received, this.dependencies.configuration.table);
     if (admitted.ok) {
       return this.chargeAndBegin(admitted.val, received.caller, reply);
     }
-    if (isClaimOnNewest(admitted.val) && this.parts.cluster.isKnowledgeOld) {
+    if (mayBeOutdated(admitted.val) && this.dependencies.cluster.isKnowledgeOld) {
       return this.awaitConfirmation(received, reply);
     }
     this.refuse(received.caller, reply, admitted.val);
     return undefined;
   }
 
-  /** Admits a request once it is known that the configuration in force is the newest, or refuses it soon. */
-  private awaitConfirmation(received: ReceivedRequest, reply: CallerReply): TakenRequest {
-    let taken: TakenRequest | undefined;
-    const giveUp = this.unconfirmed.wait((isConfirmed) => {
-      const admitted = this.admission.admit(received, this.parts.configuration.table);
+  /**
+   * Admits or refuses a request once the active configuration is confirmed to be the newest, or
+   * after a timeout.
+   */
+  private awaitConfirmation(received: ReceivedRequest, reply: CallerReply): AdmittedRequest {
+    let request: AdmittedRequest | undefined;
+    const stopWaiting = this.unconfirmedRefusals.wait((isConfirmed) => {
+      const admitted = this.admission.admit(received, this.dependencies.configuration.table);
       if (admitted.ok) {
-        taken = this.chargeAndBegin(admitted.val, received.caller, reply);
+        request = this.chargeAndBegin(admitted.val, received.caller, reply);
         return;
       }
-      const isUnknown = isClaimOnNewest(admitted.val) && !isConfirmed;
-      this.refuse(received.caller, reply, isUnknown ? UNCONFIRMED : admitted.val);
-      this.parts.onEnd();
+      const isUnknown = mayBeOutdated(admitted.val) && !isConfirmed;
+      this.refuse(received.caller, reply, isUnknown ? UNCONFIRMED_REFUSAL : admitted.val);
+      this.dependencies.onEnd();
     });
     return {
       callerLeft: () => {
-        giveUp();
-        taken?.callerLeft();
-        this.parts.onEnd();
+        stopWaiting();
+        request?.callerLeft();
+        this.dependencies.onEnd();
       },
     };
   }
 
-  /** Begins a request once it is charged to its tenant. */
+  /** Starts a request once its cost is charged to its tenant. */
   private chargeAndBegin(
     accepted: AcceptedRequest,
     caller: CallerRequestHead,
     reply: CallerReply,
-  ): TakenRequest {
+  ): AdmittedRequest {
     let proxied: ProxiedRequest | undefined;
-    let isOver = false;
+    let isSettled = false;
     this.charging.add(accepted);
     const charge = this.charge(accepted, (result) => {
-      isOver = true;
+      isSettled = true;
       this.charging.delete(accepted);
       if (result.isGranted) {
         proxied = this.begin(accepted, reply, () => result.giveBack());
       } else {
         this.refuse(caller, reply, quotaRefusal(accepted, result));
-        this.parts.onEnd();
+        this.dependencies.onEnd();
       }
     });
-    const leave = () => {
-      if (!isOver) {
-        isOver = true;
+    const handleDisconnect = () => {
+      if (!isSettled) {
+        isSettled = true;
         this.charging.delete(accepted);
         charge?.cancel();
-        this.noteLeftEarly(accepted);
+        this.logEarlyDisconnect(accepted);
       }
       proxied?.callerLeft();
     };
-    return { callerLeft: leave };
+    return { callerLeft: handleDisconnect };
   }
 
-  /** The caller closed its connection before its request was charged. */
-  private noteLeftEarly({ requestId, route, tenant }: AcceptedRequest): void {
+  /** Logs that the caller disconnected before its request was charged. */
+  private logEarlyDisconnect({ requestId, route, tenant }: AcceptedRequest): void {
     const reason = 'caller-left';
     const fields = { request: requestId, route: route.name, tenant, status: 0, reason, tries: [] };
-    this.parts.log.write('request-ended', 'failure', fields);
-    this.parts.onEnd();
+    this.dependencies.log.write('request-ended', 'failure', fields);
+    this.dependencies.onEnd();
   }
 
   private charge(
@@ -263,28 +272,24 @@
       onResult({ isGranted: true, giveBack: () => undefined });
       return undefined;
     }
-    return this.parts.quotas.charge(tenant, quotaCost, onResult);
+    return this.dependencies.quotas.charge(tenant, quotaCost, onResult);
   }
 
-  private begin(
-    accepted: AcceptedRequest,
-    reply: CallerReply,
-    giveBack: () => void,
-  ): ProxiedRequest {
+  private begin(accepted: AcceptedRequest, reply: CallerReply, refund: () => void): ProxiedRequest {
     const { tenant, route } = accepted;
     const owner = { route: route.name, tenant };
-    const homes = new RequestHomes(owner, () => this.parts.configuration.homes);
-    const request = followHomes(accepted, homes);
-    this.budget.countRequest(request.service, this.parts.clock.now());
+    const regions = new RequestHomes(owner, () => this.dependencies.configuration.namedRegions);
+    const request = followHomes(accepted, regions);
+    this.retryBudget.countRequest(request.service, this.dependencies.clock.now());
     const proxied = new ProxiedRequest(request, reply, this.ports, DEFAULT_REQUEST_OPTIONS);
-    this.active.set(request, { homes, proxied, giveBack });
+    this.active.set(request, { regions, proxied, refund });
     proxied.begin();
     return proxied;
   }
 
-  private takeRepeat(service: string): boolean {
-    const { cluster, clock, metrics } = this.parts;
-    const isAllowed = this.budget.takeRepeat(service, cluster.size, clock.now());
+  private takeRetry(service: string): boolean {
+    const { cluster, clock, metrics } = this.dependencies;
+    const isAllowed = this.retryBudget.takeRepeat(service, cluster.size, clock.now());
     if (!isAllowed) {
       metrics.record(({ repeatsDenied }) => repeatsDenied.inc({ service }));
     }
@@ -292,7 +297,7 @@
   }
 
   private refuse(caller: CallerRequestHead, reply: CallerReply, refusal: GatewayRefusal): void {
-    const { adapter, log, metrics, configuration, cluster } = this.parts;
+    const { adapter, log, metrics, configuration, cluster } = this.dependencies;
     const status = sendRefusal(reply, adapter.protocol, caller.requestId, refusal);
     const labels = { route: '', status: `${status}`, reason: refusal.reason };
     metrics.record(({ requests }) => requests.inc(labels));
@@ -307,14 +312,14 @@
     });
   }
 
-  private noteEnd(request: AcceptedRequest, end: RequestEnd): void {
-    const { metrics, log, dispatcher, cluster, configuration } = this.parts;
+  private handleEnd(request: AcceptedRequest, end: RequestEnd): void {
+    const { metrics, log, dispatcher, cluster, configuration } = this.dependencies;
     const active = this.active.get(request);
     this.active.delete(request);
     if (end.attempts === 0) {
-      active?.giveBack();
+      active?.refund();
     }
-    const homes = active?.homes;
+    const regions = active?.regions;
     metrics.recordEnd(request, end);
     const isSuccess = end.reason === 'answered' && end.status < FIRST_ERROR_STATUS;
     log.write('request-ended', isSuccess ? 'success' : 'failure', {
@@ -327,26 +332,30 @@
       quotaCost: request.quotaCost,
       triedForMs: request.arrivedAtMs - request.firstTriedAtMs,
       ...end,
-      // Each time that a request is sent it has another id: what is the same tells that it came again.
-      fingerprint: hasFailedAtBackend(end) ? this.parts.crashes.fingerprintOf(request) : undefined,
+      // A resent request has a new id; the fingerprint identifies it as the same request.
+      fingerprint: hasFailedAtBackend(end)
+        ? this.dependencies.crashes.fingerprintOf(request)
+        : undefined,
       waiting: dispatcher.countWaiting(request.service),
       storeAgeMs: cluster.storeAgeMs,
       configuration: configuration.version,
-      ...(homes === undefined ? {} : this.reportHomes(request, homes, !isSuccess || isHeldUp(end))),
+      ...(regions === undefined
+        ? {}
+        : this.regionReportOf(request, regions, !isSuccess || hasWaitedLong(end))),
     });
-    this.parts.onEnd();
+    this.dependencies.onEnd();
   }
 
-  private reportHomes(
+  private regionReportOf(
     request: AcceptedRequest,
-    homes: RequestHomes,
-    isToExplain: boolean,
+    regions: RequestHomes,
+    includesExcluded: boolean,
   ): HomeReport {
-    const { directory, dispatcher } = this.parts;
-    if (!isToExplain) {
-      return reportHomes(homes);
+    const { directory, dispatcher } = this.dependencies;
+    if (!includesExcluded) {
+      return reportRegions(regions);
     }
-    return reportKept(homes, {
+    return reportExcluded(regions, {
       backends: directory.ofService(request.service),
       regionOf: (zone) => dispatcher.regionOf(zone),
       restriction: (known) => dispatcher.restriction(request, known),
@@ -354,8 +363,8 @@
   }
 }
 
-/** Whether a refusal says that the newest configuration lacks something. */
-function isClaimOnNewest({ reason }: GatewayRefusal): boolean {
+/** Whether the reason of a refusal might not hold under a newer configuration. */
+function mayBeOutdated({ reason }: GatewayRefusal): boolean {
   return reason === 'no-route' || reason === 'unknown-key';
 }
 
@@ -373,6 +382,6 @@
   return isRefusedForCrashes || tries.some(({ outcome }) => outcome === 'failed');
 }
 
-function isHeldUp({ waitedMs }: RequestEnd): boolean {
-  return waitedMs >= HELD_UP_MS;
+function hasWaitedLong({ waitedMs }: RequestEnd): boolean {
+  return waitedMs >= LONG_WAIT_MS;
 }
--- a/src/gateway/gateway-role.ts
+++ b/src/gateway/gateway-role.ts
@@ -1,4 +1,4 @@
-/** The gateway: joins the cluster's state, the dispatcher and the listeners. */
+/** The gateway process: connects the cluster view, the dispatcher and the listeners. */
 import type { RecordNews } from '../cluster/replicated-records.js';
 import type { StorePosition } from '../cluster/store-position.js';
 import type { RecordsSource } from '../cluster/cluster-store.js';
@@ -14,7 +14,7 @@
 import { Places } from '../routing/places.js';
 import { UnknownZones } from '../routing/unknown-zones.js';
 import type { RoutingConfiguration } from '../routing/configuration.js';
-import { ConfigurationInForce } from './configuration-in-force.js';
+import { ActiveConfiguration } from './configuration-in-force.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import { CallerListener } from './admission/caller-listener.js';
 import type { EndingEvidence } from './crashes/broken-runs.js';
@@ -42,11 +42,11 @@
   HttpBackendSender,
 } from './attempt/http-backend-sender.js';
 import { inOrderOfEffect } from './news-order.js';
-import { PlannedStop } from './planned-stop.js';
+import { GracefulShutdown } from './planned-stop.js';
 import { ReadinessListener } from './readiness-listener.js';
 import { DEFAULT_SLOT_AGENT_LINK_OPTIONS, SlotAgentLinks } from './links/slot-agent-links.js';
 
-/** Records that gateways write, and the orders that states of roll-outs belong to. */
+/** Records that gateways write themselves, and the orders whose rollout states they write. */
 const OWN_RECORD_KINDS: ReadonlySet<DecodedRecord['kind']> = new Set([
   'crash-record',
   'quota-members',
@@ -54,8 +54,8 @@
   'rollout-status',
 ]);
 
-/** What a gateway is made from. */
-export interface GatewayParts {
+/** Dependencies of `GatewayRole`. */
+export interface GatewayDependencies {
   readonly settings: GatewaySettings;
   readonly adapter: GatewayAdapter;
   readonly clock: Clock;
@@ -65,14 +65,14 @@
 }
 
 const MS_PER_S = 1_000;
-/** Pause between two words to agents on how far the replica reaches, in ticks. */
+/** Interval at which the replica's position is sent to agents, in ticks. */
 const AGENT_REACH_TICKS = 3;
-/** Pause between two looks at what is to be told or forgotten, in ticks. */
-const UPKEEP_TICKS = 50;
-/** Time from the start until the library of the metrics is loaded, in milliseconds. */
+/** Interval at which expired state is removed and dropped log lines are reported, in ticks. */
+const MAINTENANCE_TICKS = 50;
+/** Delay after the start before the metrics library is loaded, in milliseconds. */
 const METRICS_LOAD_MS = 3_000;
 
-/** The gateway. */
+/** Runs a gateway: starts its components, applies records of the store, and stops gracefully. */
 export class GatewayRole {
   private readonly cluster: GatewayCluster;
   private readonly directory: BackendDirectory;
@@ -85,31 +85,31 @@
   private readonly crashes: GatewayCrashes;
   private readonly statements: GatewayStatements;
   private readonly sender = new HttpBackendSender(DEFAULT_BACKEND_SENDER_OPTIONS, (reason) =>
-    this.parts.metrics.record(({ connections }) => connections.inc({ reason })),
+    this.dependencies.metrics.record(({ connections }) => connections.inc({ reason })),
   );
   private readonly listener: CallerListener;
   private readonly links: SlotAgentLinks;
   private readonly quotas: GatewayQuotas;
   private readonly requests: GatewayRequests;
-  private readonly configuration: ConfigurationInForce;
+  private readonly configuration: ActiveConfiguration;
   private readonly readiness = new ReadinessListener(() => this.isReady);
   private hasEnded = false;
   private ticks = 0;
   private loopDelayMs = 0;
-  private readonly plannedStop: PlannedStop;
+  private readonly shutdown: GracefulShutdown;
   private onStopped: (() => void) | undefined;
 
-  constructor(private readonly parts: GatewayParts) {
-    const { settings, adapter, clock, random } = parts;
+  constructor(private readonly dependencies: GatewayDependencies) {
+    const { settings, adapter, clock, random } = dependencies;
     const { name } = settings.process;
     const incarnation = `${name}.${Math.floor(random.next() * 2 ** 32).toString(36)}`;
-    this.configuration = new ConfigurationInForce(clock);
+    this.configuration = new ActiveConfiguration(clock);
     this.statements = new GatewayStatements({
-      ...parts,
+      ...dependencies,
       holders: () => this.quotas,
       countGateways: () => this.cluster.size,
-      tellPeers: (conditions) => this.cluster.tellConditions(conditions),
-      onChange: (backendId) => this.followCondition(backendId),
+      tellPeers: (conditions) => this.cluster.broadcastConditions(conditions),
+      onChange: (backendId) => this.applyCondition(backendId),
       isKnown: (backendId) => this.directory.find(backendId) !== undefined,
     });
     this.places = new Places(settings.places.zones);
@@ -124,31 +124,33 @@
       {
         isEngine,
         homeRegions: () => ({
-          named: this.configuration.homes?.regions ?? new Set(),
+          named: this.configuration.namedRegions?.regions ?? new Set(),
           regionOf: orders.regionOf,
         }),
         ...orders,
-        onReach: (service, hasNear) => this.noteReach(service, hasNear),
-        isNamed: (service) => this.configuration.isNamed(service),
-        conditionOf: (backendId) => this.statements.of(backendId),
+        onReach: (service, hasNear) => this.logRegionReach(service, hasNear),
+        isNamed: (service) => this.configuration.isServiceConfigured(service),
+        conditionOf: (backendId) => this.statements.conditionOf(backendId),
         onReplaced: (backendId) => this.crashes.requests.noteEnded(backendId, 'replaced'),
       },
     );
     this.dispatcher = new Dispatcher(this.directory, {
       sendToAgent: (backendId, message) => this.links.send(backendId, message),
-      onEjected: (backendId) => parts.log.write('backend-ejected', 'state', { backend: backendId }),
-      onAvailability: (backend, availability) => this.noteAvailability(backend, availability),
-      onEnded: (backendId) => this.noteEnded(backendId, 'agent'),
+      onEjected: (backendId) =>
+        dependencies.log.write('backend-ejected', 'state', { backend: backendId }),
+      onAvailability: (backend, availability) => this.handleAvailability(backend, availability),
+      onEnded: (backendId) => this.handleBackendEnded(backendId, 'agent'),
       isEngine,
       countGateways: () => this.cluster.size,
       tokensPerEvent: (service) => this.configuration.tokensPerEvent(service),
       ...orders,
       configurationVersion: () => this.configuration.version,
-      onKept: (reason) => parts.metrics.record(({ requestsKept }) => requestsKept.inc({ reason })),
+      onKept: (reason) =>
+        dependencies.metrics.record(({ requestsKept }) => requestsKept.inc({ reason })),
       onSent: (backend) => this.rollouts.rollouts.noteSent(backend),
       sendRights: this.statements.rights,
       coldStarts: createColdStarts({
-        ...parts,
+        ...dependencies,
         limits: settings.limits,
         configuration: this.configuration,
         returnedAtMs: (zone) => this.evacuations.zones.returnedAtMs(zone),
@@ -156,13 +158,13 @@
       }),
     });
     this.backends = new GatewayBackends({
-      ...parts,
+      ...dependencies,
       dispatcher: this.dispatcher,
       unknownZones: new UnknownZones(this.places),
-      onLifeOver: (backendId) => this.noteEnded(backendId, 'replaced'),
+      onIncarnationEnded: (backendId) => this.handleBackendEnded(backendId, 'replaced'),
     });
     this.evacuations = new GatewayEvacuations({
-      ...parts,
+      ...dependencies,
       directory: this.directory,
       dispatcher: this.dispatcher,
       places: this.places,
@@ -170,43 +172,43 @@
       withdrawUnsent: () => this.requests.withdrawUnsent(),
     });
     this.paths = new GatewayPaths({
-      ...parts,
+      ...dependencies,
       directory: this.directory,
       sender: this.sender,
       links: () => this.links,
     });
     this.rollouts = new GatewayRollouts({
-      ...parts,
+      ...dependencies,
       incarnation,
       directory: this.directory,
       countGateways: () => this.cluster.size,
       isEvacuated: orders.isEvacuated,
     });
     this.crashes = new GatewayCrashes({
-      ...parts,
+      ...dependencies,
       directory: this.directory,
-      tellPeers: (news) => this.cluster.tellCrashes(news),
+      broadcastToPeers: (tallies) => this.cluster.broadcastCrashes(tallies),
       refuseWaiting: () => this.requests.refuseCrashing(),
     });
     this.listener = new CallerListener(
-      (head, reply) => this.requests.take(head, reply),
+      (head, reply) => this.requests.receive(head, reply),
       () => this.configuration.limits.maxBodyBytes,
     );
     const { limits } = settings;
     this.quotas = new GatewayQuotas({
-      ...parts,
+      ...dependencies,
       incarnation,
       startedAtMs: clock.now() - process.uptime() * MS_PER_S,
       places: this.places,
       quotaOf: (tenant) => this.configuration.table?.tenantNamed(tenant)?.quota,
       sendToPeer: (address, message) => this.cluster.sendTo(address, message),
-      learnPeers: (addresses) => this.cluster.learnPeers(addresses),
+      learnPeers: (addresses) => this.cluster.addPeers(addresses),
       storeAgeMs: () => this.cluster.storeAgeMs,
       tenants: () => this.configuration.table?.configuration.tenants.map(({ name }) => name) ?? [],
       timeOfDayMs: () => Date.now(),
     });
     this.cluster = new GatewayCluster({
-      ...parts,
+      ...dependencies,
       incarnation,
       store: adapter.store,
       compareByOwner: createCompareByOwner(adapter.decode),
@@ -214,10 +216,10 @@
       rollouts: this.rollouts.rollouts,
       crashes: {
         tell: () => this.crashes.requests.tell(),
-        hear: (told) => this.crashes.hear(told),
+        hear: (tallies) => this.crashes.mergePeerTallies(tallies),
       },
       statements: this.statements,
-      onRecords: (records, source) => this.takeRecords(records, source),
+      onRecords: (records, source) => this.applyRecords(records, source),
     });
     this.links = new SlotAgentLinks(
       incarnation,
@@ -228,7 +230,7 @@
       isEngine,
       (service) => this.configuration.coldStartHello(service),
       (backend, isConnected, reason) =>
-        parts.log.write(isConnected ? 'agent-connected' : 'agent-lost', 'state', {
+        dependencies.log.write(isConnected ? 'agent-connected' : 'agent-lost', 'state', {
           backend,
           reason,
         }),
@@ -240,13 +242,13 @@
         zone: settings.process.zone,
       },
     );
-    this.plannedStop = new PlannedStop(clock, limits.stopGraceS * MS_PER_S, {
+    this.shutdown = new GracefulShutdown(clock, limits.stopGraceS * MS_PER_S, {
       stopListening: () => this.listener.stopListening(),
       countActive: () => this.requests.countActive,
-      end: () => this.end(),
+      end: () => this.finishStop(),
     });
     this.requests = new GatewayRequests({
-      ...parts,
+      ...dependencies,
       limits,
       configuration: this.configuration,
       quotas: this.quotas,
@@ -255,21 +257,21 @@
       sender: this.sender,
       crashes: this.crashes.requests,
       cluster: this.cluster,
-      isRefusing: () => this.plannedStop.isRefusing,
-      onStatement: (heard) => this.statements.hear(heard),
+      isRefusing: () => this.shutdown.isRefusing,
+      onStatement: (head) => this.statements.hear(head),
       onTryOver: ({ backend, route, isBad }) =>
         this.rollouts.rollouts.noteEnded(backend, route.name, isBad),
-      onEnd: () => this.plannedStop.noteRequestEnded(),
+      onEnd: () => this.shutdown.onRequestEnded(),
     });
   }
 
   private get isReady(): boolean {
-    return this.configuration.table !== undefined && !this.plannedStop.isRequested;
+    return this.configuration.table !== undefined && !this.shutdown.hasBegun;
   }
 
-  /** Starts the listeners and follows the store. */
+  /** Starts the listeners and begins to follow the store. */
   start(): void {
-    const { settings, log, metrics } = this.parts;
+    const { settings, log, metrics } = this.dependencies;
     const callers = splitAddress(settings.listen.callers);
     this.listener.server.listen(callers);
     this.readiness.listen(settings.listen.readiness);
@@ -277,26 +279,29 @@
     if (settings.listen.metricsPort > 0) {
       metrics.serve(settings.process.address, settings.listen.metricsPort);
     }
-    this.parts.clock.setTimeout(() => void metrics.load(() => this.snapshot()), METRICS_LOAD_MS);
+    this.dependencies.clock.setTimeout(
+      () => void metrics.load(() => this.snapshot()),
+      METRICS_LOAD_MS,
+    );
     this.scheduleTick();
     log.write('started', 'state', { ...settings.listen });
   }
 
-  /** Stops taking requests, ends those that run, then calls back. */
+  /** Shuts down gracefully; calls `onStopped` when no request runs or the grace period ends. */
   stop(onStopped: () => void): void {
-    if (this.plannedStop.isRequested) {
+    if (this.shutdown.hasBegun) {
       return;
     }
     this.onStopped = onStopped;
     this.listener.announceClose();
-    this.parts.log.write('stopping', 'state', { active: this.requests.countActive });
-    this.plannedStop.request();
+    this.dependencies.log.write('stopping', 'state', { active: this.requests.countActive });
+    this.shutdown.begin();
   }
 
-  private end(): void {
+  private finishStop(): void {
     this.hasEnded = true;
     this.readiness.close();
-    this.parts.metrics.close();
+    this.dependencies.metrics.close();
     this.sender.close();
     this.cluster.stop();
     this.crashes.stop();
@@ -304,15 +309,18 @@
     this.paths.stop();
     this.links.stop();
     const connections = Object.fromEntries(this.sender.connectionsOpened);
-    this.parts.log.write('stopped', 'state', { active: this.requests.countActive, connections });
-    this.parts.log.flush();
+    this.dependencies.log.write('stopped', 'state', {
+      active: this.requests.countActive,
+      connections,
+    });
+    this.dependencies.log.flush();
     this.onStopped?.();
   }
 
   private scheduleTick(): void {
-    const dueAtMs = this.parts.clock.now() + PEER_TICK_MS;
-    this.parts.clock.setTimeout(() => {
-      this.loopDelayMs = Math.max(this.loopDelayMs, this.parts.clock.now() - dueAtMs);
+    const dueAtMs = this.dependencies.clock.now() + PEER_TICK_MS;
+    this.dependencies.clock.setTimeout(() => {
+      this.loopDelayMs = Math.max(this.loopDelayMs, this.dependencies.clock.now() - dueAtMs);
       if (!this.hasEnded) {
         this.tick();
         this.scheduleTick();
@@ -323,7 +331,7 @@
   private tick(): void {
     this.ticks += 1;
     this.paths.tick();
-    this.dispatcher.tick(this.parts.clock.now());
+    this.dispatcher.tick(this.dependencies.clock.now());
     this.links.tellAlive();
     this.cluster.tick();
     this.quotas.tick();
@@ -333,52 +341,52 @@
     if (this.ticks % AGENT_REACH_TICKS === 0) {
       this.links.tellReach();
     }
-    if (this.ticks % UPKEEP_TICKS === 0) {
+    if (this.ticks % MAINTENANCE_TICKS === 0) {
       this.crashes.requests.forgetOld();
-      this.statements.forgetOld();
-      const dropped = this.parts.log.reportDropped();
-      this.parts.metrics.record(({ linesDropped }) => linesDropped.inc(dropped));
+      this.statements.removeStale();
+      const dropped = this.dependencies.log.reportDropped();
+      this.dependencies.metrics.record(({ linesDropped }) => linesDropped.inc(dropped));
     }
   }
 
-  /** Takes in records that are news. */
-  private takeRecords(news: readonly RecordNews[], source: RecordsSource): void {
-    if (news.length === 0) {
+  /** Applies new records in their order of effect. */
+  private applyRecords(records: readonly RecordNews[], source: RecordsSource): void {
+    if (records.length === 0) {
       return;
     }
-    const { adapter } = this.parts;
-    const decoded = news
+    const { adapter } = this.dependencies;
+    const decoded = records
       .map((record) => ({ record, decoded: adapter.decode(record) }))
       .filter(({ record, decoded: { kind } }) => record.isUnchanged !== true || isOwnRecord(kind));
-    for (const each of inOrderOfEffect(decoded)) {
-      this.takeRecord(each.record, each.decoded, source);
+    for (const update of inOrderOfEffect(decoded)) {
+      this.applyRecord(update.record, update.decoded, source);
     }
     if (this.configuration.table !== undefined) {
       this.directory.noteListed();
     }
-    this.paths.followBackends();
+    this.paths.syncLinks();
   }
 
-  private takeRecord(record: RecordNews, decoded: DecodedRecord, source: RecordsSource): void {
-    const { log } = this.parts;
+  private applyRecord(record: RecordNews, decoded: DecodedRecord, source: RecordsSource): void {
+    const { log } = this.dependencies;
     if (decoded.kind === 'configuration') {
-      this.install(decoded.configuration, record, source);
+      this.installConfiguration(decoded.configuration, record, source);
     } else if (decoded.kind === 'backend') {
-      this.backends.take(decoded, record);
+      this.backends.applyRecord(decoded, record);
     } else if (decoded.kind === 'evacuation') {
       this.evacuations.take(decoded.change);
     } else if (decoded.kind === 'rollout-order') {
-      this.rollouts.takeOrder(decoded.order);
+      this.rollouts.applyOrder(decoded.order);
     } else if (decoded.kind === 'rollout-removed') {
-      this.rollouts.takeRemoval(decoded.service, decoded.position);
+      this.rollouts.removeOrder(decoded.service, decoded.position);
     } else if (decoded.kind === 'rollout-status-removed') {
-      this.rollouts.takeStatusRemoval(decoded.service, decoded.position);
+      this.rollouts.removeStatus(decoded.service, decoded.position);
     } else if (decoded.kind === 'rollout-status') {
-      this.rollouts.takeStatus(decoded.status);
+      this.rollouts.applyStatus(decoded.status);
     } else if (decoded.kind === 'quota-members') {
       this.quotas.takeRecord(decoded.record);
     } else if (decoded.kind === 'crash-record') {
-      this.crashes.takeRecord(decoded.record);
+      this.crashes.applyRecord(decoded.record);
     } else if (decoded.kind === 'invalid') {
       const { problem, isConfiguration } = decoded;
       const event = isConfiguration ? 'configuration-refused' : 'record-refused';
@@ -387,57 +395,59 @@
     }
   }
 
-  private noteEnded(backendId: string, evidence: EndingEvidence): void {
+  private handleBackendEnded(backendId: string, evidence: EndingEvidence): void {
     this.crashes.requests.noteEnded(backendId, evidence);
-    this.requests.noteBackendEnded(backendId, evidence);
+    this.requests.handleBackendEnded(backendId, evidence);
   }
 
-  /** A back end said something of itself that changes what may be sent there. */
-  private followCondition(backendId: string): void {
+  /** Applies a change of a backend's condition that affects what may be sent there. */
+  private applyCondition(backendId: string): void {
     const known = this.directory.find(backendId);
     if (known !== undefined) {
-      this.dispatcher.followCondition(known, this.parts.clock.now());
+      this.dispatcher.followCondition(known, this.dependencies.clock.now());
     }
   }
 
-  private noteReach(service: string, hasNear: boolean): void {
+  private logRegionReach(service: string, hasNear: boolean): void {
     const { region } = this.directory;
-    this.parts.log.write('region-reach', 'state', { service, region, hasNear });
+    this.dependencies.log.write('region-reach', 'state', { service, region, hasNear });
   }
 
-  private noteAvailability({ id, address }: Backend, availability: EngineAvailability): void {
-    this.parts.log.write('backend-availability', 'state', { backend: id, availability });
+  private handleAvailability({ id, address }: Backend, availability: EngineAvailability): void {
+    this.dependencies.log.write('backend-availability', 'state', { backend: id, availability });
     if (availability === 'closed') {
       this.sender.endResting(address);
     }
   }
 
-  private install(
+  private installConfiguration(
     configuration: RoutingConfiguration,
     { epoch, revision }: StorePosition,
     source: RecordsSource,
   ): void {
     const problem = findUnknownHome(configuration, this.places);
     if (problem !== undefined && this.configuration.version !== undefined) {
-      this.refuse(problem, { epoch, revision });
+      this.logRefusedConfiguration(problem, { epoch, revision });
       return;
     }
     if (!this.configuration.install(configuration)) {
       return;
     }
-    this.requests.followConfiguration();
+    this.requests.applyConfiguration();
     this.listener.applyLimits(configuration.limits);
     const { version } = configuration;
     for (const { name } of configuration.services) {
-      // Which services are engines is known only from now on.
+      // The configuration decides which services are engines, so assignments may change.
       this.directory.assign(name);
     }
     this.directory.reviewReplaced();
-    // Agents are told anew where waiting requests may be served.
-    this.dispatcher.tick(this.parts.clock.now());
+    // Sends agents the updated regions in which waiting requests may be served.
+    this.dispatcher.tick(this.dependencies.clock.now());
     this.requests.withdrawUnsent();
-    this.parts.metrics.record(({ configurationVersion }) => configurationVersion.set(version));
-    this.parts.log.write('configuration-installed', 'state', {
+    this.dependencies.metrics.record(({ configurationVersion }) =>
+      configurationVersion.set(version),
+    );
+    this.dependencies.log.write('configuration-installed', 'state', {
       version: configuration.version,
       epoch,
       revision,
@@ -448,39 +458,42 @@
     });
   }
 
-  private refuse(
+  private logRefusedConfiguration(
     { message, key, found, allowed }: InvalidHomesError,
     { epoch, revision }: StorePosition,
   ): void {
     const fields = { problem: message, key, found, allowed, epoch, revision };
-    this.parts.log.write('configuration-refused', 'state', fields);
+    this.dependencies.log.write('configuration-refused', 'state', fields);
   }
 
-  /** What the metrics show of the moment. */
+  /** Current values of the gauges. */
   private snapshot(): GatewaySnapshot {
-    const nowMs = this.parts.clock.now();
+    const nowMs = this.dependencies.clock.now();
     const { loopDelayMs } = this;
     this.loopDelayMs = 0;
     return {
       storeAgeMs: this.cluster.storeAgeMs,
       storeEpoch: this.cluster.records.epoch,
-      recordsKept: this.cluster.records.countKept(),
+      retainedRecords: this.cluster.records.countKept(),
       configurationAgeMs: this.configuration.ageMs,
       backends: countBackends(this.directory.list(), nowMs),
       conditions: listConditions(this.directory.list(), nowMs),
       evacuatedZones: this.evacuations.zones.count,
       repeatsLeft: this.requests.repeatsLeft(nowMs),
-      quotaUse: this.quotas.use,
-      quotaLevels: this.quotas.levels,
+      quotaUse: this.quotas.usageByTenant,
+      quotaLevels: this.quotas.levelsByTenant,
       waiting: this.dispatcher.waitingByService(),
       loopDelayMs,
-      suspectPaths: this.paths.countSuspect(),
+      suspectedPaths: this.paths.countSuspected(),
       crashingRequests: this.crashes.requests.count(),
     };
   }
 }
 
-/** Whether gateways write such a record themselves: the position that a write is to follow must be of the store's epoch. */
+/**
+ * Whether gateways write records of this kind: each write must name a position in the store's
+ * current epoch.
+ */
 function isOwnRecord(kind: DecodedRecord['kind']): boolean {
   return OWN_RECORD_KINDS.has(kind);
 }
--- a/src/gateway/gateway-rollouts.ts
+++ b/src/gateway/gateway-rollouts.ts
@@ -1,4 +1,4 @@
-/** Joins the roll-outs to a gateway: its back ends, its cluster, the adapter and the log. */
+/** Connects rollouts with a gateway's backends, cluster, adapter and log. */
 import type { StorePosition } from '../cluster/store-position.js';
 import type { Clock } from '../clock.js';
 import type { WeirvaleError } from '../request/errors.js';
@@ -9,9 +9,9 @@
 import type { BackendDirectory } from './dispatch/backend-directory.js';
 import type { GatewayAdapter } from './gateway-adapter.js';
 
-/** What a gateway's roll-outs are made from. */
-export interface GatewayRolloutsParts {
-  /** Differs after each start of the process. */
+/** Dependencies of `GatewayRollouts`. */
+export interface GatewayRolloutsDependencies {
+  /** Unique for each start of the process. */
   readonly incarnation: string;
   readonly directory: BackendDirectory;
   readonly adapter: Pick<GatewayAdapter, 'writeRolloutState'>;
@@ -21,52 +21,54 @@
   isEvacuated(zone: string): boolean;
 }
 
-/** A gateway's roll-outs. */
+/** The rollouts that this gateway takes part in. */
 export class GatewayRollouts {
   readonly rollouts: Rollouts;
 
-  constructor(private readonly parts: GatewayRolloutsParts) {
-    const { incarnation, adapter, clock } = parts;
+  constructor(private readonly dependencies: GatewayRolloutsDependencies) {
+    const { incarnation, adapter, clock } = dependencies;
     this.rollouts = new Rollouts(
       incarnation,
       {
         countReady: (service, targetVersion) => this.countReady(service, targetVersion),
-        countGateways: () => parts.countGateways(),
+        countGateways: () => dependencies.countGateways(),
         write: (order, state, follows) => adapter.writeRolloutState(order, state, follows),
-        onWritten: (order, state, failure) => this.noteWritten(order, state, failure),
+        onWritten: (order, state, failure) => this.logWrite(order, state, failure),
       },
       clock,
     );
   }
 
-  /** Takes in an order of the operators. */
-  takeOrder(order: RolloutOrder): void {
+  /** Applies an operator's rollout order. */
+  applyOrder(order: RolloutOrder): void {
     if (this.rollouts.takeOrder(order)) {
-      this.parts.log.write('rollout-ordered', 'state', { ...order });
+      this.dependencies.log.write('rollout-ordered', 'state', { ...order });
     }
   }
 
-  /** An order was removed: its roll-out ends. */
-  takeRemoval(service: string, position: StorePosition): void {
+  /** Ends the rollout whose order was removed. */
+  removeOrder(service: string, position: StorePosition): void {
     if (this.rollouts.takeRemoval(service, position)) {
-      this.parts.log.write('rollout-order-removed', 'state', { service, ...position });
+      this.dependencies.log.write('rollout-order-removed', 'state', { service, ...position });
     }
   }
 
-  /** The store holds no state of a roll-out. */
-  takeStatusRemoval(service: string, position: StorePosition): void {
+  /** Applies the removal of a rollout's status record. */
+  removeStatus(service: string, position: StorePosition): void {
     this.rollouts.takeStatusRemoval(service, position);
   }
 
-  /** Takes in what the store tells of a roll-out. */
-  takeStatus(status: RolloutStatus): void {
+  /** Applies a rollout's status record. */
+  applyStatus(status: RolloutStatus): void {
     this.rollouts.takeStatus(status);
-    this.parts.log.write('rollout-state', 'state', { ...status });
+    this.dependencies.log.write('rollout-state', 'state', { ...status });
   }
 
-  /** Back ends of evacuated zones bear nothing, of whatever version. */
+  /**
+   * Counts ready backends by version; those in evacuated zones take no traffic and do not count.
+   */
   private countReady(service: string, targetVersion: string): ReadyVersions {
-    const { directory, isEvacuated } = this.parts;
+    const { directory, isEvacuated } = this.dependencies;
     const ready = directory
       .ofService(service)
       .filter(({ backend, isReady }) => isReady && !isEvacuated(backend.zone));
@@ -74,13 +76,13 @@
     return { target, others: ready.length - target };
   }
 
-  private noteWritten(
+  private logWrite(
     { service, targetVersion }: RolloutOrder,
     state: RolloutState,
     failure: WeirvaleError | undefined,
   ): void {
     const event = failure === undefined ? 'rollout-written' : 'rollout-not-written';
     const reason = failure?.message;
-    this.parts.log.write(event, 'state', { service, targetVersion, state, reason });
+    this.dependencies.log.write(event, 'state', { service, targetVersion, state, reason });
   }
 }
--- a/src/gateway/gateway-settings.ts
+++ b/src/gateway/gateway-settings.ts
@@ -1,4 +1,4 @@
-/** Settings of a gateway and of a slot agent: every option with its unit and default. */
+/** Settings schema of gateways and slot agents, with the unit and default of each option. */
 import * as z from 'zod/mini';
 import type { Result } from '../result.js';
 import { readSettings } from '../settings-file.js';
@@ -6,7 +6,7 @@
 
 const MAX_NUMBER = 1_000_000_000;
 
-/** A number; an empty value, as a template leaves it for what a deployment does not name, is the default. */
+/** A number; an empty value means the default, as templates leave unset options empty. */
 function number(fallback: number) {
   const value = z.pipe(
     z.string().check(z.regex(/^(\d+(\.\d+)?)?$/, 'must be a number')),
@@ -34,7 +34,7 @@
   return z.pipe(z._default(z.string(), ''), z.transform(split));
 }
 
-/** Zones with their regions, as `zone:region`, separated by commas. */
+/** Parses a comma-separated list of `zone:region` pairs. */
 function zoneRegions() {
   const pairs = z._default(
     z.string().check(z.regex(/^\s*([^:,\s]+:[^:,\s]+\s*(,\s*|$))*$/, 'must be ZONE:REGION, ...')),
@@ -53,98 +53,99 @@
 
 const settingsSchema = z.object({
   process: z.object({
-    /** What this process does. */
+    /** Function of this process. */
     role: z.literal(['gateway', 'slot-agent']),
     /** Unique name of the process. */
     name: requiredText(),
     zone: requiredText(),
-    /** Region of the zone; empty where the deployment names none. */
+    /** Region of the zone; empty if the deployment has no regions. */
     region: z._default(z.string(), ''),
     /** IPv4 address that listeners bind to. */
     address: requiredText(),
   }),
   places: z.prefault(
     z.object({
-      /** Every zone with its region, as ZONE:REGION, separated by commas. */
+      /** Every zone with its region, as comma-separated ZONE:REGION pairs. */
       zones: zoneRegions(),
     }),
     {},
   ),
   listen: z.prefault(
     z.object({
-      /** Callers' interface, IP:PORT (gateway). */
+      /** Listener for callers, IP:PORT (gateway). */
       callers: address(),
-      /** Readiness, IP:PORT (gateway). */
+      /** Listener for readiness probes, IP:PORT (gateway). */
       readiness: address(),
-      /** Other gateways, IP:PORT (gateway). */
+      /** Listener for other gateways, IP:PORT (gateway). */
       peers: address(),
-      /** Port that agents listen on. */
+      /** Port that slot agents listen on. */
       slotAgentPort: number(7_600),
-      /** Port of the metrics; 0 for none. */
+      /** Port of the metrics endpoint; 0 disables it. */
       metricsPort: number(0),
     }),
     {},
   ),
   cluster: z.prefault(
     z.object({
-      /** Addresses of gateways to begin with, IP:PORT, separated by commas. */
+      /** Initial gateway addresses, as comma-separated IP:PORT. */
       seeds: list(),
-      /** The store, IP:PORT. */
+      /** Address of the store, IP:PORT. */
       store: address(),
-      /** Longest time for a call of the store beside its wait, in milliseconds. Default 1,500. */
+      /** Timeout of a store call beyond its long-poll wait, in milliseconds. Default 1,500. */
       storeTimeoutMs: number(1_500),
     }),
     {},
   ),
   engine: z.prefault(
     z.object({
-      /** The engine beside a slot agent, IP:PORT. */
+      /** Address of the engine on the machine of a slot agent, IP:PORT. */
       address: address(),
     }),
     {},
   ),
   limits: z.prefault(
     z.object({
-      /** Repeats allowed for each request of a service. Default 0.2. */
+      /** Retries allowed per request of a service. Default 0.2. */
       retryRatio: number(0.2),
-      /** Window of the retry limit, in seconds. Default 10. */
+      /** Window of the retry budget, in seconds. Default 10. */
       retryWindowS: number(10),
-      /** Repeats allowed in a window beside the ratio, over all gateways. Default 50. */
+      /** Retries allowed per window in addition to the ratio, over all gateways. Default 50. */
       retrySlack: number(50),
-      /** Share above a tenant's rate that is tolerated. Default 0.1. */
+      /** Tolerated excess over a tenant's rate, as a share of it. Default 0.1. */
       quotaOver: number(0.1),
-      /** Tokens above a tenant's rate and burst that are tolerated. Default 10,000. */
+      /** Tolerated tokens above a tenant's rate and burst. Default 10,000. */
       quotaSlack: number(10_000),
-      /** Window that a tenant's limit is counted in, in seconds. Default 8. */
+      /** Window over which a tenant's quota is measured, in seconds. Default 8. */
       quotaWindowS: number(8),
-      /** Time from the stop signal to the kill, in seconds. Default 8. */
+      /** Grace period from the stop signal to the kill, in seconds. Default 8. */
       stopGraceS: number(8),
       /**
-       * Times of the rate that a cold back end bears which all gateways together may send it in a second.
-       * Default 1: what its service names and no more.
+       * Factor on a service's cold-start rate that bounds the requests per second which all
+       * gateways together send to a cold backend. Default 1: exactly the rate that the service
+       * sets.
        */
       coldOver: number(1),
-      /** Requests in a second beside that. Default 0. */
+      /** Requests per second allowed in addition to that. Default 0. */
       coldSlack: number(0),
     }),
     {},
   ),
   log: z.prefault(
     z.object({
-      /** Most log lines a second. Default 200. */
+      /** Maximum log lines per second. Default 200. */
       linesPerS: number(200),
     }),
     {},
   ),
 });
 
-/** Settings of a gateway or slot agent, complete. */
+/** Complete settings of a gateway or slot agent. */
 export type GatewaySettings = z.infer<typeof settingsSchema>;
 
 /**
- * Reads settings; keys that are not known are ignored.
+ * Parses settings; unknown keys are ignored.
  *
- * @returns complete settings, or InvalidSettingsError with every fault and its line
+ * @returns complete settings, or InvalidSettingsError with every invalid value and its line
  */
 export function parseGatewaySettings(text: string): Result<GatewaySettings, InvalidSettingsError> {
   return readSettings(text, settingsSchema, (settings, at) => {
--- a/src/gateway/gateway-statements.ts
+++ b/src/gateway/gateway-statements.ts
@@ -1,4 +1,7 @@
-/** Joins what back ends say of themselves to a gateway: its peers, its choices, its log and its metrics. */
+/**
+ * Connects the conditions that backends report in response headers with a gateway's peers,
+ * dispatcher, log and metrics.
+ */
 import type { Clock, TimerHandle } from '../clock.js';
 import type {
   PeerHello,
@@ -20,106 +23,115 @@
 import { SendRightPools } from './statements/send-right-pools.js';
 import { rightName, SendRights } from './statements/send-rights.js';
 
-/** Who holds what is not divided among gateways, and the way to them. */
-export type SoleHolders = Pick<GatewayQuotas, 'soleHolderOf' | 'soleSinceMs' | 'sendTo'>;
+/** Finds the holder of a resource that is not divided among gateways, and sends messages to it. */
+export type SoleHolderDirectory = Pick<GatewayQuotas, 'soleHolderOf' | 'soleSinceMs' | 'sendTo'>;
 
-/** What a gateway's ear for back ends is made from. */
-export interface GatewayStatementsParts {
+/** Dependencies of the backend conditions of a gateway. */
+export interface GatewayConditionsDependencies {
   readonly settings: Pick<GatewaySettings, 'process'>;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly log: DecisionLog;
   readonly metrics: GatewayMetrics;
-  holders(): SoleHolders;
-  /** Gateways that are known, this one included. */
+  holders(): SoleHolderDirectory;
+  /** Number of known gateways, including this one. */
   countGateways(): number;
-  /** Tells every other gateway. */
+  /** Sends conditions to every other gateway. */
   tellPeers(conditions: readonly ToldCondition[]): void;
-  /** What may be sent to a back end changed. */
+  /** Called when a backend's condition, or a send permit for it, changes what may be sent there. */
   onChange(backendId: string): void;
-  /** Whether a back end is still known. */
+  /** Whether the backend is still in the directory. */
   isKnown(backendId: string): boolean;
 }
 
-/** Share by which a limit has to change for another line: back ends in need may name another one with each answer. */
-const LOGGED_CHANGE = 0.25;
-/** Time in which news are gathered before peers are told, in milliseconds. */
-const GATHER_MS = 50;
-
-/** What a gateway hears back ends say of themselves, and what follows from it. */
+/**
+ * Relative change of a rate limit that is logged: overloaded backends may report a new limit with
+ * each response.
+ */
+const MIN_LOGGED_LIMIT_CHANGE = 0.25;
+/** Time for which changes are batched before they are sent to peers, in milliseconds. */
+const BROADCAST_DELAY_MS = 50;
+
+/**
+ * Tracks backend-reported conditions (rate limit, rest, leaving) and enforces the rate limits by
+ * send permits.
+ */
 export class GatewayStatements {
   readonly conditions: BackendConditions;
   readonly rights: SendRights;
   private readonly pools: SendRightPools;
-  /** Limits as they were logged last, by back end. */
+  /** Last logged rate limit of each backend. */
   private readonly loggedLimits = new Map<string, number | undefined>();
-  /** Back ends of which peers are to be told. */
-  private readonly news = new Set<string>();
-  private newsTimer: TimerHandle | undefined;
+  /** Backends whose conditions are still to be sent to peers. */
+  private readonly changedBackends = new Set<string>();
+  private broadcastTimer: TimerHandle | undefined;
 
-  constructor(private readonly parts: GatewayStatementsParts) {
-    const { clock, random, settings } = parts;
-    const limitOf = (backendId: string) => sendLimitPerS(this.of(backendId));
+  constructor(private readonly dependencies: GatewayConditionsDependencies) {
+    const { clock, random, settings } = dependencies;
+    const limitOf = (backendId: string) => sendLimitPerS(this.conditionOf(backendId));
     this.conditions = new BackendConditions({
-      onChange: (backendId, condition, source) => this.noteChange(backendId, condition, source),
+      onChange: (backendId, condition, source) => this.handleChange(backendId, condition, source),
     });
     this.pools = new SendRightPools(
-      { limitOf, heldSinceMs: (backendId) => parts.holders().soleSinceMs(keyOf(backendId)) },
+      {
+        limitOf,
+        heldSinceMs: (backendId) => dependencies.holders().soleSinceMs(holderKeyOf(backendId)),
+      },
       clock,
     );
     this.rights = new SendRights(
       settings.process.name,
       {
         limitOf,
-        dealerOf: (backendId) => parts.holders().soleHolderOf(keyOf(backendId)),
+        dealerOf: (backendId) => dependencies.holders().soleHolderOf(holderKeyOf(backendId)),
         askSelf: (backendId, ask) => this.pools.ask(backendId, ask),
-        sendAsk: (dealer, { id, backendId, place: { tier, rankInTier } }) =>
-          parts.holders().sendTo(dealer, {
+        sendAsk: (holder, { id, backendId, place: { tier, rankInTier } }) =>
+          dependencies.holders().sendTo(holder, {
             kind: 'send-right-ask',
             id,
             backendId,
             place: { tier, rankInTier },
-            condition: this.of(backendId).tell(backendId, clock.now()),
+            condition: this.conditionOf(backendId).tell(backendId, clock.now()),
           }),
-        giveBack: (dealer, { id, backendId }) => this.giveBack(dealer, id, backendId),
-        countGateways: () => parts.countGateways(),
-        onRight: (backendId) => parts.onChange(backendId),
+        giveBack: (holder, { id, backendId }) => this.giveBack(holder, id, backendId),
+        countGateways: () => dependencies.countGateways(),
+        onRight: (backendId) => dependencies.onChange(backendId),
       },
       clock,
       random,
     );
   }
 
-  /** What the life of that name said of itself. */
-  of(backendId: string): BackendCondition {
-    return this.conditions.of(backendId, this.parts.clock.now());
+  /** Condition reported by a backend incarnation. */
+  conditionOf(backendId: string): BackendCondition {
+    return this.conditions.of(backendId, this.dependencies.clock.now());
   }
 
-  /** Takes in the head of an answer. */
-  hear({ backend, requestId, ...heard }: HeardAnswer): void {
-    const { metrics, log, clock } = this.parts;
-    for (const field of heard.statement.unreadable) {
+  /** Processes the head of a response. */
+  hear({ backend, requestId, ...head }: HeardAnswer): void {
+    const { metrics, log, clock } = this.dependencies;
+    for (const field of head.statement.unreadable) {
       metrics.record(({ statementsUnreadable }) => statementsUnreadable.inc({ field }));
     }
-    const { restMs } = heard.statement;
+    const { restMs } = head.statement;
     if (restMs !== undefined) {
       const fields = { backend: backend.id, request: requestId, restMs };
       log.write('backend-asks-rest', 'failure', fields);
     }
-    this.conditions.hear(backend.id, heard, clock.now());
+    this.conditions.hear(backend.id, head, clock.now());
   }
 
-  /** What a gateway that connects is told. */
+  /** All current conditions, as sent to a peer that connects. */
   tell(): readonly ToldCondition[] {
-    return this.conditions.tell(this.parts.clock.now());
+    return this.conditions.tell(this.dependencies.clock.now());
   }
 
-  /** Takes in what a peer tells. */
+  /** Merges the conditions that a peer sent. */
   hearPeer(conditions: readonly ToldCondition[]): void {
-    this.conditions.merge(conditions, this.parts.clock.now());
+    this.conditions.merge(conditions, this.dependencies.clock.now());
   }
 
-  /** A peer asks for a right that this gateway deals out. */
+  /** Answers a peer's request for a send permit from a pool of this gateway. */
   answer(
     { incarnation }: PeerHello,
     { id, backendId, place, condition }: PeerSendRightAsk,
@@ -132,25 +144,28 @@
     this.pools.ask(backendId, { name: rightName(incarnation, id), place, answer });
   }
 
-  /** A gateway that was asked answers. */
+  /** Processes another gateway's answer to a permit request. */
   receiveAnswer({ id, isGranted }: PeerSendRightAnswer): void {
     this.rights.receive(id, isGranted);
   }
 
-  /** A peer gives back what it was granted. */
+  /** Returns a peer's unused permit to its pool. */
   takeBack({ incarnation }: PeerHello, { id, backendId }: PeerSendRightReturn): void {
     this.pools.giveBack(backendId, rightName(incarnation, id));
   }
 
-  /** Looks at what others hold now; to be called each tick. */
+  /**
+   * Answers waiting permit requests and drops pools that this gateway no longer holds; called on
+   * each tick.
+   */
   tick(): void {
     this.pools.review();
   }
 
-  /** Forgets what is long gone; to be called now and then. */
-  forgetOld(): void {
+  /** Removes the state of backends that are gone or no longer limited; called periodically. */
+  removeStale(): void {
     this.rights.forgetFree();
-    this.conditions.forgetOld((id) => this.parts.isKnown(id), this.parts.clock.now());
+    this.conditions.forgetOld((id) => this.dependencies.isKnown(id), this.dependencies.clock.now());
     for (const [backendId, limitPerS] of this.loggedLimits) {
       if (limitPerS === undefined) {
         this.loggedLimits.delete(backendId);
@@ -158,35 +173,40 @@
     }
   }
 
-  private giveBack(dealer: string, id: number, backendId: string): void {
-    const { name } = this.parts.settings.process;
-    if (dealer === name) {
+  private giveBack(holder: string, id: number, backendId: string): void {
+    const { name } = this.dependencies.settings.process;
+    if (holder === name) {
       this.pools.giveBack(backendId, rightName(name, id));
       return;
     }
     const message: PeerMessage = { kind: 'send-right-return', id, backendId };
-    this.parts.holders().sendTo(dealer, message);
+    this.dependencies.holders().sendTo(holder, message);
   }
 
-  private noteChange(
+  private handleChange(
     backendId: string,
     condition: BackendCondition,
     source: ConditionSource,
   ): void {
     this.logChange(backendId, condition, source);
     if (source === 'answer') {
-      this.news.add(backendId);
-      this.newsTimer ??= this.parts.clock.setTimeout(() => this.tellNews(), GATHER_MS);
+      this.changedBackends.add(backendId);
+      this.broadcastTimer ??= this.dependencies.clock.setTimeout(
+        () => this.broadcastChanges(),
+        BROADCAST_DELAY_MS,
+      );
     }
-    this.parts.onChange(backendId);
+    this.dependencies.onChange(backendId);
   }
 
-  private tellNews(): void {
-    const nowMs = this.parts.clock.now();
-    const told = [...this.news].flatMap((id) => this.of(id).tell(id, nowMs) ?? []);
-    this.newsTimer = undefined;
-    this.news.clear();
-    this.parts.tellPeers(told);
+  private broadcastChanges(): void {
+    const nowMs = this.dependencies.clock.now();
+    const conditions = [...this.changedBackends].flatMap(
+      (id) => this.conditionOf(id).tell(id, nowMs) ?? [],
+    );
+    this.broadcastTimer = undefined;
+    this.changedBackends.clear();
+    this.dependencies.tellPeers(conditions);
   }
 
   private logChange(backendId: string, condition: BackendCondition, source: ConditionSource): void {
@@ -195,13 +215,13 @@
     const isSameLimit =
       limitPerS !== undefined &&
       logged !== undefined &&
-      Math.abs(limitPerS - logged) <= logged * LOGGED_CHANGE;
-    const restLeftMs = restUntilMs - this.parts.clock.now();
+      Math.abs(limitPerS - logged) <= logged * MIN_LOGGED_LIMIT_CHANGE;
+    const restLeftMs = restUntilMs - this.dependencies.clock.now();
     if (isSameLimit && !isLeaving && restLeftMs <= 0) {
       return;
     }
     this.loggedLimits.set(backendId, limitPerS);
-    this.parts.log.write('backend-condition', 'state', {
+    this.dependencies.log.write('backend-condition', 'state', {
       backend: backendId,
       source,
       limitPerS,
@@ -211,7 +231,7 @@
   }
 }
 
-/** What the holder of a back end's rights is found by. */
-function keyOf(backendId: string): string {
+/** Key by which the gateway that grants a backend's send permits is found. */
+function holderKeyOf(backendId: string): string {
   return `send/${backendId}`;
 }
--- a/src/gateway/homes/home-refusal.ts
+++ b/src/gateway/homes/home-refusal.ts
@@ -1,14 +1,14 @@
-/** Query: whether the homes of a request leave no back end that could ever serve it as things stand. */
+/** Determines whether a request's allowed regions exclude every backend that could serve it. */
 import type { AllowedRegions } from '../../routing/backend-restriction.js';
 
-/** Why the homes of a request leave no back end. */
+/** Why the allowed regions of a request leave no backend. */
 export type HomeRefusalReason =
-  /** Its route and its tenant have no region in common. */
+  /** Its route and its tenant have no allowed region in common. */
   | 'no-common-home'
-  /** No back end of its service stands in its regions, or operators keep requests from all that do. */
+  /** Its service has no backend in the allowed regions, or operators excluded all of them. */
   | 'no-backend-at-home';
 
-/** Why a request is refused for its homes; undefined where it is not. */
+/** Returns why a request's allowed regions cause a refusal; undefined if they do not. */
 export function homeRefusalOf(
   allowedRegions: AllowedRegions,
   hasCandidates: () => boolean,
@@ -22,12 +22,12 @@
   return hasCandidates() ? undefined : 'no-backend-at-home';
 }
 
-const REASONS: ReadonlySet<string> = new Set<HomeRefusalReason>([
+const REGION_REFUSAL_REASONS: ReadonlySet<string> = new Set<HomeRefusalReason>([
   'no-common-home',
   'no-backend-at-home',
 ]);
 
-/** Whether a request ended for its homes. */
+/** Whether a request was refused because of its allowed regions. */
 export function isHomeRefusal(reason: string): reason is HomeRefusalReason {
-  return REASONS.has(reason);
+  return REGION_REFUSAL_REASONS.has(reason);
 }
--- a/src/gateway/homes/home-report.ts
+++ b/src/gateway/homes/home-report.ts
@@ -1,46 +1,52 @@
-/** Query: for the log, which homes a request had, and what kept it from which back end. */
+/**
+ * Builds the log fields with a request's allowed regions and the backends that were excluded for
+ * it.
+ */
 import type { RestrictionReason } from '../../routing/backend-restriction.js';
 import type { KnownBackend } from '../dispatch/known-backend.js';
 import type { RequestHomes } from './request-homes.js';
 
-/** Whose regions keep a request from a back end. */
-export type HomeNamer = 'route' | 'tenant';
+/** The configuration entry that restricts the regions of a request. */
+export type RegionSource = 'route' | 'tenant';
 
-/** One back end that the request was not sent to. */
+/** A backend that was excluded for the request. */
 export interface KeptBackend {
   readonly backend: string;
   readonly zone: string;
-  /** Region of the zone; undefined for one that the settings do not hold. */
+  /** Region of the zone; undefined if the settings do not name the zone. */
   readonly region: string | undefined;
   readonly reason: RestrictionReason | 'not-ready';
-  /** Whose regions leave it out; empty where homes are not the reason. */
-  readonly by: readonly HomeNamer[];
+  /** Entries whose allowed regions exclude it; empty if the reason is another one. */
+  readonly by: readonly RegionSource[];
 }
 
-/** The homes of one request in its log line. */
+/** Log fields of a request about its allowed regions. */
 export interface HomeReport {
-  /** Regions that its route and its tenant name; one that names none is missing. */
-  readonly homes?: Partial<Record<HomeNamer, readonly string[]>>;
-  /** Some back ends that it was kept from, those at home first. */
+  /** Allowed regions of its route and its tenant; an entry without a restriction is omitted. */
+  readonly homes?: Partial<Record<RegionSource, readonly string[]>>;
+  /** Up to `MAX_EXCLUDED` excluded backends, those in allowed regions first. */
   readonly kept?: readonly KeptBackend[];
-  /** How many more there are. */
+  /** Number of excluded backends beyond that. */
   readonly keptMore?: number;
 }
 
-/** What a report asks. */
-export interface HomeReportPorts {
-  /** The back ends of the request's service. */
+/** Lookups that a report needs. */
+export interface RegionReportPorts {
+  /** Backends of the request's service. */
   readonly backends: readonly KnownBackend[];
   regionOf(zone: string): string | undefined;
-  /** Why operators keep the request from a back end. */
+  /** Why the request may not be sent to a backend; undefined if it may. */
   restriction(known: KnownBackend): RestrictionReason | undefined;
 }
 
-/** Back ends that a line names at most: enough to see a home with its reasons, short enough for any fleet. */
-const MAX_KEPT = 8;
+/**
+ * Maximum number of listed backends: enough to diagnose one region, while log entries of large
+ * fleets stay short.
+ */
+const MAX_EXCLUDED = 8;
 
-/** The homes that a request has; empty where it has none. */
-export function reportHomes({ routeRegions, tenantRegions }: RequestHomes): HomeReport {
+/** Reports the allowed regions of a request; empty if it is not restricted. */
+export function reportRegions({ routeRegions, tenantRegions }: RequestHomes): HomeReport {
   if (routeRegions === undefined && tenantRegions === undefined) {
     return {};
   }
@@ -52,27 +58,29 @@
   };
 }
 
-/** The same with the back ends that the request was kept from; empty where it has no homes. */
-export function reportKept(request: RequestHomes, ports: HomeReportPorts): HomeReport {
+/**
+ * Reports the allowed regions and the excluded backends; empty if the request is not restricted.
+ */
+export function reportExcluded(request: RequestHomes, ports: RegionReportPorts): HomeReport {
   if (request.allowed === undefined) {
     return {};
   }
-  const kept = ports.backends.flatMap((known) => keptBackend(known, request, ports) ?? []);
-  const nearFirst = [
-    ...kept.filter(({ reason }) => reason !== 'outside-home'),
-    ...kept.filter(({ reason }) => reason === 'outside-home'),
+  const excluded = ports.backends.flatMap((known) => excludedBackend(known, request, ports) ?? []);
+  const inRegionFirst = [
+    ...excluded.filter(({ reason }) => reason !== 'outside-home'),
+    ...excluded.filter(({ reason }) => reason === 'outside-home'),
   ];
   return {
-    ...reportHomes(request),
-    kept: nearFirst.slice(0, MAX_KEPT),
-    keptMore: Math.max(0, kept.length - MAX_KEPT),
+    ...reportRegions(request),
+    kept: inRegionFirst.slice(0, MAX_EXCLUDED),
+    keptMore: Math.max(0, excluded.length - MAX_EXCLUDED),
   };
 }
 
-function keptBackend(
+function excludedBackend(
   known: KnownBackend,
   request: RequestHomes,
-  ports: HomeReportPorts,
+  ports: RegionReportPorts,
 ): KeptBackend | undefined {
   const { id, zone } = known.backend;
   const reason = ports.restriction(known) ?? (known.isReady ? undefined : 'not-ready');
@@ -80,14 +88,14 @@
     return undefined;
   }
   const region = ports.regionOf(zone);
-  const by = reason === 'outside-home' ? namersWithout(region, request) : [];
+  const by = reason === 'outside-home' ? sourcesExcluding(region, request) : [];
   return { backend: id, zone, region, reason, by };
 }
 
-function namersWithout(region: string | undefined, request: RequestHomes): HomeNamer[] {
+function sourcesExcluding(region: string | undefined, request: RequestHomes): RegionSource[] {
   const lists = { route: request.routeRegions, tenant: request.tenantRegions };
-  return (['route', 'tenant'] as const).filter((namer) => {
-    const regions = lists[namer];
+  return (['route', 'tenant'] as const).filter((source) => {
+    const regions = lists[source];
     return regions !== undefined && (region === undefined || !regions.has(region));
   });
 }
--- a/src/gateway/homes/request-homes.ts
+++ b/src/gateway/homes/request-homes.ts
@@ -1,81 +1,84 @@
 /**
- * The regions in which one request may be served, as the configuration in force says at the moment.
+ * Tracks the regions in which one request may be served, following the active configuration.
  *
- * A configuration that comes into force acts on requests that were taken before it: on those that wait, on
- * further tries and on streams that are resumed. A route or tenant that it no longer holds keeps the regions
- * that every configuration since the request was taken allowed.
+ * A new configuration also applies to requests that were admitted before it: to waiting requests,
+ * retries and resumed streams. If it no longer contains the request's route or tenant, that entry
+ * keeps the regions that every configuration since the admission allowed.
  */
 import type { AcceptedRequest } from '../attempt/accepted-request.js';
 import type { AllowedRegions } from '../../routing/backend-restriction.js';
 import { narrow } from '../../routing/named-homes.js';
 import type { HomeOwner, NamedHome, NamedHomes } from '../../routing/named-homes.js';
 
-/** The regions of one name over the life of a request. */
+/** Allowed regions of one route or tenant over the lifetime of a request. */
 interface TrackedRegions {
-  /** What binds now. */
+  /** Regions that apply now. */
   readonly current: AllowedRegions;
-  /** What every configuration that held the name allowed. */
+  /** Intersection over all configurations that contained the entry. */
   readonly narrowest: AllowedRegions;
 }
 
 const ANYWHERE: TrackedRegions = { current: undefined, narrowest: undefined };
 
-/** The regions in which one request may be served. */
+/** The allowed regions of one request. */
 export class RequestHomes {
   private ofRoute = ANYWHERE;
   private ofTenant = ANYWHERE;
-  private both: AllowedRegions;
-  private seen: NamedHomes | undefined;
+  private intersection: AllowedRegions;
+  private lastApplied: NamedHomes | undefined;
 
   constructor(
-    /** Who may name them. */
+    /** Route and tenant whose entries restrict the regions. */
     readonly owner: HomeOwner,
-    /** The homes of the configuration in force. */
-    private readonly inForce: () => NamedHomes | undefined,
+    /** Returns the allowed regions of the active configuration. */
+    private readonly activeRegions: () => NamedHomes | undefined,
   ) {
     this.refresh();
   }
 
-  /** Regions that its route and its tenant both allow; undefined for any. */
+  /** Regions that both the route and the tenant allow; undefined if unrestricted. */
   get allowed(): AllowedRegions {
     this.refresh();
-    return this.both;
+    return this.intersection;
   }
 
-  /** Regions that the route allows by itself; undefined for any. */
+  /** Regions that the route allows; undefined if unrestricted. */
   get routeRegions(): AllowedRegions {
     this.refresh();
     return this.ofRoute.current;
   }
 
-  /** Regions that the tenant allows by itself; undefined for any. */
+  /** Regions that the tenant allows; undefined if unrestricted. */
   get tenantRegions(): AllowedRegions {
     this.refresh();
     return this.ofTenant.current;
   }
 
-  /** Takes in the configuration in force; to be called for each one, so that none is passed over. */
+  /** Applies the active configuration; must be called for each new one, so that none is skipped. */
   refresh(): void {
-    const homes = this.inForce();
-    if (homes === undefined || homes === this.seen) {
+    const active = this.activeRegions();
+    if (active === undefined || active === this.lastApplied) {
       return;
     }
-    this.seen = homes;
+    this.lastApplied = active;
     const { route, tenant } = this.owner;
-    this.ofRoute = track(this.ofRoute, homes.ofRoute(route));
-    this.ofTenant = track(this.ofTenant, tenant === undefined ? undefined : homes.ofTenant(tenant));
-    this.both = narrow(this.ofRoute.current, this.ofTenant.current);
+    this.ofRoute = track(this.ofRoute, active.ofRoute(route));
+    this.ofTenant = track(
+      this.ofTenant,
+      tenant === undefined ? undefined : active.ofTenant(tenant),
+    );
+    this.intersection = narrow(this.ofRoute.current, this.ofTenant.current);
   }
 }
 
-/** The request with homes that follow the configuration in force. */
-export function followHomes(request: AcceptedRequest, homes: RequestHomes): AcceptedRequest {
+/** Returns the request with allowed regions that follow the active configuration. */
+export function followHomes(request: AcceptedRequest, regions: RequestHomes): AcceptedRequest {
   return {
     ...request,
     get allowedRegions() {
-      return homes.allowed;
+      return regions.allowed;
     },
-    homeOwner: homes.owner,
+    homeOwner: regions.owner,
   };
 }
 
--- a/src/gateway/metrics/gateway-gauges.ts
+++ b/src/gateway/metrics/gateway-gauges.ts
@@ -1,18 +1,19 @@
-/** Gauges of a gateway that are read only when the metrics are asked for. */
+/** Gauges of a gateway whose values are collected on each scrape. */
 import { readdirSync } from 'node:fs';
 import { Gauge } from 'prom-client';
 import type { Registry } from 'prom-client';
 import type { GatewaySnapshot } from './gateway-snapshot.js';
 
-/** Where the system lists the descriptors that are open in this process. */
+/** Directory that lists the open file descriptors of this process. */
 const OPEN_DESCRIPTORS = '/proc/self/fd';
 const MS_PER_S = 1_000;
 
-/** Registers the gauges; `read` is called once each time that they are asked for. */
+/** Registers the gauges; `read` is called once per scrape. */
 export function registerGauges(registry: Registry, read: () => GatewaySnapshot): void {
   let snapshot: GatewaySnapshot | undefined;
   const current = () => {
-    // All gauges of one reading show the same moment; it is over when the loop turns.
+    // All gauges of one scrape use the same snapshot, which is discarded in the next event loop
+    // iteration.
     if (snapshot === undefined) {
       snapshot = read();
       setImmediate(() => (snapshot = undefined));
@@ -53,7 +54,7 @@
   plain(
     'weirvale_store_records_kept',
     'Records that the store came back without and that are kept for now',
-    () => current().recordsKept,
+    () => current().retainedRecords,
   );
   plain('weirvale_configuration_age_seconds', 'Time since the configuration came into force', () =>
     inSeconds(current().configurationAgeMs),
@@ -71,7 +72,7 @@
   plain(
     'weirvale_suspect_paths',
     'Back ends whose paths from here are believed to be cut',
-    () => current().suspectPaths,
+    () => current().suspectedPaths,
   );
   byName(
     'weirvale_crashing_requests',
--- a/src/gateway/metrics/gateway-metrics.ts
+++ b/src/gateway/metrics/gateway-metrics.ts
@@ -1,18 +1,21 @@
-/** Counters and histograms of a gateway, served as text. */
+/** Metrics endpoint of a gateway. */
 import { MetricsEndpoint } from '../../telemetry/metrics-endpoint.js';
 import type { GatewaySnapshot } from './gateway-snapshot.js';
 import type { MetricInstruments } from './metric-instruments.js';
 import type { AcceptedRequest } from '../attempt/accepted-request.js';
 import type { RequestEnd } from '../attempt/request-model.js';
 
-/** Counters and histograms of a gateway. */
+/** Records the metrics of a gateway and serves them as text. */
 export class GatewayMetrics extends MetricsEndpoint<MetricInstruments> {
   /** Records how a request ended. */
   recordEnd(request: AcceptedRequest, end: RequestEnd): void {
     this.record((instruments) => instruments.recordEnd(request, end));
   }
 
-  /** Loads the library and records what was kept; `readSnapshot` is asked for each reading. */
+  /**
+   * Loads the metrics library and replays buffered records; `readSnapshot` is called once per
+   * scrape.
+   */
   async load(readSnapshot: () => GatewaySnapshot): Promise<void> {
     const loaded = await import('./metric-instruments.js');
     this.use(new loaded.MetricInstruments(readSnapshot));
--- a/src/gateway/metrics/gateway-snapshot.ts
+++ b/src/gateway/metrics/gateway-snapshot.ts
@@ -1,72 +1,83 @@
-/** What a gateway believes at the moment, as its metrics show it. */
+/** The current state of a gateway, as exported in its metrics. */
 import type { KnownBackend } from '../dispatch/known-backend.js';
 
 const MS_PER_S = 1_000;
 
-/** State that a back end is believed to be in; an ejected one is listed as ready but left alone. */
-export type BelievedState = 'ready' | 'draining' | 'ejected' | 'gone';
+/**
+ * State of a backend as observed by this gateway; an ejected one is listed as ready but gets no
+ * requests.
+ */
+export type ObservedState = 'ready' | 'draining' | 'ejected' | 'gone';
 
-/** Back ends of a service that are believed to be in one state. */
+/** Number of a service's backends in one state. */
 export interface BackendCount {
   readonly service: string;
-  readonly state: BelievedState;
+  readonly state: ObservedState;
   readonly count: number;
 }
 
-/** What a back end said of itself: a limit in requests a second, a rest in seconds that are left, or that it leaves (1). */
-export interface StatedCondition {
+/**
+ * A condition that a backend reported: rate limit in requests per second, remaining rest in
+ * seconds, or leaving (1).
+ */
+export interface ReportedCondition {
   readonly backend: string;
   readonly condition: 'limited' | 'leaving' | 'resting';
   readonly value: number;
 }
 
-/** What a gateway believes at the moment; times in milliseconds, undefined where nothing is known. */
+/** The current state of a gateway; times in milliseconds, undefined if unknown. */
 export interface GatewaySnapshot {
   readonly storeAgeMs: number | undefined;
-  /** The newest epoch of the store that is known; `NO_EPOCH` where it counts none. */
+  /** Newest known epoch of the store; `NO_EPOCH` if the store has no epochs. */
   readonly storeEpoch: number;
-  /** Records that the store, back from a copy, does not show as they are known, and that are kept for now. */
-  readonly recordsKept: number;
+  /**
+   * Records that a store restored from a backup lacks or shows in an older version, and that are
+   * kept for now.
+   */
+  readonly retainedRecords: number;
   readonly configurationAgeMs: number | undefined;
   readonly backends: readonly BackendCount[];
-  /** What back ends said of themselves and still holds. */
-  readonly conditions: readonly StatedCondition[];
-  /** Zones that operators evacuated. */
+  /** Conditions that backends reported and that still apply. */
+  readonly conditions: readonly ReportedCondition[];
+  /** Number of zones that operators evacuated. */
   readonly evacuatedZones: number;
-  /** Repeats that the retry budget still allows, by service. */
+  /** Retries that the retry budget still allows, by service. */
   readonly repeatsLeft: ReadonlyMap<string, number>;
-  /** What is in the pools of tenants' quotas that this gateway holds, by tenant. */
+  /** Fill levels of the quota pools that this gateway holds, by tenant. */
   readonly quotaLevels: ReadonlyMap<string, number>;
-  /** Tokens of quotas that this gateway let pass since it started, by tenant. */
+  /** Quota tokens that this gateway has charged since its start, by tenant. */
   readonly quotaUse: ReadonlyMap<string, number>;
-  /** Requests that wait for a back end, by service. */
+  /** Requests that wait for a backend, by service. */
   readonly waiting: ReadonlyMap<string, number>;
-  /** Longest delay of the event loop since this was asked last. */
+  /** Longest event loop delay since the last snapshot. */
   readonly loopDelayMs: number;
-  /** Back ends whose paths from here are believed to be cut. */
-  readonly suspectPaths: number;
-  /** Requests that are refused since they crash back ends, and those that have done so less often. */
+  /** Backends whose network paths from this gateway are suspected to be cut. */
+  readonly suspectedPaths: number;
+  /**
+   * Requests that are refused because they crash backends, and suspected ones with fewer crashes.
+   */
   readonly crashingRequests: { readonly refused: number; readonly suspected: number };
 }
 
-/** Counts back ends by service and believed state. */
+/** Counts backends by service and observed state. */
 export function countBackends(backends: readonly KnownBackend[], nowMs: number): BackendCount[] {
   const counts = new Map<string, BackendCount>();
   for (const known of backends) {
     const { service } = known.backend;
-    const state = believedState(known, nowMs);
+    const state = observedState(known, nowMs);
     const key = `${service} ${state}`;
     counts.set(key, { service, state, count: (counts.get(key)?.count ?? 0) + 1 });
   }
   return [...counts.values()];
 }
 
-/** What back ends said of themselves and still holds. */
+/** Lists the conditions that backends reported and that still apply. */
 export function listConditions(
   backends: readonly KnownBackend[],
   nowMs: number,
-): StatedCondition[] {
-  return backends.flatMap(({ backend: { id: backend }, condition }): StatedCondition[] => {
+): ReportedCondition[] {
+  return backends.flatMap(({ backend: { id: backend }, condition }): ReportedCondition[] => {
     const { limitPerS, isLeaving, restUntilMs } = condition;
     const restLeftS = Math.max(0, restUntilMs - nowMs) / MS_PER_S;
     return [
@@ -79,7 +90,7 @@
   });
 }
 
-function believedState(known: KnownBackend, nowMs: number): BelievedState {
+function observedState(known: KnownBackend, nowMs: number): ObservedState {
   if (!known.isCurrent) {
     return 'gone';
   }
--- a/src/gateway/metrics/metric-instruments.ts
+++ b/src/gateway/metrics/metric-instruments.ts
@@ -1,4 +1,4 @@
-/** The counters, gauges and histograms of a gateway. */
+/** Definitions of a gateway's counters, gauges and histograms. */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 
 import { registerGauges } from './gateway-gauges.js';
@@ -9,7 +9,7 @@
 const MS_PER_S = 1_000;
 const LATENCY_BUCKETS_S = [0.01, 0.03, 0.1, 0.2, 0.4, 0.6, 1, 2, 4, 8, 16];
 
-/** The counters, gauges and histograms of a gateway. */
+/** The metrics registry of a gateway and its instruments. */
 export class MetricInstruments {
   readonly registry = new Registry();
   readonly requests = new Counter({
--- a/src/gateway/news-order.ts
+++ b/src/gateway/news-order.ts
@@ -1,17 +1,18 @@
-/** Query: the order in which news of the store that came together is taken in. */
+/** Determines the order in which store updates that arrive together are applied. */
 import type { DecodedRecord } from '../routing/decoded-record.js';
 
-/** What a piece of news is sorted by. */
+/** The part of an update that determines its order. */
 export interface DecodedNews {
   readonly decoded: Pick<DecodedRecord, 'kind'>;
 }
 
 /**
- * Evacuations come first and back ends last, each kind in the order in which it came: a back end that is taken
- * in serves at once what waits, and has to meet every order and home that came along with it.
+ * Sorts evacuations first and backends last, keeping the order of arrival within each kind. A
+ * backend starts to serve waiting requests as soon as it is applied, so the orders and allowed
+ * regions that arrived with it must apply before.
  */
-export function inOrderOfEffect<News extends DecodedNews>(news: readonly News[]): News[] {
-  return [...news].sort((left, right) => rankOf(left) - rankOf(right));
+export function inOrderOfEffect<Update extends DecodedNews>(updates: readonly Update[]): Update[] {
+  return [...updates].sort((left, right) => rankOf(left) - rankOf(right));
 }
 
 function rankOf({ decoded: { kind } }: DecodedNews): number {
--- a/src/gateway/own-records.ts
+++ b/src/gateway/own-records.ts
@@ -1,16 +1,19 @@
-/** Records that gateways keep in the cluster's store for themselves, in the product's own formats. */
+/**
+ * Own records: records that gateways write to the cluster's store, in formats independent of the
+ * platform.
+ */
 import type { StorePosition } from '../cluster/store-position.js';
 import type { DecodedRecord } from '../routing/decoded-record.js';
 import { decodeCrashRecord } from './crashes/crash-record-format.js';
 import { decodeQuotaMembers } from './quotas/quota-members-format.js';
 
-/** Names of these records; an adapter says under which keys they stand. */
+/** Names of own records; the adapter maps them to store keys. */
 export type OwnRecordName = 'crashing-requests' | 'quota-members';
 
 /**
- * Reads such a record; `text` is undefined once it was removed.
+ * Decodes an own record; `text` is undefined if it was removed.
  *
- * @throws SyntaxError or TypeError if the text is no such record
+ * @throws SyntaxError or TypeError if the text is not a valid record
  */
 export function decodeOwnRecord(
   name: string,
--- a/src/gateway/planned-stop.ts
+++ b/src/gateway/planned-stop.ts
@@ -1,72 +1,73 @@
 /**
- * The planned stop of a gateway, without I/O: it is not ready at once, serves new requests for a
- * while, since callers hear of it late, then ends those that run and itself.
+ * Graceful shutdown of a gateway, without I/O: it reports not ready at once, serves new requests
+ * for a while, since callers notice late, then waits for running requests until shortly before the
+ * kill.
  */
 import type { Clock } from '../clock.js';
 
-/** Time after the stop signal in which new requests are still served, in milliseconds. */
-const ACCEPT_MS = 3_000;
-/** Requests are refused this long before the listener closes, in milliseconds. */
-const REFUSE_AHEAD_MS = 100;
-/** Time left before the kill at which the process ends whatever runs, in milliseconds. */
+/** Time after the stop signal for which new requests are still served, in milliseconds. */
+const ACCEPT_WINDOW_MS = 3_000;
+/** Time before the listener closes from which new requests are refused, in milliseconds. */
+const REFUSAL_LEAD_MS = 100;
+/** Time before the kill at which the process ends even if requests still run, in milliseconds. */
 const KILL_MARGIN_MS = 350;
 
-/** What a planned stop does to its surroundings. */
-export interface PlannedStopPorts {
-  /** Takes no new connections. */
+/** Operations of the gateway that a graceful shutdown uses. */
+export interface GracefulShutdownPorts {
+  /** Stops accepting connections. */
   stopListening(): void;
-  /** Requests that run. */
+  /** Number of requests that have not ended. */
   countActive(): number;
-  /** Ends everything; called once. */
+  /** Ends the gateway; called once. */
   end(): void;
 }
 
-/** The planned stop of a gateway. */
-export class PlannedStop {
-  private requestedAtMs: number | undefined;
-  private isOver = false;
+/** State machine of a graceful shutdown. */
+export class GracefulShutdown {
+  private begunAtMs: number | undefined;
+  private hasEnded = false;
 
   constructor(
     private readonly clock: Clock,
     private readonly graceMs: number,
-    private readonly ports: PlannedStopPorts,
+    private readonly ports: GracefulShutdownPorts,
   ) {}
 
-  /** Whether the stop signal came. */
-  get isRequested(): boolean {
-    return this.requestedAtMs !== undefined;
+  /** Whether the stop signal was received. */
+  get hasBegun(): boolean {
+    return this.begunAtMs !== undefined;
   }
 
   /** Whether new requests are refused. */
   get isRefusing(): boolean {
-    return this.elapsedMs() > ACCEPT_MS - REFUSE_AHEAD_MS;
+    return this.elapsedMs() > ACCEPT_WINDOW_MS - REFUSAL_LEAD_MS;
   }
 
-  /** The stop signal came. */
-  request(): void {
-    this.requestedAtMs = this.clock.now();
+  /** Begins the shutdown on the stop signal. */
+  begin(): void {
+    this.begunAtMs = this.clock.now();
     this.clock.setTimeout(() => {
       this.ports.stopListening();
-      this.noteRequestEnded();
-    }, ACCEPT_MS);
-    const lastMs = Math.max(ACCEPT_MS, this.graceMs - KILL_MARGIN_MS);
+      this.onRequestEnded();
+    }, ACCEPT_WINDOW_MS);
+    const lastMs = Math.max(ACCEPT_WINDOW_MS, this.graceMs - KILL_MARGIN_MS);
     this.clock.setTimeout(() => this.end(), lastMs);
   }
 
-  /** A request ended; the process ends with the last one. */
-  noteRequestEnded(): void {
-    if (this.elapsedMs() >= ACCEPT_MS && this.ports.countActive() === 0) {
+  /** Ends the gateway if the last request has ended after the accept window. */
+  onRequestEnded(): void {
+    if (this.elapsedMs() >= ACCEPT_WINDOW_MS && this.ports.countActive() === 0) {
       this.end();
     }
   }
 
   private elapsedMs(): number {
-    return this.requestedAtMs === undefined ? -Infinity : this.clock.now() - this.requestedAtMs;
+    return this.begunAtMs === undefined ? -Infinity : this.clock.now() - this.begunAtMs;
   }
 
   private end(): void {
-    if (!this.isOver) {
-      this.isOver = true;
+    if (!this.hasEnded) {
+      this.hasEnded = true;
       this.ports.end();
     }
   }
--- a/src/gateway/readiness-listener.ts
+++ b/src/gateway/readiness-listener.ts
@@ -1,4 +1,4 @@
-/** Tells the platform's balancer whether a gateway takes new connections. */
+/** Readiness endpoint for the platform's load balancer. */
 import { createServer } from 'node:http';
 import { splitAddress } from '../address.js';
 
@@ -23,7 +23,7 @@
     this.server.listen(port, host);
   }
 
-  /** Takes no more questions. */
+  /** Stops accepting connections. */
   close(): void {
     this.server.close();
   }
--- a/test/configuration-in-force.test.ts
+++ b/test/configuration-in-force.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { ConfigurationInForce } from '../src/gateway/configuration-in-force.js';
+import { ActiveConfiguration } from '../src/gateway/configuration-in-force.js';
 import { DEFAULT_CALLER_LIMITS } from '../src/routing/configuration.js';
 import type { RoutingConfiguration } from '../src/routing/configuration.js';
 import { VirtualClock } from '../src/sim/virtual-clock.js';
@@ -18,9 +18,9 @@
   return { version, routes: [], services, tenants: [], limits: DEFAULT_CALLER_LIMITS };
 }
 
-test('an older configuration never replaces a newer one', async (t) => {
+test('an active configuration is not replaced by one of the same or an older version', async (t) => {
   const clock = new VirtualClock();
-  const configuration = new ConfigurationInForce(clock);
+  const configuration = new ActiveConfiguration(clock);
   t.is(configuration.version, undefined);
   t.is(configuration.ageMs, undefined);
   t.false(configuration.isEngine('s'));
--- a/test/gateway-metrics.test.ts
+++ b/test/gateway-metrics.test.ts
@@ -13,7 +13,7 @@
 const SNAPSHOT: GatewaySnapshot = {
   storeAgeMs: 1_500,
   storeEpoch: 3,
-  recordsKept: 2,
+  retainedRecords: 2,
   evacuatedZones: 1,
   configurationAgeMs: undefined,
   backends: [{ service: 's', state: 'ejected', count: 2 }],
@@ -24,7 +24,7 @@
   waiting: new Map([['s', 3]]),
   loopDelayMs: 20,
   crashingRequests: { refused: 1, suspected: 2 },
-  suspectPaths: 4,
+  suspectedPaths: 4,
 };
 
 async function readMetrics(): Promise<string> {
@@ -38,7 +38,7 @@
   return text;
 }
 
-test('the metrics show what was recorded before they were loaded, and what is believed now', async (t) => {
+test('metrics include values recorded before the library was loaded, and gauges from the current snapshot', async (t) => {
   const metrics = new GatewayMetrics();
   metrics.serve(HOST, PORT);
   metrics.record(({ storeCalls }) => storeCalls.inc({ call: 'watch', result: 'failed' }));
@@ -68,7 +68,7 @@
   metrics.close();
 });
 
-test('sends and bytes are counted by how far their back ends are', async (t) => {
+test('sends and body bytes are counted by the distance of the backend', async (t) => {
   const world = new GatewayWorld();
   world.regions.set('z', 'north').set('far', 'south');
   world.dispatcher.updateBackend('far', backendOf('far', { zone: 'far' }), 0);
@@ -85,10 +85,10 @@
   t.true(text.includes('weirvale_backend_connections_total{reason="first"} 1'));
 });
 
-test('back ends are counted by service and the state that they are believed to be in', (t) => {
+test('backends are counted by service and observed state', (t) => {
   const ejected = new KnownBackend(backendOf('a'), 0);
   while (!ejected.health.learn('failed', 10)) {
-    // Fails until it is ejected.
+    // Reports failures until the backend is ejected.
   }
   const gone = new KnownBackend(backendOf('b'), 0);
   gone.unlistedAtMs = 5;
--- a/test/gateway-settings.test.ts
+++ b/test/gateway-settings.test.ts
@@ -18,24 +18,24 @@
 store = 127.0.0.1:3
 `;
 
-test('defaults fill what a file leaves out, and lists are split', (t) => {
+test('missing settings get their defaults, and lists are split', (t) => {
   const settings = parseGatewaySettings(`${GOOD}seeds = 10.0.0.1:1, 10.0.0.2:1\n`).unwrap();
   t.deepEqual(settings.cluster.seeds, ['10.0.0.1:1', '10.0.0.2:1']);
   t.is(settings.limits.retryRatio, 0.2);
   t.is(settings.cluster.storeTimeoutMs, 1_500);
 });
 
-test('fields that are not known are ignored', (t) => {
+test('unknown sections and keys are ignored', (t) => {
   t.true(parseGatewaySettings(`${GOOD}colour = red\n[garden]\nx = 1\n`).ok);
 });
 
-test('an empty value, as the template leaves it for an unnamed bound, is the default', (t) => {
+test('an empty value, as left by the template for an unset option, means the default', (t) => {
   const settings = parseGatewaySettings(`${GOOD}[limits]\nquotaOver =\nretryWindowS = \n`).unwrap();
   t.is(settings.limits.quotaOver, 0.1);
   t.is(settings.limits.retryWindowS, 10);
 });
 
-test('wrong values are named with section and line', (t) => {
+test('invalid values are reported with section, key and line', (t) => {
   const result = parseGatewaySettings(`${GOOD}[limits]\nretryRatio = many\nquotaSlack = -1\n`);
   const faults = result.ok
     ? []
@@ -43,19 +43,19 @@
   t.deepEqual(faults.sort(), ['12 limits retryRatio', '13 limits quotaSlack']);
 });
 
-test('what a role needs must be set', (t) => {
+test('settings that a role requires must be set', (t) => {
   const withoutStore = parseGatewaySettings(GOOD.replace('store = 127.0.0.1:3', ''));
   t.deepEqual(withoutStore.ok ? [] : withoutStore.val.problems.map(({ key }) => key), ['store']);
   const agent = parseGatewaySettings(GOOD.replace('role = gateway', 'role = slot-agent'));
   t.deepEqual(agent.ok ? [] : agent.val.problems.map(({ key }) => key), ['address']);
 });
 
-test('any text gives settings or a typed error, never a throw', (t) => {
+test('parsing any text returns settings or a typed error and never throws', (t) => {
   fc.assert(fc.property(fc.string(), (text) => typeof parseGatewaySettings(text).ok === 'boolean'));
   t.pass();
 });
 
-test('the tool checks and shows settings of gateways', (t) => {
+test('the command line tool checks and shows gateway settings', (t) => {
   const file = join(mkdtempSync(join(tmpdir(), 'weirvale-settings-')), 'g.ini');
   writeFileSync(file, GOOD);
   const tool = 'dist/src/bin/weirvale.js';
@@ -65,7 +65,7 @@
   t.regex(checked, /usable: gateway/);
 });
 
-test('the template for the platform sets only what the schema knows', (t) => {
+test('the platform template sets only options of the schema', (t) => {
   const template = readFileSync('platform/settings.ini.template', 'utf8');
   const filled = template
     .replaceAll('{{role}}', 'gateway')
@@ -75,7 +75,7 @@
   t.true(parseGatewaySettings(filled).ok);
 });
 
-test('zones are read with their regions; a zone without one is a fault', (t) => {
+test('zones are parsed with their regions; a zone without a region is invalid', (t) => {
   const settings = parseGatewaySettings(`${GOOD}[places]\nzones = z:r, y:r\n`).unwrap();
   t.deepEqual(
     [...settings.places.zones],
@@ -84,6 +84,6 @@
       ['y', 'r'],
     ],
   );
-  const faulty = parseGatewaySettings(`${GOOD}[places]\nzones = z,y:r\n`);
-  t.deepEqual(faulty.ok ? [] : faulty.val.problems.map(({ key }) => key), ['zones']);
+  const invalid = parseGatewaySettings(`${GOOD}[places]\nzones = z,y:r\n`);
+  t.deepEqual(invalid.ok ? [] : invalid.val.problems.map(({ key }) => key), ['zones']);
 });
--- a/test/homes-gateway.test.ts
+++ b/test/homes-gateway.test.ts
@@ -12,7 +12,7 @@
 import { StandinStore, StandinWorker } from './support/platform-standin.js';
 
 const HOST = '127.0.3.9';
-/** An address of this file's own, with ports below those that the system hands out. */
+/** Ports of this file, on an address of its own, below the system's ephemeral range. */
 let lastPort = 28_000;
 
 function nextAddress(): string {
@@ -20,8 +20,8 @@
   return `${HOST}:${lastPort}`;
 }
 
-/** Keeps the lines instead of writing them. */
-class KeptLog extends DecisionLog {
+/** Records log entries in memory instead of writing them. */
+class RecordingLog extends DecisionLog {
   readonly lines: Array<[LogEvent, LogFields]> = [];
 
   constructor() {
@@ -32,24 +32,24 @@
     this.lines.push([event, fields]);
   }
 
-  last(event: LogEvent): LogFields | undefined {
+  lastFields(event: LogEvent): LogFields | undefined {
     return this.lines.filter(([name]) => name === event).at(-1)?.[1];
   }
 }
 
-/** A gateway in region b before a store, a back end in region a and one in b. */
+/** A gateway in region b with a store, one backend in region a and one in region b. */
 class Deployment {
   readonly store = new StandinStore();
-  readonly log = new KeptLog();
-  readonly home = new StandinWorker('w-a', (_seen, response) => response.end('a'));
-  readonly abroad = new StandinWorker('w-b', (_seen, response) => response.end('b'));
+  readonly log = new RecordingLog();
+  readonly backendA = new StandinWorker('w-a', (_seen, response) => response.end('a'));
+  readonly backendB = new StandinWorker('w-b', (_seen, response) => response.end('b'));
   private readonly callers = nextAddress();
   private gateway: GatewayRole | undefined;
 
   async start(configuration: object): Promise<void> {
-    const [homeAddress, abroadAddress] = [await this.home.start(), await this.abroad.start()];
-    this.store.announce('w-a', { service: 's', address: homeAddress, slots: 2, zone: 'a1' });
-    this.store.announce('w-b', { service: 's', address: abroadAddress, slots: 2, zone: 'b1' });
+    const [addressA, addressB] = [await this.backendA.start(), await this.backendB.start()];
+    this.store.announce('w-a', { service: 's', address: addressA, slots: 2, zone: 'a1' });
+    this.store.announce('w-b', { service: 's', address: addressB, slots: 2, zone: 'b1' });
     this.store.put('op/config', configuration);
     const storeAddress = await this.store.start();
     const settings = parseGatewaySettings(
@@ -71,33 +71,33 @@
       metrics: new GatewayMetrics(),
     });
     this.gateway.start();
-    await this.until(() => this.log.last('backend-learned') !== undefined);
-    await this.until(() => this.log.last('configuration-installed') !== undefined);
+    await this.waitUntil(() => this.log.lastFields('backend-learned') !== undefined);
+    await this.waitUntil(() => this.log.lastFields('configuration-installed') !== undefined);
   }
 
-  /** What the gateway sends with. */
+  /** The private sender of the gateway. */
   get sender(): BackendSender {
     return this.gateway!['sender'];
   }
 
   stop(): void {
     this.gateway?.stop(() => undefined);
-    this.home.stop();
-    this.abroad.stop();
+    this.backendA.stop();
+    this.backendB.stop();
     this.store.stop();
   }
 
-  /** Status and body of an answer. */
+  /** Sends a request; returns the status and body of the response. */
   async call(): Promise<[number, string]> {
     const answer = await request(`http://${this.callers}/a/`, { headers: { host: 'h' } });
     return [answer.statusCode, await answer.body.text()];
   }
 
-  async until(isTrue: () => boolean): Promise<void> {
+  async waitUntil(condition: () => boolean): Promise<void> {
     const endAtMs = Date.now() + 8_000;
-    while (!isTrue()) {
+    while (!condition()) {
       if (Date.now() > endAtMs) {
-        throw new Error('did not come true in 8 s');
+        throw new Error('condition not met within 8 s');
       }
       await new Promise((resolve) => setTimeout(resolve, 10));
     }
@@ -109,15 +109,15 @@
   return { version, routes: [{ ...route, allowedRegions }], services: [{ name: 's' }] };
 }
 
-test('a configuration of the store moves, widens and empties a home; one that is faulty changes nothing', async (t) => {
+test('configurations from the store replace and clear allowed regions; an invalid one changes nothing', async (t) => {
   const system = new Deployment();
   await system.start(configurationOf(1, ['a']));
   for (let count = 0; count < 4; count += 1) {
     t.deepEqual(await system.call(), [200, 'a']);
   }
   system.store.put('op/config', configurationOf(2, ['a', 'c']));
-  await system.until(() => system.log.last('configuration-refused') !== undefined);
-  t.deepEqual(system.log.last('configuration-refused'), {
+  await system.waitUntil(() => system.log.lastFields('configuration-refused') !== undefined);
+  t.deepEqual(system.log.lastFields('configuration-refused'), {
     problem: 'routes.r.allowedRegions is "c"; allowed is a, b',
     key: 'routes.r.allowedRegions',
     found: '"c"',
@@ -126,57 +126,57 @@
     revision: 4,
   });
   system.store.put('op/config', configurationOf(3, 'ab'));
-  await system.until(() => system.log.last('configuration-refused')?.['revision'] === 5);
+  await system.waitUntil(() => system.log.lastFields('configuration-refused')?.['revision'] === 5);
   t.deepEqual(await system.call(), [200, 'a']);
   system.store.put('op/config', configurationOf(4, ['b']));
-  await system.until(() => system.log.last('configuration-installed')?.['version'] === 4);
+  await system.waitUntil(() => system.log.lastFields('configuration-installed')?.['version'] === 4);
   t.deepEqual(await system.call(), [200, 'b']);
   system.store.remove('servers/w-b');
   system.store.put('op/evacuate/b1', {});
-  await system.until(() => system.log.last('zone-evacuation') !== undefined);
+  await system.waitUntil(() => system.log.lastFields('zone-evacuation') !== undefined);
   const startedAtMs = Date.now();
   t.deepEqual(await system.call(), [503, '{"error":"no-backend-at-home"}']);
   t.true(Date.now() - startedAtMs < 500);
-  const ended = system.log.last('request-ended');
+  const ended = system.log.lastFields('request-ended');
   t.like(ended, { reason: 'no-backend-at-home', configuration: 4, homes: { route: ['b'] } });
   t.like(ended?.['kept'], {
     0: { backend: 'w-b', region: 'b', reason: 'zone-evacuated' },
     1: { backend: 'w-a', region: 'a', reason: 'outside-home', by: ['route'] },
   });
   system.store.put('op/config', configurationOf(5, []));
-  await system.until(() => system.log.last('configuration-installed')?.['version'] === 5);
+  await system.waitUntil(() => system.log.lastFields('configuration-installed')?.['version'] === 5);
   t.deepEqual(await system.call(), [200, 'a']);
   system.stop();
 });
 
-test('a request whose connection is not up goes elsewhere, unsent, when its home moves', async (t) => {
+test('an unsent request is redirected when a new configuration changes its allowed regions', async (t) => {
   const system = new Deployment();
   await system.start(configurationOf(1, ['a']));
   const sender = system.sender;
   const send = sender.send.bind(sender);
   const ignore = () => undefined;
-  const seen = { waiting: 0, withdrawn: 0 };
+  const counts = { waiting: 0, withdrawn: 0 };
   sender.send = (attempt, handlers) => {
     if (attempt.backend.id !== 'w-a') {
       return send(attempt, handlers);
     }
-    seen.waiting += 1;
-    const withdraw = () => (seen.withdrawn += 1) > 0;
+    counts.waiting += 1;
+    const withdraw = () => (counts.withdrawn += 1) > 0;
     return { cancel: ignore, withdraw, pause: ignore, resume: ignore };
   };
   const answer = system.call();
-  await system.until(() => seen.waiting === 1);
+  await system.waitUntil(() => counts.waiting === 1);
   system.store.put('op/config', configurationOf(2, ['b']));
   t.deepEqual(await answer, [200, 'b']);
-  t.deepEqual(seen, { waiting: 1, withdrawn: 1 });
+  t.deepEqual(counts, { waiting: 1, withdrawn: 1 });
   system.stop();
 });
 
-test('a gateway that knows no other configuration takes one with an unknown home, and keeps to it', async (t) => {
+test('a gateway without a configuration installs one with an unknown region and enforces it', async (t) => {
   const system = new Deployment();
   await system.start(configurationOf(1, ['c']));
-  t.regex(String(system.log.last('configuration-installed')?.['problem']), /allowed is a, b/);
+  t.regex(String(system.log.lastFields('configuration-installed')?.['problem']), /allowed is a, b/);
   t.deepEqual(await system.call(), [503, '{"error":"no-backend-at-home"}']);
-  t.deepEqual([system.home.received.length, system.abroad.received.length], [0, 0]);
+  t.deepEqual([system.backendA.received.length, system.backendB.received.length], [0, 0]);
   system.stop();
 });
--- a/test/homes.test.ts
+++ b/test/homes.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import * as fc from 'fast-check';
-import { reportHomes, reportKept } from '../src/gateway/homes/home-report.js';
+import { reportRegions, reportExcluded } from '../src/gateway/homes/home-report.js';
 import { RequestHomes } from '../src/gateway/homes/request-homes.js';
 import { RequestAdmission } from '../src/gateway/admission/request-admission.js';
 import { addHomeEngines } from '../src/gateway/dispatch/home-engines.js';
@@ -17,8 +17,8 @@
   ['b1', 'b'],
 ]);
 
-/** Homes by name of route and tenant; null for a name without any. */
-function homesOf(
+/** Allowed regions by route and tenant name; null for an unrestricted one. */
+function regionsOf(
   routes: Record<string, readonly string[] | null>,
   tenants: Record<string, readonly string[] | null> = {},
 ): NamedHomes {
@@ -48,30 +48,30 @@
   return world;
 }
 
-function placesAsked(world: GatewayWorld): string[] {
+function attemptedBackends(world: GatewayWorld): string[] {
   return world.attempts.map(({ backend }) => backend.id);
 }
 
-test('a request follows the configuration in force; what that no longer holds stays as narrow as it was', (t) => {
-  let homes = homesOf({ r: ['a', 'b'] }, { t: ['a', 'b', 'c'] });
+test('a request follows the active configuration; a removed route or tenant keeps its narrowest regions', (t) => {
+  let homes = regionsOf({ r: ['a', 'b'] }, { t: ['a', 'b', 'c'] });
   const request = new RequestHomes({ route: 'r', tenant: 't' }, () => homes);
   t.deepEqual(request.allowed, new Set(['a', 'b']));
-  homes = homesOf({ r: ['a', 'b'] }, { t: ['b'] });
+  homes = regionsOf({ r: ['a', 'b'] }, { t: ['b'] });
   t.deepEqual(request.allowed, new Set(['b']));
-  homes = homesOf({ r: null }, { t: ['b', 'c'] });
+  homes = regionsOf({ r: null }, { t: ['b', 'c'] });
   t.deepEqual(request.allowed, new Set(['b', 'c']));
-  homes = homesOf({}, {});
+  homes = regionsOf({}, {});
   t.deepEqual(request.allowed, new Set(['b']));
 });
 
-test('a request without homes gets none when its route and tenant are dropped', (t) => {
-  let homes = homesOf({ r: null });
+test('an unrestricted request stays unrestricted when its route is removed', (t) => {
+  let homes = regionsOf({ r: null });
   const request = new RequestHomes({ route: 'r', tenant: undefined }, () => homes);
-  homes = homesOf({ other: ['a'] });
+  homes = regionsOf({ other: ['a'] });
   t.is(request.allowed, undefined);
 });
 
-test('of routes that share a name each one binds', (t) => {
+test('routes that share a name all restrict the regions of a request', (t) => {
   const routes = [
     routeOf({ name: 'r', allowedRegions: ['a', 'b'] }),
     routeOf({ name: 'r', pathPrefix: '/b/', allowedRegions: ['b', 'c'] }),
@@ -80,37 +80,37 @@
   t.deepEqual(homes.allowed({ route: 'r', tenant: undefined }), new Set(['b']));
 });
 
-test('a request that waits goes where a newer configuration lets it, and nowhere else', (t) => {
+test('a waiting request is sent only to regions that a newer configuration allows', (t) => {
   const world = worldOf(
-    homesOf({ r: ['a'] }),
+    regionsOf({ r: ['a'] }),
     ['near', { zone: 'a1', slots: 1 }],
     ['far', { zone: 'b1', slots: 1 }],
   );
   world.request();
   world.request();
-  t.deepEqual(placesAsked(world), ['near']);
-  world.homes = homesOf({ r: ['b'] });
+  t.deepEqual(attemptedBackends(world), ['near']);
+  world.homes = regionsOf({ r: ['b'] });
   world.answer(0, 200, 'done');
   world.dispatcher.tick(world.clock.now());
-  t.deepEqual(placesAsked(world), ['near', 'far']);
+  t.deepEqual(attemptedBackends(world), ['near', 'far']);
 });
 
-test('a further try keeps to the homes that came into force after the first', (t) => {
+test('a retry uses the allowed regions that were configured after the first attempt', (t) => {
   const world = worldOf(
-    homesOf({ r: ['a'] }),
+    regionsOf({ r: ['a'] }),
     ['first', { zone: 'a1' }],
     ['second', { zone: 'a2' }],
     ['far', { zone: 'b1' }],
   );
   world.request();
-  world.homes = homesOf({ r: ['b'] });
+  world.homes = regionsOf({ r: ['b'] });
   world.attempts[0]!.handlers.onFailure({ mayHaveRun: false, isPortClosed: true, detail: '' });
-  t.is(placesAsked(world).length, 2);
-  t.is(placesAsked(world)[1], 'far');
+  t.is(attemptedBackends(world).length, 2);
+  t.is(attemptedBackends(world)[1], 'far');
 });
 
-test('a lost path at home is not left for a back end abroad', (t) => {
-  const world = worldOf(homesOf({ r: ['a'] }), ['w', { zone: 'a1' }], ['far', { zone: 'b1' }]);
+test('a request on a suspected path is not moved to a backend outside its allowed regions', (t) => {
+  const world = worldOf(regionsOf({ r: ['a'] }), ['w', { zone: 'a1' }], ['far', { zone: 'b1' }]);
   world.dispatcher.updateBackend('other', backendOf('other', { zone: 'a2' }), 0);
   world.request();
   const used = world.attempts[0]!.backend.id;
@@ -118,12 +118,12 @@
   paths.forEach(({ path }) => path.suspect('agent-silent', world.clock.now()));
   world.directory.find(used)!.path.tellLost();
   t.false(world.attempts[0]!.isCancelled);
-  t.deepEqual(placesAsked(world), [used]);
+  t.deepEqual(attemptedBackends(world), [used]);
 });
 
-test('a stream is resumed at home only', (t) => {
+test('a stream is resumed only in its allowed regions', (t) => {
   const route = routeOf({ kind: 'stream', isResumable: true, maxAttempts: 3, maxPauseMs: 500 });
-  const world = worldOf(homesOf({ r: ['a'] }), ['w', { zone: 'a1' }], ['far', { zone: 'b1' }]);
+  const world = worldOf(regionsOf({ r: ['a'] }), ['w', { zone: 'a1' }], ['far', { zone: 'b1' }]);
   const { reply } = world.request({ route });
   const [{ handlers }] = world.attempts as [(typeof world.attempts)[number]];
   handlers.onHead({
@@ -133,28 +133,28 @@
   });
   handlers.onData(Buffer.from('id: 1\ndata: x\n\n'));
   handlers.onFailure({ mayHaveRun: true, isPortClosed: false, detail: 'reset' });
-  t.deepEqual(placesAsked(world), ['w']);
+  t.deepEqual(attemptedBackends(world), ['w']);
   t.true(reply.isAborted);
 });
 
-test('a route and a tenant without a common region: refused at once, and not run', (t) => {
-  const world = worldOf(homesOf({ r: ['a'] }, { t: ['b'] }), ['w', { zone: 'a1' }]);
+test('a request whose route and tenant have no common region is refused at once and not sent', (t) => {
+  const world = worldOf(regionsOf({ r: ['a'] }, { t: ['b'] }), ['w', { zone: 'a1' }]);
   const { reply } = world.request({ tenant: 't' });
   t.is(reply.status, 503);
   t.is(world.ends[0]?.reason, 'no-common-home');
-  // A third of the two seconds that its caller gives it.
+  // One third of the caller's deadline of two seconds.
   t.is(Math.floor(Number(reply.headers[1])), 666);
   t.deepEqual(world.attempts, []);
 });
 
-test('a home without a back end that may be used: refused at once, never served elsewhere', (t) => {
-  const homes = homesOf({ r: ['a'] });
+test('a request without a usable backend in its allowed regions is refused at once and not sent elsewhere', (t) => {
+  const homes = regionsOf({ r: ['a'] });
   const worlds = [
     worldOf(homes, ['far', { zone: 'b1' }]),
-    // Of a zone that the settings do not hold, and of none.
+    // One in a zone that the settings do not name, and one without a zone.
     worldOf(homes, ['lost', { zone: 'x' }], ['bare', { zone: '' }]),
     worldOf(homes, ['drained', { zone: 'a1', state: 'draining' }], ['far', { zone: 'b1' }]),
-    worldOf(homesOf({ r: ['unheard-of'] }), ['far', { zone: 'b1' }], ['lost', { zone: 'x' }]),
+    worldOf(regionsOf({ r: ['unheard-of'] }), ['far', { zone: 'b1' }], ['lost', { zone: 'x' }]),
   ];
   for (const world of worlds) {
     const { reply } = world.request();
@@ -164,60 +164,60 @@
   }
 });
 
-test('a home whose zones are all evacuated refuses at once', (t) => {
-  const world = worldOf(homesOf({ r: ['a'] }), ['w', { zone: 'a1' }], ['far', { zone: 'b1' }]);
+test('a request is refused at once if all zones of its allowed regions are evacuated', (t) => {
+  const world = worldOf(regionsOf({ r: ['a'] }), ['w', { zone: 'a1' }], ['far', { zone: 'b1' }]);
   world.evacuatedZones.add('a1');
   world.request();
   t.is(world.ends[0]?.reason, 'no-backend-at-home');
   t.deepEqual(world.attempts, []);
 });
 
-test('a request that waits is refused soon after its last back end left its home', async (t) => {
+test('a waiting request is refused soon after its allowed regions lost their last backend', async (t) => {
   const world = worldOf(
-    homesOf({ r: ['a', 'b'] }),
+    regionsOf({ r: ['a', 'b'] }),
     ['w', { zone: 'a1', slots: 1 }],
     ['far', { zone: 'b1', slots: 1 }],
   );
   world.request();
   world.request();
   world.request();
-  world.homes = homesOf({ r: ['c'] });
+  world.homes = regionsOf({ r: ['c'] });
   await world.clock.runUntil(world.clock.now() + 150);
   t.is(world.ends[0]?.reason, 'no-backend-at-home');
   t.is(world.attempts.length, 2);
 });
 
-test('each fallback stays at home: engines not assigned, ejected ones, ones that left the list', (t) => {
-  const homes = homesOf({ r: ['a'] });
+test('fallbacks to unassigned, ejected and unlisted backends stay in the allowed regions', (t) => {
+  const homes = regionsOf({ r: ['a'] });
   const ejected = worldOf(homes, ['w', { zone: 'a1' }], ['far', { zone: 'b1' }]);
   for (let count = 0; count < 20; count += 1) {
     ejected.dispatcher.finish('w', 'failed', 0);
   }
   t.true(ejected.directory.find('w')!.health.isEjected(0));
   ejected.request();
-  t.deepEqual(placesAsked(ejected), ['w']);
+  t.deepEqual(attemptedBackends(ejected), ['w']);
   const unassigned = worldOf(homes, ['w', { zone: 'a1' }], ['far', { zone: 'b1' }]);
   unassigned.directory.find('w')!.isAssigned = false;
   unassigned.request();
-  t.deepEqual(placesAsked(unassigned), ['w']);
+  t.deepEqual(attemptedBackends(unassigned), ['w']);
   const unlisted = worldOf(homes, ['w', { zone: 'a1' }], ['far', { zone: 'b1' }]);
   unlisted.dispatcher.updateBackend('far', undefined, 0);
   unlisted.dispatcher.updateBackend('w', undefined, 0);
   unlisted.request();
-  t.deepEqual(placesAsked(unlisted), ['w']);
+  t.deepEqual(attemptedBackends(unlisted), ['w']);
 });
 
-test('a failure at the only back end at home is final: no repeat is spent on others', (t) => {
-  const world = worldOf(homesOf({ r: ['a'] }), ['w', { zone: 'a1' }], ['far', { zone: 'b1' }]);
+test('a failure at the only backend in the allowed regions is final and uses no retry', (t) => {
+  const world = worldOf(regionsOf({ r: ['a'] }), ['w', { zone: 'a1' }], ['far', { zone: 'b1' }]);
   const { reply } = world.request();
   world.attempts[0]!.handlers.onFailure({ mayHaveRun: true, isPortClosed: false, detail: '' });
   t.is(reply.status, 502);
   t.is(world.repeatsLeft, 10);
 });
 
-test('agents hear anew of what waits when its homes change, and only those at home', (t) => {
+test('when allowed regions of waiting requests change, only agents in them are sent the demand', (t) => {
   const world = worldOf(
-    homesOf({ r: ['a', 'b'] }),
+    regionsOf({ r: ['a', 'b'] }),
     ['near', { zone: 'a1', slots: 1 }],
     ['far', { zone: 'b1', slots: 1 }],
   );
@@ -228,18 +228,18 @@
     world.request();
   }
   world.toAgents.length = 0;
-  world.homes = homesOf({ r: ['a'] });
+  world.homes = regionsOf({ r: ['a'] });
   world.dispatcher.tick(world.clock.now());
-  const told = world.toAgents.flatMap(([to, message]) =>
+  const sent = world.toAgents.flatMap(([to, message]) =>
     message.kind === 'demand' ? [[to, message.ranks[0]?.allowedRegions]] : [],
   );
-  t.deepEqual(told, [
+  t.deepEqual(sent, [
     ['near', ['a']],
     ['far', undefined],
   ]);
 });
 
-test('a gateway works with a few engines of each region that is named, whatever its own zone', (t) => {
+test('a gateway is assigned a few engines in each configured region, whatever its own zone', (t) => {
   const engines = Array.from({ length: 60 }, (_, index) => ({
     id: `w${index}`,
     zone: index < 40 ? 'b1' : 'a1',
@@ -247,14 +247,14 @@
   const regionOf = (zone: string) => REGIONS.get(zone);
   const chosen = new Set(['w0', 'w41']);
   addHomeEngines(chosen, engines, 'g', { named: new Set(['a', 'c']), regionOf });
-  const atHome = [...chosen].filter((id) => Number(id.slice(1)) >= 40);
-  t.is(atHome.length, 4);
-  t.true(atHome.includes('w41'));
+  const inRegion = [...chosen].filter((id) => Number(id.slice(1)) >= 40);
+  t.is(inRegion.length, 4);
+  t.true(inRegion.includes('w41'));
   t.is(chosen.size, 5);
 });
 
-test('the directory assigns engines of the regions that a configuration names', (t) => {
-  const world = worldOf(homesOf({ r: ['a'] }));
+test('the directory assigns engines in the regions that a configuration allows', (t) => {
+  const world = worldOf(regionsOf({ r: ['a'] }));
   world.engines = true;
   world.regions.set('z', 'b');
   for (let index = 0; index < 60; index += 1) {
@@ -265,7 +265,7 @@
   t.is(assigned.filter(({ backend }) => backend.zone === 'a1').length, 4);
 });
 
-test('of several services one is picked that has a back end at home', (t) => {
+test('admission picks a service that has a backend in the allowed regions', (t) => {
   const route = routeOf({
     allowedRegions: ['a'],
     services: [
@@ -299,8 +299,8 @@
   t.is(admission.admit(received, table).unwrap().service, 'home');
 });
 
-/** One step of a random run. */
 const regions = fc.option(fc.subarray(['a', 'b', 'c'], { minLength: 1 }), { nil: null });
+/** One step of a random run. */
 const step = fc.oneof(
   fc.record({ kind: fc.constant('request' as const), hasTenant: fc.boolean() }),
   fc.record({ kind: fc.constant('configure' as const), route: regions, tenant: regions }),
@@ -309,36 +309,36 @@
   fc.record({ kind: fc.constant('list' as const), index: fc.nat(5), isListed: fc.boolean() }),
   fc.record({ kind: fc.constant('wait' as const), forMs: fc.integer({ min: 1, max: 300 }) }),
 );
-/** Path of the requests that have a tenant, by which a send shows whose it is. */
-const OF_TENANT = '/a/tenant';
+/** Path of requests with a tenant, which identifies their attempts. */
+const TENANT_PATH = '/a/tenant';
 const FLEET = ['a1', 'a1', 'a2', 'b1', 'b1', 'x'];
 
-test('whatever configurations, failures and back ends come and go, no send leaves the homes in force', async (t) => {
+test('no attempt leaves the active allowed regions under random configurations, failures and backend changes', async (t) => {
   await fc.assert(
     fc.asyncProperty(fc.array(step, { minLength: 10, maxLength: 60 }), async (steps) => {
       const fleet = FLEET.map((zone, index) => backendOf(`w${index}`, { zone, slots: 1 }));
-      const world = worldOf(homesOf({ r: null }, { t: null }));
+      const world = worldOf(regionsOf({ r: null }, { t: null }));
       fleet.forEach((backend) => world.dispatcher.updateBackend(backend.id, backend, 0));
       let checked = 0;
       const check = () => {
         for (; checked < world.attempts.length; checked += 1) {
           const { backend, path } = world.attempts[checked]!;
-          const tenant = path === OF_TENANT ? 't' : undefined;
+          const tenant = path === TENANT_PATH ? 't' : undefined;
           const allowed = world.homes!.allowed({ route: 'r', tenant });
           const region = REGIONS.get(backend.zone) ?? 'nowhere';
           if (allowed !== undefined && !allowed.has(region)) {
-            throw new Error(`sent to ${region}, allowed are ${[...allowed].join()}`);
+            throw new Error(`sent to region ${region}; allowed regions: ${[...allowed].join()}`);
           }
         }
       };
       for (const one of steps) {
         if (one.kind === 'request') {
-          world.request(one.hasTenant ? { tenant: 't', path: OF_TENANT } : {});
+          world.request(one.hasTenant ? { tenant: 't', path: TENANT_PATH } : {});
         } else if (one.kind === 'configure') {
-          world.homes = homesOf({ r: one.route }, { t: one.tenant });
+          world.homes = regionsOf({ r: one.route }, { t: one.tenant });
           world.dispatcher.tick(world.clock.now());
         } else if (one.kind === 'drop') {
-          world.homes = homesOf({});
+          world.homes = regionsOf({});
         } else if (one.kind === 'end') {
           const open = world.attempts.filter(({ isCancelled }) => !isCancelled);
           const attempt = open[one.index % Math.max(1, open.length)];
@@ -365,15 +365,15 @@
   t.pass();
 });
 
-test('the line of a request says what kept it from which back end, in bounds', (t) => {
-  const homes = homesOf({ r: ['a'] }, { t: ['a', 'b'] });
+test('the log entry of a request lists a bounded number of excluded backends with their reasons', (t) => {
+  const homes = regionsOf({ r: ['a'] }, { t: ['a', 'b'] });
   const world = worldOf(homes, ['gone', { zone: 'a1', state: 'draining' }]);
   for (let index = 0; index < 20; index += 1) {
     const id = `w${index}`;
     world.dispatcher.updateBackend(id, backendOf(id, { zone: index === 0 ? 'x' : 'b1' }), 0);
   }
   const request = new RequestHomes({ route: 'r', tenant: 't' }, () => homes);
-  const report = reportKept(request, {
+  const report = reportExcluded(request, {
     backends: world.directory.ofService('s'),
     regionOf: (zone) => REGIONS.get(zone),
     restriction: (known) =>
@@ -393,5 +393,5 @@
   ]);
   t.is(report.kept?.length, 8);
   t.is(report.keptMore, 13);
-  t.deepEqual(reportHomes(new RequestHomes({ route: 'q', tenant: undefined }, () => homes)), {});
+  t.deepEqual(reportRegions(new RequestHomes({ route: 'q', tenant: undefined }, () => homes)), {});
 });
