--- a/test/late-configuration.test.ts
+++ b/test/late-configuration.test.ts
@@ -1,39 +1,36 @@
 /**
- * Users saw one or two gateways refuse requests on a route that a confirmed change had added, later than the change
- * had to be in force; other gateways served it. Nothing was done to the late ones for seconds.
+ * Guards against gateways that apply a confirmed configuration change too late while no fault
+ * affects them, and so refuse requests on a route that it added.
  *
- * One cause: a gateway whose words arrive and which hears nothing, since its paths are cut one way, tells of a change
- * first. One that does not read the store asks it, the question is lost, and after its next beat it is asked again.
- * Evidence: in the trace of seed 4 the late gateway hears of the change from all others every .8 s, sends one question
- * each time, always to the same gateway, and gets no answer until the path is back.
- *
- * Another cause: a watch whose answer was lost in a silence of the store was waited for to the end of its time, 6.5 s.
- * Meanwhile its gateway counted as one that reads the store, for itself and for others, so that nobody took its place.
- * Evidence: with a silence of .5 s that begins 3 s after the last change, eight of 27 gateways learn a change that fell
- * into it 5.1 s after its end, when their watches time out, and the others 7.3 s after.
- *
- * A third: what a gateway learned from the listing right after an outage was told to others only 2.2 s later, with the
- * listing that may remove what is missing. Evidence: the 2.2 s between the two groups above.
+ * - One-way partition: a gateway that sends but receives nothing announces the change first. A
+ *   gateway that does not read the store queries only that one, again after each heartbeat, every
+ *   .8 s (seed 4), and gets no answer until the path recovers.
+ * - Lost watch response: a gateway waits the full watch timeout of 6.5 s for a response lost in a
+ *   store outage, and still counts as a store reader for itself and its peers. After an outage of
+ *   .5 s that begins 3 s after the last change, eight of 27 gateways receive a change made in it
+ *   5.1 s after its end, the others 7.3 s after.
+ * - Delayed propagation: changes from the first listing after an outage reach peers only 2.2 s
+ *   later, with the listing that may remove missing records.
  */
 import test from 'ava';
 import type { GatewayCluster } from '../src/gateway/gateway-cluster.js';
 import { randomInteger } from '../src/random.js';
 import { scenarioRandom, StoreFleet } from './support/store-fleet.js';
 
-/** Time without trouble after which a gateway, or the store, counts as well, in milliseconds. */
+/** Time without faults after which a gateway or the store counts as healthy, in milliseconds. */
 const CONTACT_MS = 4_000;
-/** Time in which a change has to be in force, in milliseconds. */
+/** Time limit for applying a change, in milliseconds. */
 const CHANGE_BOUND_MS = 3_000;
-/** Time after the end of a silence of the store in which every gateway has its changes in force, in milliseconds. */
+/** Time limit after a store outage for applying its changes on every gateway, in milliseconds. */
 const SILENCE_BOUND_MS = 2_000;
-/** Time in which watches hear nothing before the history is dropped, in milliseconds. */
+/** Time for which watches receive nothing before the store drops its history, in milliseconds. */
 const WITHHELD_MS = 1_000;
 const SETTLE_MS = 5_000;
 const SEEDS = 40;
 const MIN_SILENCE_MS = 200;
 const MAX_SILENCE_MS = 6_000;
 
-/** A settled fleet in which gateways that are well are late as users count it. */
+/** Starts a settled fleet that reports a healthy gateway as late after `CHANGE_BOUND_MS`. */
 async function startFleet(
   seed: number,
   gateways: number,
@@ -49,16 +46,16 @@
   return fleet;
 }
 
-test('a change beside a short silence of the store is in force in time, and soon after it everywhere', async (t) => {
+test('a change during a short store outage is applied in time, and by every gateway soon after the outage', async (t) => {
   for (const gateways of [3, 12, 27]) {
     for (let seed = 0; seed < SEEDS; seed += 1) {
       const random = scenarioRandom(seed);
       const fleet = await startFleet(seed, gateways);
       const silentMs = MIN_SILENCE_MS * (MAX_SILENCE_MS / MIN_SILENCE_MS) ** random.next();
       const fromMs = fleet.clock.now() + randomInteger(random, 0, 5_000);
-      const isLateForUsers = fleet.isLate;
+      const isLateWhenHealthy = fleet.isLate;
       fleet.isLate = (machine, change, nowMs) =>
-        isLateForUsers(machine, change, nowMs) ||
+        isLateWhenHealthy(machine, change, nowMs) ||
         (nowMs > fromMs && nowMs - fromMs - silentMs > SILENCE_BOUND_MS);
       fleet.at(fromMs, () => fleet.troubleStore('silent', silentMs));
       fleet.at(fromMs + random.next() * silentMs, () => fleet.change());
@@ -68,7 +65,7 @@
   }
 });
 
-test('a change is in force in time while a gateway tells others of it and does not hear them', async (t) => {
+test('a change is applied in time while a gateway that announces it receives no messages from peers', async (t) => {
   for (let seed = 0; seed < SEEDS; seed += 1) {
     const fleet = await startFleet(seed, 9);
     const fromMs = fleet.clock.now();
@@ -79,8 +76,11 @@
   }
 });
 
-/** A fleet of nine in which eight are heard by the last, which does not read the store, and do not hear it. */
-async function playUnheard(seed: number, breakProcess?: (cluster: GatewayCluster) => void) {
+/**
+ * Runs nine gateways; the last one, not a store reader, receives from the other eight but cannot
+ * reach them.
+ */
+async function runUnreachablePeers(seed: number, breakProcess?: (cluster: GatewayCluster) => void) {
   const fleet = await startFleet(seed, 9, breakProcess);
   const fromMs = fleet.clock.now();
   const last = fleet.machines.find(({ cluster }) => cluster?.isReadingStore === false)!;
@@ -92,14 +92,14 @@
   return fleet.late;
 }
 
-test('a gateway whose questions reach nobody reads the store itself', async (t) => {
+test('a gateway whose queries reach no peer reads the store itself', async (t) => {
   for (let seed = 0; seed < SEEDS; seed += 1) {
-    t.deepEqual(await playUnheard(seed), [], `seed ${seed}`);
+    t.deepEqual(await runUnreachablePeers(seed), [], `seed ${seed}`);
   }
 });
 
-test('the check finds a gateway that never reads the store while it hears those that do', async (t) => {
-  const late = await playUnheard(0, (cluster) => {
+test('the check detects a gateway that never reads the store while it receives heartbeats of readers', async (t) => {
+  const late = await runUnreachablePeers(0, (cluster) => {
     const { exchange } = cluster;
     Object.defineProperty(exchange, 'behindMs', { get: () => 0 });
     Object.defineProperty(cluster, 'isKnowledgeOld', { get: () => false });
@@ -107,7 +107,7 @@
   t.not(late.length, 0);
 });
 
-test('changes that a watch passes over are in force soon, whoever learned of their revision first', async (t) => {
+test('changes that a watch skips are applied soon, whichever gateway learned their revision first', async (t) => {
   for (let seed = 0; seed < SEEDS; seed += 1) {
     const random = scenarioRandom(seed);
     const fleet = await startFleet(seed, 27);
@@ -121,16 +121,18 @@
   }
 });
 
-test('lines tell when the knowledge of a gateway is old, and when it is confirmed again', async (t) => {
+test('a gateway logs when its view of the store is stale and when it is confirmed again', async (t) => {
   const fleet = await startFleet(1, 3);
   const lines: Array<readonly [string, string]> = [];
   fleet.onLine = ({ address }, event) => lines.push([address, event]);
   fleet.troubleStore('silent', 4_000);
   await fleet.run(9_000);
   for (const { address } of fleet.machines) {
-    const told = lines.filter(([from, event]) => from === address && event.startsWith('knowledge'));
+    const logged = lines.filter(
+      ([from, event]) => from === address && event.startsWith('knowledge'),
+    );
     t.deepEqual(
-      told.map(([, event]) => event),
+      logged.map(([, event]) => event),
       ['knowledge-old', 'knowledge-confirmed'],
     );
   }
--- a/test/region-cut.test.ts
+++ b/test/region-cut.test.ts
@@ -11,7 +11,10 @@
 const SETTLE_MS = 8_000;
 const RETRY = { ratio: 0.2, windowMs: 10_000, slack: 50 };
 
-/** Worst window of a tenant that asks for nearly three times its rate while a region is cut off, as a share of its bound. */
+/**
+ * Largest usage in a window, as a share of the bound, by a tenant at nearly three times its rate
+ * during a region partition.
+ */
 async function worstShare(seed: number, fault: QuotaFleetFault = {}): Promise<number> {
   const random = new SeededRandom(seed);
   const fleet = new QuotaFleet({ seed, gateways: 9, fault });
@@ -27,14 +30,14 @@
   return fleet.worstShare();
 }
 
-test('a tenant stays within its quota while a region is cut off, whenever and for however long', async (t) => {
+test('a tenant stays within its quota during a region partition of any start and duration', async (t) => {
   for (let seed = 0; seed < SEEDS; seed += 1) {
     const share = await worstShare(seed);
     t.true(share <= 1, `seed ${seed}: ${share} of the bound`);
   }
 });
 
-test('if pools took the share of those that are not heard, some cut would break the quota', async (t) => {
+test('the check detects pools that take over the share of unreachable holders', async (t) => {
   let worst = 0;
   for (let seed = 0; seed < SEEDS && worst <= 1; seed += 1) {
     worst = await worstShare(seed, { takesOthersShare: true });
@@ -42,7 +45,7 @@
   t.true(worst > 1);
 });
 
-test('all regions apart stay within the quota together', async (t) => {
+test('regions that are all partitioned from each other stay within the quota in total', async (t) => {
   const fleet = new QuotaFleet({ seed: 3, gateways: 9 });
   await fleet.run(SETTLE_MS);
   fleet.gateways.forEach((gateway, index) => (gateway.side = index % REGIONS));
@@ -51,7 +54,7 @@
   t.true(fleet.worstShare() <= 1);
 });
 
-test('repeats stay within their bound while regions are cut off', (t) => {
+test('retries stay within the retry budget while regions are partitioned', (t) => {
   for (let seed = 0; seed < SEEDS; seed += 1) {
     const random = new SeededRandom(seed);
     const budgets = Array.from({ length: GATEWAYS }, () => new RetryBudget(RETRY));
@@ -61,7 +64,7 @@
       const budget = budgets[Math.floor(random.next() * GATEWAYS)]!;
       budget.countRequest('s', nowMs);
       requests += 1;
-      // Gateways that are not heard count until they say that they leave.
+      // Unreachable gateways count as members until they announce that they leave.
       while (random.next() < 0.9 && budget.takeRepeat('s', GATEWAYS, nowMs)) {
         repeats += 1;
       }
--- a/test/store-troubles.test.ts
+++ b/test/store-troubles.test.ts
@@ -1,4 +1,7 @@
-/** Changes of the store are in force in time at every gateway that has a path to somebody who knows them. */
+/**
+ * Every gateway with a path to the store or to a peer that has received a change must apply it in
+ * time.
+ */
 import test from 'ava';
 import type { GatewayCluster } from '../src/gateway/gateway-cluster.js';
 import { runTroubled } from './support/fleet-troubles.js';
@@ -6,7 +9,9 @@
 
 const LENGTH_MS = 30_000;
 
-/** Late gateways of the first seed that has some, with what happened. */
+/**
+ * Runs the seeds until gateways are late; returns that seed and its run, or undefined if none are.
+ */
 async function findLate(
   seeds: { readonly from: number; readonly to: number },
   options: Omit<TroubledRunOptions, 'seed' | 'lengthMs'>,
@@ -26,13 +31,13 @@
   [12, 8],
   [27, 4],
 ] as const) {
-  test(`${gateways} gateways know changes in time beside troubles in series and overlapping`, async (t) => {
+  test(`${gateways} gateways apply store changes in time during consecutive and overlapping faults`, async (t) => {
     const found = await findLate({ from: 1, to }, { gateways });
     t.is(found, undefined, JSON.stringify(found));
   });
 }
 
-/** The parts of a process that a variant breaks. */
+/** Private members of `GatewayCluster` that a variant modifies. */
 interface Inside {
   readonly follower: {
     readonly calls: object;
@@ -43,14 +48,14 @@
 
 interface Variant {
   readonly name: string;
-  /** A seed that shows it. */
+  /** A seed in which the fault is detected. */
   readonly seed: number;
   breakInside(inside: Inside): void;
 }
 
 const VARIANTS: readonly Variant[] = [
   {
-    name: 'a call is waited for to its end',
+    name: 'a store call is only given up after its full timeout',
     seed: 23,
     breakInside: ({ follower }) => {
       Object.defineProperty(follower.calls, 'overdueMs', { get: () => 5_000 });
@@ -58,7 +63,7 @@
     },
   },
   {
-    name: 'news of a listing after an outage is kept back',
+    name: 'changes of the first listing after an outage are not sent to peers',
     seed: 13,
     breakInside: ({ records }) => {
       const reachOf = Object.getOwnPropertyDescriptor(Object.getPrototypeOf(records), 'reach')!;
@@ -71,7 +76,7 @@
     },
   },
   {
-    name: 'readers claim to read while they are deaf, and nobody looks how old knowledge is',
+    name: 'readers without store responses report that they read, and stale views go unnoticed',
     seed: 4,
     breakInside: (inside) => {
       Object.defineProperty(inside.follower, 'isFollowing', { get: () => true });
@@ -81,7 +86,7 @@
 ];
 
 for (const { name, seed, breakInside } of VARIANTS) {
-  test(`the check finds it if ${name}`, async (t) => {
+  test(`the check detects the fault: ${name}`, async (t) => {
     const breakProcess = (cluster: GatewayCluster) => breakInside(cluster as unknown as Inside);
     const found = await findLate({ from: seed, to: seed }, { gateways: 27, breakProcess });
     t.not(found, undefined);
--- a/test/support/platform-gateway.ts
+++ b/test/support/platform-gateway.ts
@@ -7,7 +7,7 @@
 import { SeededRandom } from '../../src/random.js';
 import { DecisionLog } from '../../src/telemetry/decision-log.js';
 
-/** A gateway over real sockets, in the test's own process. */
+/** A gateway with real sockets in the test process. */
 export interface RunningGateway {
   readonly gateway: GatewayRole;
   readonly callers: string;
@@ -15,10 +15,12 @@
   readonly peers: string;
 }
 
-const READY_LIMIT_MS = 8_000;
-const LOOK_MS = 20;
+const READY_TIMEOUT_MS = 8_000;
+const POLL_MS = 20;
 
-/** Starts gateways at `host`, on ports above `lastPort`; a test file takes an address of its own. */
+/**
+ * Starts gateways at `host`, on ports above `lastPort`; each test file must use its own address.
+ */
 export function platformGateways(host: string, lastPort: number) {
   let port = lastPort;
   const nextPort = () => (port += 1);
@@ -70,14 +72,14 @@
     return answer.statusCode === 200;
   }
 
-  /** Waits until all are ready. */
+  /** Waits until all gateways report ready. */
   async function untilReady(all: readonly RunningGateway[]): Promise<void> {
-    const endAt = Date.now() + READY_LIMIT_MS;
+    const endAt = Date.now() + READY_TIMEOUT_MS;
     while (!(await Promise.all(all.map(isReady))).every(Boolean)) {
       if (Date.now() > endAt) {
-        throw new Error('the gateways are not ready');
+        throw new Error('gateways did not become ready within 8 s');
       }
-      await new Promise((resolve) => setTimeout(resolve, LOOK_MS));
+      await new Promise((resolve) => setTimeout(resolve, POLL_MS));
     }
   }
 
