--- a/src/gateway/links/arrivals-read.ts
+++ b/src/gateway/links/arrivals-read.ts
@@ -1,10 +1,10 @@
-/** Calls back once everything that has arrived at this process was read. */
+/** Defers a callback until pending socket input has been read. */
 import type { Clock } from '../../clock.js';
 
 /**
- * Calls back, in the same turn of the loop, once whatever had arrived at the time that is passed on was read.
- * Timers run before what arrived while the process was busy or stood still: without this its own delay would
- * count as silence of others.
+ * Calls back in the same event-loop iteration, once all input that had arrived by `readUpToMs` has
+ * been read. Timers run before input that arrived while the process was busy or paused: without
+ * this its own delay would count as silence of its peers.
  */
 export function onceArrivalsRead(clock: Clock, callback: (readUpToMs: number) => void): void {
   const readUpToMs = clock.now();
--- a/src/gateway/links/beat-times.ts
+++ b/src/gateway/links/beat-times.ts
@@ -1,18 +1,21 @@
-/** How often gateways show each other that they live. */
+/** Heartbeat intervals between gateways. */
 
 /** Time between two ticks, in milliseconds. */
 export const PEER_TICK_MS = 100;
-/** Ticks without news after which a beat shows that this process lives. */
-export const IDLE_BEAT_TICKS = 5;
-/** Gateways that beats may go to in each tick; where there are more, beats are rarer. */
-const PEERS_PER_BEAT_TICK = 8;
-/** Ticks from one beat with news to the next among so many gateways. */
-export function beatTicks(gateways: number): number {
-  return Math.ceil(gateways / PEERS_PER_BEAT_TICK);
+/** Ticks without new state after which a heartbeat is sent all the same. */
+export const IDLE_HEARTBEAT_TICKS = 5;
+/**
+ * Number of gateways that a heartbeat may go to in each tick; in larger fleets heartbeats are less
+ * frequent.
+ */
+const PEERS_PER_HEARTBEAT_TICK = 8;
+/** Returns the ticks between two heartbeats with new state in a fleet of `gateways`. */
+export function heartbeatTicks(gateways: number): number {
+  return Math.ceil(gateways / PEERS_PER_HEARTBEAT_TICK);
 }
 
-/** Longest time between two beats of a gateway that is well, in milliseconds. */
-export function longestBeatMs(gateways: number): number {
-  const ticks = beatTicks(gateways);
-  return Math.ceil(IDLE_BEAT_TICKS / ticks) * ticks * PEER_TICK_MS;
+/** Returns the longest time between two heartbeats of a healthy gateway, in milliseconds. */
+export function maxHeartbeatIntervalMs(gateways: number): number {
+  const ticks = heartbeatTicks(gateways);
+  return Math.ceil(IDLE_HEARTBEAT_TICKS / ticks) * ticks * PEER_TICK_MS;
 }
--- a/src/gateway/links/gateway-peers.ts
+++ b/src/gateway/links/gateway-peers.ts
@@ -1,4 +1,7 @@
-/** What a gateway and its peers tell each other: that they live, charges to quotas, how far their replicas reach. */
+/**
+ * Messages between a gateway and its peers: heartbeats, quota requests, replication positions,
+ * crash and condition reports.
+ */
 import { DEFAULT_PEER_MESH_OPTIONS, PeerMesh } from '../../cluster/peer-mesh.js';
 import type { SendToPeer } from '../../cluster/peer-mesh.js';
 import type { PeerBeat, PeerHello, PeerMessage } from '../../cluster/peer-messages.js';
@@ -15,31 +18,34 @@
 import type { GatewayStatements } from '../gateway-statements.js';
 import type { ToldCondition } from '../statements/backend-condition.js';
 import type { RequestCrashes } from '../crashes/crash-tally.js';
-import { beatTicks, IDLE_BEAT_TICKS, longestBeatMs } from './beat-times.js';
+import { heartbeatTicks, IDLE_HEARTBEAT_TICKS, maxHeartbeatIntervalMs } from './beat-times.js';
 
-/** What gateways tell each other of requests that crash back ends. */
+/** Exchange of crash reports: how often requests have crashed back ends. */
 export interface PeerCrashTallies {
-  /** What a gateway that connects is told. */
+  /** Returns the reports for a gateway that connects. */
   tell(): readonly RequestCrashes[];
-  /** Takes in what a peer tells; returns what that lacks. */
-  hear(told: readonly RequestCrashes[]): readonly RequestCrashes[];
+  /** Merges a peer's reports; returns those that the peer lacks. */
+  hear(reports: readonly RequestCrashes[]): readonly RequestCrashes[];
 }
 
-/** What gateways tell each other of what back ends say of themselves. */
+/**
+ * Exchange of the conditions that back ends report, and of the rights to send to those that state a
+ * limit.
+ */
 export type PeerStatements = Pick<
   GatewayStatements,
   'tell' | 'hearPeer' | 'answer' | 'receiveAnswer' | 'takeBack'
 >;
 
-/** What the peers of a gateway are made from. */
+/** Configuration and dependencies of `GatewayPeers`. */
 export interface GatewayPeersParts {
   readonly name: string;
-  /** Differs after each start of the process. */
+  /** Unique to each start of the process. */
   readonly incarnation: string;
   readonly zone: string;
-  /** Region that it stands in; undefined where the deployment names none. */
+  /** Region of the zone; undefined if the deployment defines none. */
   readonly region: string | undefined;
-  /** Address that peers reach this gateway at, IP:PORT; empty for none. */
+  /** Peer address of this gateway, IP:PORT; empty for none. */
   readonly address: string;
   readonly seeds: readonly string[];
   readonly records: ReplicatedRecords;
@@ -49,32 +55,41 @@
   readonly readers: StoreReaders;
   readonly crashes: PeerCrashTallies;
   readonly statements: PeerStatements;
-  /** Whether this gateway reads the store and is answered. */
+  /** Whether this gateway reads the store and gets responses. */
   isReading(): boolean;
-  /** How long ago the store's records were as this gateway knows them, in milliseconds. */
+  /**
+   * Returns the age of this gateway's replica of the store's records, in milliseconds; undefined if
+   * it has none.
+   */
   knowledgeAgeMs(): number | undefined;
-  /** A peer that reaches so far knows the records as they were `ageMs` ago. */
+  /**
+   * Called when a peer reports its replication position `reach` and the age of its replica, in
+   * milliseconds.
+   */
   onKnowledge(reach: ReplicaReach, ageMs: number): void;
   readonly clock: Clock;
   readonly random: RandomSource;
   /** Default: TCP. */
   readonly network?: PeerNetwork | undefined;
-  /** A peer was heard for the first time, or is gone. */
+  /** Called when a peer process sends its first message, and when it leaves or is replaced. */
   onPeer(peer: string, isPresent: boolean): void;
 }
 
-/** Silence of a peer after which the connection to it is opened anew: a time, and periods of its beats. */
+/**
+ * Silence after which the connection to a peer is reopened: the greater of a time and a number of
+ * heartbeat intervals.
+ */
 const REOPEN_SILENCE_MS = 2_500;
-const REOPEN_SILENCE_BEATS = 4;
+const REOPEN_SILENCE_HEARTBEATS = 4;
 
-/** A gateway's side of the mesh. */
+/** A gateway's end of the peer mesh. */
 export class GatewayPeers {
   private readonly mesh: PeerMesh;
   private ticks = 0;
-  private lastBeatTick = 0;
-  private beatReach = NO_REACH;
-  private toldReach = NO_REACH;
-  private toldReading = false;
+  private lastHeartbeatTick = 0;
+  private lastHeartbeatReach = NO_REACH;
+  private lastSentReach = NO_REACH;
+  private lastSentIsReading = false;
   private readonly startedAtMs: number;
 
   constructor(private readonly parts: GatewayPeersParts) {
@@ -84,19 +99,19 @@
       { kind: 'hello', role: 'gateway', name, incarnation, address, zone },
       seeds,
       {
-        onMessage: (hello, message, reply) => this.receive(hello, message, reply),
+        onMessage: (hello, message, reply) => this.handleMessage(hello, message, reply),
         onQuestion: (message, reply) => {
           if (message.kind === 'fetch') {
             reply(exchange.answer(message));
           } else if (message.kind === 'crashes') {
-            this.hearCrashes(message.requests, reply);
+            this.mergeCrashes(message.requests, reply);
           } else if (message.kind === 'quota-answer') {
             quotas.receiveAnswer(message);
           } else if (message.kind === 'send-right-answer') {
             parts.statements.receiveAnswer(message);
           }
         },
-        onOpened: (send) => this.greet(send),
+        onOpened: (send) => this.sendInitialState(send),
         onPeer: (peer, isPresent) => {
           if (!isPresent) {
             readers.forget(peer);
@@ -111,12 +126,12 @@
     );
   }
 
-  /** Gateways known, this one included. */
+  /** Number of known gateways, including this one. */
   get size(): number {
     return this.mesh.size;
   }
 
-  /** What this gateway knows of the others, for parts that are dealt out without a word. */
+  /** This gateway's view of the fleet, from which shares are computed without coordination. */
   get view(): GatewayView {
     const { address, seeds } = this.parts;
     const isAlone = seeds.every((seed) => seed === address);
@@ -128,12 +143,12 @@
     };
   }
 
-  /** Longest time between two beats of a gateway that is well, in milliseconds. */
+  /** Longest time between two heartbeats of a healthy gateway, in milliseconds. */
   get beatMs(): number {
-    return longestBeatMs(this.mesh.size);
+    return maxHeartbeatIntervalMs(this.mesh.size);
   }
 
-  /** Takes connections of peers at `host` and `port`. */
+  /** Accepts connections of peers at `host` and `port`. */
   listen(host: string, port: number): void {
     this.mesh.listen(host, port);
   }
@@ -143,85 +158,97 @@
     this.mesh.start();
   }
 
-  /** Says that this process leaves, and ends every connection. */
+  /** Broadcasts that this process is leaving, and closes every connection. */
   stop(): void {
     this.mesh.broadcast({ kind: 'leaving' });
     this.mesh.stop();
   }
 
-  /** Sends what is due; to be called each tick. */
+  /**
+   * Reopens silent connections, and sends a heartbeat or position if due; to be called each tick.
+   */
   tick(): void {
     this.ticks += 1;
-    this.mesh.reopenSilent(Math.max(REOPEN_SILENCE_MS, this.beatMs * REOPEN_SILENCE_BEATS));
-    if (this.ticks % this.beatTicks === 0 || this.hasReadingChanged) {
-      this.beat();
+    this.mesh.reopenSilent(Math.max(REOPEN_SILENCE_MS, this.beatMs * REOPEN_SILENCE_HEARTBEATS));
+    if (this.ticks % this.heartbeatTicks === 0 || this.hasReadingChanged) {
+      this.sendHeartbeatIfDue();
     } else {
-      this.tellReach();
+      this.sendReachIfAdvanced();
     }
   }
 
-  /** Says `message` to the gateway at `address`; false if no connection to it stands. */
+  /** Sends `message` to the gateway at `address`; false if it is not connected. */
   sendTo(address: string, message: PeerMessage): boolean {
     return this.mesh.sendTo(address, message);
   }
 
-  /** Connects to gateways that were not known. */
+  /** Connects to gateways that were unknown so far. */
   learnAddresses(addresses: readonly string[]): void {
     this.mesh.learnAddresses(addresses);
   }
 
-  /** Tells every peer at once: until it knows, it sends a request on that crashes back ends. */
+  /**
+   * Broadcasts crash reports at once: until a peer has them, it forwards requests that crash back
+   * ends.
+   */
   tellCrashes(requests: readonly RequestCrashes[]): void {
     this.mesh.broadcast({ kind: 'crashes', requests });
   }
 
-  /** Tells every peer what back ends said of themselves. */
+  /** Broadcasts conditions that back ends have reported. */
   tellConditions(conditions: readonly ToldCondition[]): void {
     this.mesh.broadcast({ kind: 'conditions', conditions });
   }
 
-  private hearCrashes(told: readonly RequestCrashes[], reply: SendToPeer): void {
-    const lacking = this.parts.crashes.hear(told);
-    if (lacking.length > 0) {
-      reply({ kind: 'crashes', requests: lacking });
+  private mergeCrashes(reports: readonly RequestCrashes[], reply: SendToPeer): void {
+    const missing = this.parts.crashes.hear(reports);
+    if (missing.length > 0) {
+      reply({ kind: 'crashes', requests: missing });
     }
   }
 
-  /** Ticks from one beat with news to the next. */
-  private get beatTicks(): number {
-    return beatTicks(this.mesh.size);
+  /** Ticks between two heartbeats with new state. */
+  private get heartbeatTicks(): number {
+    return heartbeatTicks(this.mesh.size);
   }
 
-  /** A reader of the store tells what it learned before its next beat, since others wait for it. */
-  private tellReach(): void {
+  /**
+   * Broadcasts a store reader's new position before its next heartbeat, since other gateways wait
+   * for it.
+   */
+  private sendReachIfAdvanced(): void {
     const { reach } = this.parts.records;
-    if (isFurther(reach, this.toldReach) && this.parts.isReading()) {
-      this.toldReach = reach;
+    if (isFurther(reach, this.lastSentReach) && this.parts.isReading()) {
+      this.lastSentReach = reach;
       this.mesh.broadcast({ kind: 'reach', reach });
     }
   }
 
-  /** Others read the store in the place of one that no longer does, so they are told at once. */
+  /**
+   * Whether `isReading` changed since it was last sent; sent at once, since another gateway takes
+   * over reading the store.
+   */
   private get hasReadingChanged(): boolean {
-    return this.parts.isReading() !== this.toldReading;
+    return this.parts.isReading() !== this.lastSentIsReading;
   }
 
-  private beat(): void {
+  private sendHeartbeatIfDue(): void {
     const { records } = this.parts;
     const { reach } = records;
     const hasRollouts = this.parts.rollouts.tell() !== undefined;
-    const hasNews = isFurther(reach, this.beatReach) || hasRollouts || this.hasReadingChanged;
-    if (hasNews || this.ticks - this.lastBeatTick >= IDLE_BEAT_TICKS) {
-      this.lastBeatTick = this.ticks;
-      this.beatReach = reach;
-      this.toldReach = reach;
-      this.toldReading = this.parts.isReading();
-      this.mesh.broadcast(this.beatNow());
+    const hasNewState =
+      isFurther(reach, this.lastHeartbeatReach) || hasRollouts || this.hasReadingChanged;
+    if (hasNewState || this.ticks - this.lastHeartbeatTick >= IDLE_HEARTBEAT_TICKS) {
+      this.lastHeartbeatTick = this.ticks;
+      this.lastHeartbeatReach = reach;
+      this.lastSentReach = reach;
+      this.lastSentIsReading = this.parts.isReading();
+      this.mesh.broadcast(this.buildHeartbeat());
     }
   }
 
-  private greet(send: SendToPeer): void {
-    send(this.beatNow());
+  private sendInitialState(send: SendToPeer): void {
+    send(this.buildHeartbeat());
     const requests = this.parts.crashes.tell();
     if (requests.length > 0) {
       send({ kind: 'crashes', requests });
@@ -232,7 +259,7 @@
     }
   }
 
-  private beatNow(): PeerBeat {
+  private buildHeartbeat(): PeerBeat {
     const { records, quotas } = this.parts;
     const rollouts = this.parts.rollouts.tell();
     return {
@@ -247,12 +274,12 @@
     };
   }
 
-  private receive(hello: PeerHello, message: PeerMessage, reply: SendToPeer): void {
+  private handleMessage(hello: PeerHello, message: PeerMessage, reply: SendToPeer): void {
     const { quotas, exchange, readers, statements, clock } = this.parts;
     if (message.kind === 'records') {
       exchange.receive(message);
     } else if (message.kind === 'crashes') {
-      this.hearCrashes(message.requests, reply);
+      this.mergeCrashes(message.requests, reply);
     } else if (message.kind === 'conditions') {
       statements.hearPeer(message.conditions);
     } else if (message.kind === 'send-right-ask') {
--- a/src/gateway/links/slot-agent-links.ts
+++ b/src/gateway/links/slot-agent-links.ts
@@ -1,4 +1,4 @@
-/** A gateway's connections to the agents beside engines. */
+/** A gateway's connections to the slot agents that run beside engines. */
 import { connect } from 'node:net';
 import type { RecordExchange } from '../../cluster/record-exchange.js';
 import { isFurther, NO_REACH } from '../../cluster/replicated-records.js';
@@ -17,32 +17,35 @@
 import type { KnownBackend } from '../dispatch/known-backend.js';
 import type { PathState } from '../dispatch/path-state.js';
 
-/** Times of the connections, in milliseconds. */
+/** Addresses and timeouts of the connections; times in milliseconds. */
 export interface SlotAgentLinkOptions {
-  /** Port that agents listen on, on the machine of their back end. */
+  /** Port that agents listen on, on the host of their back end. */
   readonly port: number;
-  /** Address that this gateway takes connections of peers at, IP:PORT. */
+  /** Peer address of this gateway, IP:PORT. */
   readonly peersAddress: string;
   /** Zone of this gateway. */
   readonly zone: string;
-  /** Silence after which a connection is given up; agents speak each 300 ms. Default 1,000. */
+  /** Silence after which a connection is closed; agents send every 300 ms. Default 1,000. */
   readonly silenceMs: number;
   /**
-   * Shortest time in which a connection that does not come up is given up, in milliseconds; it grows with the
-   * pause before the next one. Default 300: many round trips, and below the second after which the system
-   * asks again, so that a path that is back is found by the next connection.
+   * Minimum connect timeout, in milliseconds; it grows with the reconnect backoff. Default 300:
+   * many round trips, and below the second after which the kernel retransmits a SYN, so that the
+   * next connection detects a recovered path.
    */
   readonly connectMinMs: number;
-  /** Quiet time after which an agent is shown that this gateway lives. Default 150. */
+  /** Idle time after which an agent is sent a keepalive. Default 150. */
   readonly aliveMs: number;
-  /** First and longest pause before connecting again. Defaults 250 and 4,000. */
+  /** Initial and maximum reconnect backoff. Defaults 250 and 4,000. */
   readonly retryMinMs: number;
   readonly retryMaxMs: number;
-  /** Longest such pause while the path is suspect: its return is to be found soon. Default 1,000. */
+  /**
+   * Maximum backoff while the path is suspect, so that its recovery is detected soon. Default
+   * 1,000.
+   */
   readonly suspectRetryMaxMs: number;
 }
 
-/** Defaults of the connections' times. */
+/** Default timeouts of the connections. */
 export const DEFAULT_SLOT_AGENT_LINK_OPTIONS = {
   silenceMs: 1_000,
   connectMinMs: 300,
@@ -56,38 +59,41 @@
   readonly backendId: string;
   readonly host: string;
   channel: MessageChannel<GatewayToAgent, AgentToGateway> | undefined;
-  isGreeted: boolean;
-  heardAtMs: number;
-  spokeAtMs: number;
+  isEstablished: boolean;
+  lastReceivedAtMs: number;
+  lastSentAtMs: number;
   retryAtMs: number;
   retryMs: number;
-  /** Why the agent ended the connection, where it said so. */
+  /** Reason that the agent sent before it closed the connection, if any. */
   refusal: AgentRefusal['reason'] | undefined;
-  /** What the connection that ended last says of the path. */
-  lastEnd: LinkEnd;
-  /** Whether the agent ended the last connection since it had heard nothing of this gateway. */
-  isUnheard: boolean;
+  /** Evidence about the path from the end of the last connection. */
+  lastEnd: PathEvidence;
+  /** Whether, since the last hello, the agent closed a connection because it received nothing. */
+  wasReportedSilent: boolean;
 }
 
-/** What the end of a connection says of the path. */
-type LinkEnd =
-  /** The other machine ended or refused it: the path stands, though no agent may be there. */
+/** Evidence about the path from the end of a connection. */
+type PathEvidence =
+  /** The remote host closed or refused it: the path works, though no agent may be running. */
   | 'answered'
-  /** Nothing was heard for too long. */
+  /** Nothing was received for too long, or an error other than a response occurred. */
   | 'silent'
-  /** Nothing. */
+  /** No evidence. */
   | 'unknown';
 
-/** Errors by which the other machine answered. */
-const ANSWER_CODES: ReadonlySet<string> = new Set(['ECONNREFUSED', 'ECONNRESET', 'EPIPE']);
+/** Errors that prove a response of the remote host. */
+const PEER_RESPONSE_CODES: ReadonlySet<string> = new Set(['ECONNREFUSED', 'ECONNRESET', 'EPIPE']);
 
-/** A connection to the agent beside a back end came up, or was lost; `reason` is what the agent said. */
-export type OnAgent = (backendId: string, isConnected: boolean, reason?: string) => void;
+/**
+ * Called when the connection to a back end's agent is established or lost; `reason` is the agent's,
+ * if any.
+ */
+export type OnAgentConnection = (backendId: string, isConnected: boolean, reason?: string) => void;
 
-/** A gateway's connections to agents. */
+/** Maintains a gateway's connections to slot agents. */
 export class SlotAgentLinks {
   private readonly links = new Map<string, Link>();
-  private toldReach = NO_REACH;
+  private lastSentReach = NO_REACH;
 
   constructor(
     private readonly gatewayName: string,
@@ -97,29 +103,32 @@
     private readonly exchange: RecordExchange,
     private readonly isEngine: (service: string) => boolean,
     private readonly coldStartOf: (service: string) => ColdStartHello | undefined,
-    private readonly onAgent: OnAgent,
+    private readonly onAgent: OnAgentConnection,
     private readonly clock: Clock,
     private readonly options: SlotAgentLinkOptions,
   ) {}
 
-  /** Sends a message to the agent beside a back end. */
+  /** Sends a message to a back end's agent. */
   send(backendId: string, message: GatewayToAgent): void {
     const link = this.links.get(backendId);
     if (link !== undefined) {
-      link.spokeAtMs = this.clock.now();
+      link.lastSentAtMs = this.clock.now();
       link.channel?.send(message);
     }
   }
 
-  /** Shows agents that hold or owe this gateway slots that it lives; to be called each tick. */
+  /**
+   * Sends keepalives on idle connections to agents at which this gateway has outstanding or waiting
+   * requests; to be called each tick.
+   */
   tellAlive(): void {
     const nowMs = this.clock.now();
     for (const link of this.links.values()) {
-      const isQuiet = nowMs - link.spokeAtMs >= this.options.aliveMs;
+      const isIdle = nowMs - link.lastSentAtMs >= this.options.aliveMs;
       const known = this.directory.find(link.backendId);
       const isAtWork = known !== undefined && (known.outstanding > 0 || known.hasDemand);
-      if (link.isGreeted && isQuiet && isAtWork) {
-        // The agent counts it as any other message.
+      if (link.isEstablished && isIdle && isAtWork) {
+        // The agent includes keepalives in its message count.
         if (known.agent !== undefined) {
           known.agent.messagesSent += 1;
         }
@@ -128,32 +137,33 @@
     }
   }
 
-  /** Tells every agent how far the replica of the store reaches, if that changed. */
+  /** Sends every agent the replication position (`reach`), if it advanced. */
   tellReach(): void {
     const { reach } = this.records;
-    if (!isFurther(reach, this.toldReach)) {
+    if (!isFurther(reach, this.lastSentReach)) {
       return;
     }
-    this.toldReach = reach;
-    for (const { channel, isGreeted } of this.links.values()) {
-      if (isGreeted) {
+    this.lastSentReach = reach;
+    for (const { channel, isEstablished } of this.links.values()) {
+      if (isEstablished) {
         channel?.send({ kind: 'reach', reach });
       }
     }
   }
 
   /**
-   * Opens and closes connections as back ends come and go; to be called now and then. Whatever arrived up to
-   * `readUpToMs` has been read, so that silence is counted up to then: a word may lie unread since.
+   * Opens and closes connections as back ends come and go; to be called periodically. All input up
+   * to `readUpToMs` has been read, so that silence is measured up to then: later messages may still
+   * be unread.
    */
   maintain(readUpToMs: number): void {
     const nowMs = this.clock.now();
     const wanted = new Set<string>();
     for (const known of this.directory.list()) {
       const { backend } = known;
-      if (isWorkedWith(known) && this.isEngine(backend.service)) {
+      if (needsLink(known) && this.isEngine(backend.service)) {
         wanted.add(backend.id);
-        this.keep(backend.id, splitAddress(backend.address).host, nowMs, readUpToMs);
+        this.maintainLink(backend.id, splitAddress(backend.address).host, nowMs, readUpToMs);
       }
     }
     for (const [backendId, link] of this.links) {
@@ -164,7 +174,7 @@
     }
   }
 
-  /** Ends every connection. */
+  /** Flushes and closes every connection. */
   stop(): void {
     for (const link of this.links.values()) {
       link.channel?.flush();
@@ -172,50 +182,50 @@
     }
   }
 
-  private keep(backendId: string, host: string, nowMs: number, readUpToMs: number): void {
+  private maintainLink(backendId: string, host: string, nowMs: number, readUpToMs: number): void {
     const { retryMinMs: retryMs } = this.options;
     const link: Link = this.links.get(backendId) ?? {
       backendId,
       host,
       channel: undefined,
-      isGreeted: false,
-      heardAtMs: nowMs,
-      spokeAtMs: nowMs,
+      isEstablished: false,
+      lastReceivedAtMs: nowMs,
+      lastSentAtMs: nowMs,
       retryAtMs: nowMs,
       retryMs,
       refusal: undefined,
       lastEnd: 'unknown',
-      isUnheard: false,
+      wasReportedSilent: false,
     };
     this.links.set(backendId, link);
     if (link.channel === undefined) {
       if (nowMs >= link.retryAtMs) {
         this.open(link);
       }
-    } else if (readUpToMs - link.heardAtMs > this.silenceLimitMs(link)) {
+    } else if (readUpToMs - link.lastReceivedAtMs > this.silenceLimitMs(link)) {
       link.lastEnd = 'silent';
       link.channel.close();
     }
   }
 
-  private silenceLimitMs({ isGreeted, retryMs }: Link): number {
+  private silenceLimitMs({ isEstablished, retryMs }: Link): number {
     const { silenceMs, connectMinMs } = this.options;
-    return isGreeted ? silenceMs : Math.min(silenceMs, Math.max(connectMinMs, retryMs));
+    return isEstablished ? silenceMs : Math.min(silenceMs, Math.max(connectMinMs, retryMs));
   }
 
   private open(link: Link): void {
     const socket = connect(this.options.port, link.host);
     const openedAtMs = this.clock.now();
-    link.heardAtMs = openedAtMs;
+    link.lastReceivedAtMs = openedAtMs;
     link.lastEnd = 'unknown';
     socket.once('end', () => (link.lastEnd = 'answered'));
     socket.once('error', ({ code }: NodeJS.ErrnoException) => {
-      link.lastEnd = ANSWER_CODES.has(code ?? '') ? 'answered' : 'silent';
+      link.lastEnd = PEER_RESPONSE_CODES.has(code ?? '') ? 'answered' : 'silent';
     });
     const channel = new MessageChannel<GatewayToAgent, AgentToGateway>(socket, {
       onMessage: (message) => {
-        link.heardAtMs = this.clock.now();
-        this.pathOf(link)?.noteHeard(link.heardAtMs);
+        link.lastReceivedAtMs = this.clock.now();
+        this.pathOf(link)?.noteHeard(link.lastReceivedAtMs);
         if (message.kind === 'fetch') {
           channel.send(this.exchange.answer(message));
           return;
@@ -225,25 +235,25 @@
           channel.close();
           return;
         }
-        this.dispatcher().receiveFromAgent(link.backendId, message, link.heardAtMs);
+        this.dispatcher().receiveFromAgent(link.backendId, message, link.lastReceivedAtMs);
       },
       onClose: () => this.close(link, channel),
     });
     link.channel = channel;
     socket.once('connect', () => {
       this.directory.find(link.backendId)?.roundTrip.learn(this.clock.now() - openedAtMs);
-      this.greet(link, channel);
+      this.sendHello(link, channel);
     });
   }
 
-  private greet(link: Link, channel: MessageChannel<GatewayToAgent, AgentToGateway>): void {
+  private sendHello(link: Link, channel: MessageChannel<GatewayToAgent, AgentToGateway>): void {
     const known = this.directory.find(link.backendId);
     if (known === undefined || link.channel !== channel) {
       channel.close();
       return;
     }
     link.retryMs = this.options.retryMinMs;
-    link.isUnheard = false;
+    link.wasReportedSilent = false;
     const { outstanding: held, backend } = known;
     const { peersAddress, zone } = this.options;
     const { slots } = backend;
@@ -258,7 +268,7 @@
     const coldStart = this.coldStartOf(backend.service);
     channel.send(coldStart === undefined ? hello : { ...hello, coldStart });
     channel.send({ kind: 'reach', reach: this.records.reach });
-    link.isGreeted = true;
+    link.isEstablished = true;
     this.onAgent(link.backendId, true);
     this.dispatcher().connectAgent(link.backendId, this.clock.now());
   }
@@ -268,36 +278,37 @@
       return;
     }
     link.channel = undefined;
-    this.notePath(link);
-    if (link.isGreeted) {
-      link.isGreeted = false;
+    this.updatePath(link);
+    if (link.isEstablished) {
+      link.isEstablished = false;
       this.onAgent(link.backendId, false, link.refusal);
     }
     const nowMs = this.clock.now();
-    // An agent that closed a connection itself lives: the next one may be opened at once.
+    // An agent that closed the connection with a reason is alive: reconnect at once.
     link.retryAtMs = link.refusal === undefined ? nowMs + link.retryMs : nowMs;
-    link.isUnheard ||= link.refusal === 'silent';
+    link.wasReportedSilent ||= link.refusal === 'silent';
     link.refusal = undefined;
-    link.retryMs = Math.min(link.retryMs * 2, this.longestRetryMs(link));
+    link.retryMs = Math.min(link.retryMs * 2, this.maxRetryMs(link));
     this.dispatcher().disconnectAgent(link.backendId, nowMs);
   }
 
   /**
-   * A connection that stood and fell silent speaks against the path. One that does not come up does so only
-   * after the agent has complained of silence: otherwise there may be no machine at all.
+   * Updates the path state from the end of a connection. Silence on an established connection
+   * counts against the path; a connect timeout does so only after the agent reported this gateway
+   * as silent, since otherwise the host may not exist.
    */
-  private notePath(link: Link): void {
+  private updatePath(link: Link): void {
     if (this.links.get(link.backendId) !== link) {
       return;
     }
     if (link.lastEnd === 'answered') {
       this.pathOf(link)?.noteHeard(this.clock.now());
-    } else if (link.lastEnd === 'silent' && (link.isGreeted || link.isUnheard)) {
+    } else if (link.lastEnd === 'silent' && (link.isEstablished || link.wasReportedSilent)) {
       this.pathOf(link)?.noteAgentSilent();
     }
   }
 
-  private longestRetryMs(link: Link): number {
+  private maxRetryMs(link: Link): number {
     const { retryMaxMs, suspectRetryMaxMs } = this.options;
     const path = this.pathOf(link);
     return path?.isAgentSilent === true || path?.isSuspect === true
@@ -311,10 +322,10 @@
 }
 
 /**
- * Requests that still run at an engine are accounted for also after it is no longer assigned, and one that
- * fell silent is looked for.
+ * Whether a connection to the engine's agent is needed: while it is assigned, while it runs
+ * requests of this gateway, and while its agent is silent, to detect its recovery.
  */
-function isWorkedWith(known: KnownBackend): boolean {
+function needsLink(known: KnownBackend): boolean {
   const { isCurrent, isAssigned, outstanding, path } = known;
   return isCurrent && (isAssigned || outstanding > 0 || path.isAgentSilent);
 }
--- a/src/gateway/quotas/open-charge.ts
+++ b/src/gateway/quotas/open-charge.ts
@@ -1,167 +1,180 @@
-/** One charge that is under way: holders are asked in turn until its parts are granted or nobody is left. */
-import type { AskedCost, QuotaGrant, RefusedGrant } from './quota-pools.js';
+/**
+ * One pending charge: requests grants from pool holders until all parts are granted or no holder is
+ * left.
+ */
+import type { RequestedCost, QuotaGrant, QuotaRefusal } from './quota-pools.js';
 
 /** How a charge ended. */
 export type ChargeResult =
   | {
       readonly isGranted: true;
-      /** The request did not run: what was granted goes back, if it is not too late. */
+      /** Refunds the grants of a request that did not run, where they are still refundable. */
       giveBack(): void;
     }
   | {
       readonly isGranted: false;
-      /** When the caller may usefully try again, in milliseconds. */
+      /** Suggested delay before the caller retries, in milliseconds. */
       readonly retryAfterMs: number;
-      /** Holders that refused, and that were not reached or did not answer. */
+      /** Number of holders that refused. */
       readonly refused: number;
+      /** Number of holders that were unreachable, timed out or hold no pool of the tenant. */
       readonly unanswered: number;
-      /** What the pools of those that refused held. */
+      /** Sum of the levels of the pools that refused. */
       readonly left: number;
     };
 
-/** A charge that may still be under way. */
+/** A charge that may still be pending. */
 export interface Charge {
-  /** Its result is not waited for any more: what is granted all the same goes back. */
+  /** Abandons the charge; its grants are refunded, also those that arrive later. */
   cancel(): void;
 }
 
-/** What an open charge needs from its surroundings. */
-export interface OpenChargePorts {
-  /** Asks a holder; `onAnswer` is called once, with undefined where it was not reached or did not answer. */
-  ask(
+/** Dependencies of a pending charge. */
+export interface PendingChargePorts {
+  /**
+   * Requests a grant; `onDecision` is called once, with undefined if the holder is unreachable or
+   * times out.
+   */
+  requestGrant(
     holder: string,
     id: number,
-    asked: AskedCost,
-    onAnswer: (grant: QuotaGrant | undefined) => void,
+    requested: RequestedCost,
+    onDecision: (decision: QuotaGrant | undefined) => void,
   ): void;
   nextId(): number;
-  after(delayMs: number, callback: () => void): void;
-  giveBack(holder: string, id: number): void;
-  takeReserve(): boolean;
+  schedule(delayMs: number, callback: () => void): void;
+  refund(holder: string, id: number): void;
+  drawReserve(): boolean;
   onResult(result: ChargeResult): void;
 }
 
-/** Pause named to a caller whose tenant's pools could not be asked, in milliseconds: a silent holder is passed over as long. */
-const UNREACHED_RETRY_MS = 500;
+/**
+ * Retry delay returned if no holder could be reached, in milliseconds; an unresponsive holder is
+ * skipped for as long.
+ */
+const UNREACHABLE_RETRY_MS = 500;
 
 /**
- * One charge: as many holders are asked at a time as parts are lacking. Once nobody is left who holds so much now, what
- * is lacking is divided among all that refused, and it may wait for what flows in.
+ * One charge: requests as many parts in parallel as are still missing. Once every holder was tried,
+ * the missing cost is split once among all holders that refused, which may then issue advance
+ * grants against future refill.
  */
-export class OpenCharge implements Charge {
+export class PendingCharge implements Charge {
   private readonly granted: Array<{ readonly holder: string; readonly id: number }> = [];
-  private refusals: Array<{ readonly holder: string; readonly grant: RefusedGrant }> = [];
-  private asking = 0;
+  private refusals: Array<{ readonly holder: string; readonly grant: QuotaRefusal }> = [];
+  private inFlight = 0;
   private unanswered = 0;
-  /** Time until all that is granted may be used, in milliseconds. */
+  /** Delay until every advance grant is valid, in milliseconds. */
   private afterMs = 0;
-  /** What each part costs that is asked for now. */
+  /** Cost of each part requested in this round. */
   private partCost: number;
   private mayWait = false;
-  private isOver = false;
+  private isFinished = false;
 
   constructor(
     private holders: readonly string[],
     private parts: number,
     private readonly cost: number,
-    private readonly ports: OpenChargePorts,
+    private readonly ports: PendingChargePorts,
   ) {
     this.partCost = cost / parts;
   }
 
-  /** Asks on until the charge is granted or nobody is left to ask. */
+  /** Requests the missing parts, and completes the charge once no request is in flight. */
   proceed(): void {
-    while (!this.isOver && this.granted.length + this.asking < this.parts) {
+    while (!this.isFinished && this.granted.length + this.inFlight < this.parts) {
       const [holder, ...others] = this.holders;
       if (holder === undefined) {
         break;
       }
       this.holders = others;
-      this.askOne(holder);
+      this.requestPart(holder);
     }
-    if (!this.isOver && this.asking === 0 && !this.askAgain()) {
-      this.end();
+    if (!this.isFinished && this.inFlight === 0 && !this.splitRemainder()) {
+      this.complete();
     }
   }
 
   cancel(): void {
-    if (!this.isOver) {
-      this.isOver = true;
-      this.giveBack();
+    if (!this.isFinished) {
+      this.isFinished = true;
+      this.refundGranted();
     }
   }
 
-  private askOne(holder: string): void {
+  private requestPart(holder: string): void {
     const id = this.ports.nextId();
-    this.asking += 1;
-    const asked = { cost: this.partCost, whole: this.cost, mayWait: this.mayWait };
-    this.ports.ask(holder, id, asked, (grant) => {
-      this.asking -= 1;
-      this.noteAnswer(holder, id, grant);
+    this.inFlight += 1;
+    const requested = { cost: this.partCost, whole: this.cost, mayWait: this.mayWait };
+    this.ports.requestGrant(holder, id, requested, (decision) => {
+      this.inFlight -= 1;
+      this.handleDecision(holder, id, decision);
       this.proceed();
     });
   }
 
-  private noteAnswer(holder: string, id: number, grant: QuotaGrant | undefined): void {
-    if (grant === undefined || (!grant.isGranted && !grant.isHeld)) {
+  private handleDecision(holder: string, id: number, decision: QuotaGrant | undefined): void {
+    if (decision === undefined || (!decision.isGranted && !decision.isHeld)) {
       this.unanswered += 1;
-    } else if (!grant.isGranted) {
-      this.refusals.push({ holder, grant });
-    } else if (this.isOver) {
-      this.ports.giveBack(holder, id);
+    } else if (!decision.isGranted) {
+      this.refusals.push({ holder, grant: decision });
+    } else if (this.isFinished) {
+      this.ports.refund(holder, id);
     } else {
       this.granted.push({ holder, id });
-      this.afterMs = Math.max(this.afterMs, grant.afterMs);
+      this.afterMs = Math.max(this.afterMs, decision.afterMs);
     }
   }
 
-  /** Divides what is lacking among those that refused, once; says whether it did. */
-  private askAgain(): boolean {
+  /**
+   * Splits the missing cost among the holders that refused, at most once; returns whether it did.
+   */
+  private splitRemainder(): boolean {
     if (this.mayWait || this.granted.length === this.parts || this.refusals.length === 0) {
       return false;
     }
-    const lacking = this.partCost * (this.parts - this.granted.length);
+    const missingCost = this.partCost * (this.parts - this.granted.length);
     this.mayWait = true;
     this.holders = this.refusals.map(({ holder }) => holder);
     this.refusals = [];
-    this.partCost = lacking / this.holders.length;
+    this.partCost = missingCost / this.holders.length;
     this.parts = this.granted.length + this.holders.length;
     this.proceed();
     return true;
   }
 
-  private end(): void {
-    const isWhole = this.granted.length === this.parts;
-    if (isWhole && this.afterMs > 0) {
-      this.ports.after(this.afterMs, () => this.finish(true));
+  private complete(): void {
+    const isComplete = this.granted.length === this.parts;
+    if (isComplete && this.afterMs > 0) {
+      this.ports.schedule(this.afterMs, () => this.finish(true));
       return;
     }
-    this.finish(isWhole);
+    this.finish(isComplete);
   }
 
-  private finish(isWhole: boolean): void {
-    if (this.isOver) {
+  private finish(isComplete: boolean): void {
+    if (this.isFinished) {
       return;
     }
-    this.isOver = true;
-    if (!isWhole) {
-      this.giveBack();
+    this.isFinished = true;
+    if (!isComplete) {
+      this.refundGranted();
     }
-    if (isWhole || (this.unanswered > 0 && this.ports.takeReserve())) {
-      this.ports.onResult({ isGranted: true, giveBack: () => this.giveBack() });
+    if (isComplete || (this.unanswered > 0 && this.ports.drawReserve())) {
+      this.ports.onResult({ isGranted: true, giveBack: () => this.refundGranted() });
       return;
     }
-    const pauses = this.refusals.map(({ grant }) => grant.retryAfterMs);
+    const retryDelays = this.refusals.map(({ grant }) => grant.retryAfterMs);
     this.ports.onResult({
       isGranted: false,
-      retryAfterMs: pauses.length === 0 ? UNREACHED_RETRY_MS : Math.min(...pauses),
+      retryAfterMs: retryDelays.length === 0 ? UNREACHABLE_RETRY_MS : Math.min(...retryDelays),
       refused: this.refusals.length,
       unanswered: this.unanswered,
       left: this.refusals.reduce((sum, { grant }) => sum + grant.left, 0),
     });
   }
 
-  private giveBack(): void {
-    this.granted.splice(0).forEach(({ holder, id }) => this.ports.giveBack(holder, id));
+  private refundGranted(): void {
+    this.granted.splice(0).forEach(({ holder, id }) => this.ports.refund(holder, id));
   }
 }
--- a/src/gateway/quotas/quota-bucket.ts
+++ b/src/gateway/quotas/quota-bucket.ts
@@ -1,90 +1,97 @@
-/** A token bucket that takes back what was granted a moment ago and was not used. */
+/** A token bucket with refunds of recent, unused grants. */
 import type { BucketTerms } from './quota-terms.js';
 
 /**
- * How long a grant may be given back, in milliseconds: longer than a gateway asks the holders of a tenant's pools one
- * after the other. What was granted so lately counts as if it were still there, so that what comes back fits in; a
- * longer time would leave less of the capacity to a tenant that asks without pause.
+ * Time during which a grant is refundable, in milliseconds: longer than a gateway takes to try the
+ * holders of a tenant's pools in turn. Refundable grants count against the capacity, so that a
+ * refund always fits; a longer window would leave less of the capacity to a tenant under constant
+ * load.
  */
-export const GIVE_BACK_MS = 300;
+export const REFUND_WINDOW_MS = 300;
 
 interface Grant {
   readonly cost: number;
   readonly atMs: number;
 }
 
-/** A token bucket: what is in it and on its way back is never more than its capacity. */
+/** A token bucket whose level plus refundable grants never exceeds its capacity. */
 export class QuotaBucket {
   private level: number;
-  private filledAtMs: number;
-  /** Grants that may still come back, oldest first. */
-  private readonly recent = new Map<string, Grant>();
-  private recentCost = 0;
+  private refilledAtMs: number;
+  /** Grants inside the refund window, oldest first. */
+  private readonly refundable = new Map<string, Grant>();
+  private refundableCost = 0;
 
-  /** `sinceMs`: since when nobody else had a right to what flows into it; it was empty then. */
+  /**
+   * `sinceMs`: when this gateway became the only one entitled to the refill; the bucket was empty
+   * then.
+   */
   constructor(sinceMs: number) {
     this.level = 0;
-    this.filledAtMs = sinceMs;
+    this.refilledAtMs = sinceMs;
   }
 
-  /** What it holds under the terms in force. */
-  levelAt(terms: BucketTerms, nowMs: number): number {
-    this.fill(terms, nowMs);
+  /** Returns the level under the given configuration. */
+  levelAt(config: BucketTerms, nowMs: number): number {
+    this.refill(config, nowMs);
     return this.level;
   }
 
   /**
-   * Takes `cost` under the name `grant`, or nothing. What flows in within `aheadMs` may be taken too; whoever takes it
-   * must not use it before.
+   * Takes all of `cost` under the key `grant`, or nothing. The refill of the next `aheadMs` may be
+   * taken in advance; the grant must not be used before that refill has accrued.
    */
-  take(grant: string, cost: number, terms: BucketTerms, nowMs: number, aheadMs = 0): boolean {
-    this.fill(terms, nowMs);
-    if (this.level + terms.perMs * aheadMs < cost) {
+  take(grant: string, cost: number, config: BucketTerms, nowMs: number, aheadMs = 0): boolean {
+    this.refill(config, nowMs);
+    if (this.level + config.perMs * aheadMs < cost) {
       return false;
     }
     this.level -= cost;
-    this.recent.set(grant, { cost, atMs: nowMs });
-    this.recentCost += cost;
+    this.refundable.set(grant, { cost, atMs: nowMs });
+    this.refundableCost += cost;
     return true;
   }
 
-  /** Something flows in at once, as far as it has room. */
-  add(amount: number, terms: BucketTerms, nowMs: number): void {
-    this.fill(terms, nowMs);
-    const room = Math.max(0, terms.capacity - this.recentCost);
-    this.level = Math.max(this.level, Math.min(room, this.level + amount));
+  /** Adds `amount` at once, up to the free capacity. */
+  add(amount: number, config: BucketTerms, nowMs: number): void {
+    this.refill(config, nowMs);
+    const freeCapacity = Math.max(0, config.capacity - this.refundableCost);
+    this.level = Math.max(this.level, Math.min(freeCapacity, this.level + amount));
   }
 
-  /** A grant was not used; false if it is too old, or unknown. */
-  giveBack(grant: string, nowMs: number): boolean {
-    this.forgetOld(nowMs);
-    const known = this.recent.get(grant);
-    if (known === undefined) {
+  /** Puts an unused grant back; returns false if it is unknown or no longer refundable. */
+  refund(grant: string, nowMs: number): boolean {
+    this.expireRefundable(nowMs);
+    const entry = this.refundable.get(grant);
+    if (entry === undefined) {
       return false;
     }
-    this.drop(grant, known);
-    this.level += known.cost;
+    this.removeRefundable(grant, entry);
+    this.level += entry.cost;
     return true;
   }
 
-  private fill({ capacity, perMs }: BucketTerms, nowMs: number): void {
-    this.forgetOld(nowMs);
-    const room = Math.max(0, capacity - this.recentCost);
-    this.level = Math.min(room, this.level + perMs * Math.max(0, nowMs - this.filledAtMs));
-    this.filledAtMs = nowMs;
+  private refill({ capacity, perMs }: BucketTerms, nowMs: number): void {
+    this.expireRefundable(nowMs);
+    const freeCapacity = Math.max(0, capacity - this.refundableCost);
+    this.level = Math.min(
+      freeCapacity,
+      this.level + perMs * Math.max(0, nowMs - this.refilledAtMs),
+    );
+    this.refilledAtMs = nowMs;
   }
 
-  private forgetOld(nowMs: number): void {
-    for (const [name, grant] of this.recent) {
-      if (nowMs - grant.atMs <= GIVE_BACK_MS) {
+  private expireRefundable(nowMs: number): void {
+    for (const [key, grant] of this.refundable) {
+      if (nowMs - grant.atMs <= REFUND_WINDOW_MS) {
         return;
       }
-      this.drop(name, grant);
+      this.removeRefundable(key, grant);
     }
   }
 
-  private drop(name: string, { cost }: Grant): void {
-    this.recent.delete(name);
-    this.recentCost -= cost;
+  private removeRefundable(key: string, { cost }: Grant): void {
+    this.refundable.delete(key);
+    this.refundableCost -= cost;
   }
 }
--- a/src/gateway/quotas/quota-charges.ts
+++ b/src/gateway/quotas/quota-charges.ts
@@ -1,79 +1,90 @@
 /**
- * Charges requests to their tenants: asks the holders of the tenant's pools, here or at other gateways, one after the
- * other. What a pool grants is spent at once; what comes too late is given back.
+ * Charges requests to their tenants' quotas: requests grants from the holders of the tenant's
+ * pools, local or at other gateways, in turn. A grant is spent at once; one that arrives too late
+ * is refunded.
  */
 import type { Clock, TimerHandle } from '../../clock.js';
 import type { RandomSource } from '../../random.js';
 import type { TenantQuota } from '../../routing/configuration.js';
 import { QuotaBucket } from './quota-bucket.js';
-import { OpenCharge } from './open-charge.js';
+import { PendingCharge } from './open-charge.js';
 import type { Charge, ChargeResult } from './open-charge.js';
-import type { AskedCost, QuotaGrant, QuotaPools, RefusedGrant } from './quota-pools.js';
+import type { RequestedCost, QuotaGrant, QuotaPools, QuotaRefusal } from './quota-pools.js';
 import type { QuotaRights } from './quota-rights.js';
-import { poolTerms, reserveTerms } from './quota-terms.js';
+import { poolConfig, reserveConfig } from './quota-terms.js';
 import type { QuotaTolerance } from './quota-terms.js';
 
-/** What charges need from their surroundings. */
+/** Dependencies of the charges. */
 export interface QuotaChargesPorts {
-  /** The quota of a tenant in the configuration in force; undefined for one that has none. */
+  /** Returns the tenant's quota in the current configuration; undefined if it has none. */
   quotaOf(tenant: string): TenantQuota | undefined;
-  /** Asks another gateway; false if there is no connection to it. */
-  sendAsk(holder: string, ask: QuotaAsk): boolean;
-  /** Gives back what another gateway granted. */
-  sendBack(holder: string, ask: Pick<QuotaAsk, 'id' | 'tenant'>): void;
-  /** How far a holder is, in any unit; the nearest are asked first. */
+  /** Sends a quota request to another gateway; false if it is not connected. */
+  sendAsk(holder: string, request: QuotaAsk): boolean;
+  /** Refunds a grant of another gateway. */
+  sendBack(holder: string, request: Pick<QuotaAsk, 'id' | 'tenant'>): void;
+  /** Returns a relative distance to a holder; the nearest are tried first. */
   distanceOf(holder: string): number;
 }
 
-/** What a gateway asks a holder of a tenant's pool. */
-export interface QuotaAsk extends AskedCost {
-  /** Number that the answer names. */
+/** A quota request to the holder of a tenant's pool; sent as `quota-ask`. */
+export interface QuotaAsk extends RequestedCost {
+  /** Correlates the response with the request. */
   readonly id: number;
   readonly tenant: string;
 }
 
-/** Time for a holder's answer, in milliseconds: some round trips between regions, and a busy holder's turn. */
-export const ASK_TIMEOUT_MS = 80;
 /**
- * Delay of a timer from which this process itself stood still, in milliseconds: answers that came meanwhile are read
- * only after it, so that the holder's silence says nothing.
+ * Timeout of a quota request, in milliseconds: a few round trips between regions plus a busy
+ * holder's event-loop turn.
  */
-const STALL_MS = 40;
-/** Time for which a holder that did not answer is passed over, in milliseconds; one that restarts is away for about as long. */
-const SILENT_PAUSE_MS = 500;
+export const HOLDER_TIMEOUT_MS = 80;
 /**
- * Longest time for which a pool that was found empty is not asked again, in milliseconds: ten asks a second at most of each
- * gateway and pool, however far a tenant is over its limit.
+ * Timer lateness above which this process's own event loop is considered stalled, in milliseconds:
+ * responses that arrived during the stall are read only after the timer, so that the timeout does
+ * not prove an unresponsive holder.
  */
-const EMPTY_PAUSE_MS = 100;
-/** Time from the start of the process in which holders may not be known or connected yet, in milliseconds: some tries to connect. */
-const YOUNG_MS = 3_000;
+const LOOP_STALL_MS = 40;
 /**
- * The pause until they are asked again meanwhile, and how long a request waits for that, in milliseconds: a gateway that
- * has just started would refuse tenants below their limits.
+ * Time for which an unresponsive holder is skipped, in milliseconds; a restart takes about as long.
  */
-const YOUNG_RETRY_MS = 50;
-const YOUNG_PATIENCE_MS = 400;
+const UNRESPONSIVE_BACKOFF_MS = 500;
+/**
+ * Longest time for which a refusal of a pool is cached, in milliseconds: limits each gateway to ten
+ * requests a second to an empty pool, however far the tenant is over its limit.
+ */
+const MAX_REFUSAL_CACHE_MS = 100;
+/**
+ * Time after the process start in which holders may be unknown or not connected, in milliseconds: a
+ * few connection attempts.
+ */
+const STARTUP_MS = 3_000;
+/**
+ * Retry interval of a charge in that time and the longest wait of a request for it, in
+ * milliseconds: without retries a gateway that has just started would refuse tenants below their
+ * limits.
+ */
+const STARTUP_RETRY_MS = 50;
+const STARTUP_MAX_WAIT_MS = 400;
 
-/** A pool that was found empty. */
-interface EmptyPool {
-  /** Until when it is not asked again, in milliseconds. */
+/** A refusal of an empty pool, reused instead of another request. */
+interface CachedRefusal {
+  /** When the entry expires, in milliseconds. */
   readonly untilMs: number;
-  readonly grant: RefusedGrant;
+  readonly grant: QuotaRefusal;
 }
 
-interface PendingAsk {
+interface PendingRequest {
   readonly holder: string;
-  readonly ask: QuotaAsk;
+  readonly request: QuotaAsk;
   timer: TimerHandle;
-  readonly onAnswer: (grant: QuotaGrant | undefined) => void;
+  readonly onDecision: (decision: QuotaGrant | undefined) => void;
 }
 
-/** Charges requests to their tenants. */
+/** Charges requests to their tenants' quotas. */
 export class QuotaCharges {
-  private readonly pending = new Map<number, PendingAsk>();
-  private readonly empty = new Map<string, EmptyPool>();
-  private readonly silentUntilMs = new Map<string, number>();
+  private readonly pending = new Map<number, PendingRequest>();
+  private readonly cachedRefusals = new Map<string, CachedRefusal>();
+  private readonly skippedUntilMs = new Map<string, number>();
   private readonly reserves = new Map<string, QuotaBucket>();
   private readonly used = new Map<string, number>();
   private readonly startedAtMs: number;
@@ -91,20 +102,20 @@
     this.startedAtMs = clock.now();
   }
 
-  /** Tokens (or requests) let pass here since the start, by tenant. */
+  /** Tokens (or requests) admitted by this process since its start, by tenant. */
   get use(): ReadonlyMap<string, number> {
     return this.used;
   }
 
-  /** Charges `cost` to a tenant; `onResult` is called once, maybe before this returns. */
+  /** Charges `cost` to a tenant; `onResult` is called once, possibly before this returns. */
   charge(tenant: string, cost: number, onResult: (result: ChargeResult) => void): Charge {
     const beganAtMs = this.clock.now();
     let isCancelled = false;
     let current: Charge | undefined;
     const begin = () => {
       current = this.chargeOnce(tenant, cost, (result) => {
-        if (this.isTooYoung(result, beganAtMs)) {
-          this.clock.setTimeout(() => !isCancelled && begin(), YOUNG_RETRY_MS);
+        if (this.isStartupFailure(result, beganAtMs)) {
+          this.clock.setTimeout(() => !isCancelled && begin(), STARTUP_RETRY_MS);
         } else {
           onResult(result);
         }
@@ -119,18 +130,21 @@
     };
   }
 
-  /** A holder answered. */
-  receive(id: number, grant: QuotaGrant): void {
-    const asked = this.pending.get(id);
-    if (asked !== undefined) {
+  /** Handles a holder's response to a quota request. */
+  receive(id: number, decision: QuotaGrant): void {
+    const pending = this.pending.get(id);
+    if (pending !== undefined) {
       this.pending.delete(id);
-      this.clock.clearTimeout(asked.timer);
-      this.noteAnswer(asked.holder, asked.ask, grant);
-      asked.onAnswer(grant);
+      this.clock.clearTimeout(pending.timer);
+      this.updateRefusalCache(pending.holder, pending.request, decision);
+      pending.onDecision(decision);
     }
   }
 
-  /** Rights may have changed: reserves begin anew, with what has flowed in since. */
+  /**
+   * Resets the reserves after a change of rights; each starts empty and counts its refill since the
+   * change.
+   */
   review(): void {
     this.reserves.clear();
   }
@@ -146,15 +160,17 @@
       return { cancel: () => undefined };
     }
     const { pools } = this.rights;
-    const { capacity } = poolTerms(quota, this.tolerance, pools);
-    // What would take more than half of a pool is put together from several, so that it need not wait for a full one.
+    const { capacity } = poolConfig(quota, this.tolerance, pools);
+    // A cost above half of a pool's capacity is split among several pools, so that it need not wait
+    // for a full one.
     const parts = Math.min(pools, Math.max(1, Math.ceil(cost / (capacity / 2))));
-    const charge = new OpenCharge(this.inOrder(tenant), parts, cost, {
-      ask: (holder, id, asked, onAnswer) => this.ask(holder, { id, tenant, ...asked }, onAnswer),
+    const charge = new PendingCharge(this.orderHolders(tenant), parts, cost, {
+      requestGrant: (holder, id, requested, onDecision) =>
+        this.requestGrant(holder, { id, tenant, ...requested }, onDecision),
       nextId: () => (this.lastId += 1),
-      after: (delayMs, callback) => void this.clock.setTimeout(callback, delayMs),
-      giveBack: (holder, id) => this.giveBack(holder, id, tenant),
-      takeReserve: () => this.takeReserve(tenant, quota, cost),
+      schedule: (delayMs, callback) => void this.clock.setTimeout(callback, delayMs),
+      refund: (holder, id) => this.refund(holder, id, tenant),
+      drawReserve: () => this.drawReserve(tenant, quota, cost),
       onResult: (result) => {
         if (result.isGranted) {
           this.used.set(tenant, (this.used.get(tenant) ?? 0) + cost);
@@ -166,14 +182,15 @@
     return charge;
   }
 
-  /** Whether nobody could be asked since this process has only just started. */
-  private isTooYoung(result: ChargeResult, beganAtMs: number): boolean {
+  /** Whether no holder could be reached because this process has only just started. */
+  private isStartupFailure(result: ChargeResult, beganAtMs: number): boolean {
     const nowMs = this.clock.now();
-    const isYoung = nowMs - this.startedAtMs < YOUNG_MS && nowMs - beganAtMs < YOUNG_PATIENCE_MS;
-    return isYoung && !result.isGranted && result.refused === 0;
+    const isStartingUp =
+      nowMs - this.startedAtMs < STARTUP_MS && nowMs - beganAtMs < STARTUP_MAX_WAIT_MS;
+    return isStartingUp && !result.isGranted && result.refused === 0;
   }
 
-  private inOrder(tenant: string): string[] {
+  private orderHolders(tenant: string): string[] {
     const holders = this.rights.holdersOf(tenant);
     const first = Math.floor(this.random.next() * holders.length);
     return [...holders.slice(first), ...holders.slice(0, first)].sort(
@@ -181,61 +198,64 @@
     );
   }
 
-  /** Asks one holder; `onAnswer` is called once, with undefined where it was not reached or did not answer. */
-  private ask(
+  /**
+   * Requests a grant; `onDecision` is called once, with undefined if the holder is unreachable or
+   * times out.
+   */
+  private requestGrant(
     holder: string,
-    ask: QuotaAsk,
-    onAnswer: (grant: QuotaGrant | undefined) => void,
+    request: QuotaAsk,
+    onDecision: (decision: QuotaGrant | undefined) => void,
   ): void {
-    const { id, tenant } = ask;
+    const { id, tenant } = request;
     const nowMs = this.clock.now();
     if (holder === this.self) {
-      onAnswer(this.pools.ask(tenant, ask, grantName(this.self, id), nowMs));
+      onDecision(this.pools.ask(tenant, request, grantName(this.self, id), nowMs));
       return;
     }
-    const empty = this.empty.get(emptyKey(holder, ask));
-    if (empty !== undefined && nowMs < empty.untilMs) {
-      onAnswer(empty.grant);
+    const cached = this.cachedRefusals.get(refusalKey(holder, request));
+    if (cached !== undefined && nowMs < cached.untilMs) {
+      onDecision(cached.grant);
       return;
     }
-    const isSilent = nowMs < (this.silentUntilMs.get(holder) ?? -Infinity);
-    if (isSilent || !this.ports.sendAsk(holder, ask)) {
-      onAnswer(undefined);
+    const isSkipped = nowMs < (this.skippedUntilMs.get(holder) ?? -Infinity);
+    if (isSkipped || !this.ports.sendAsk(holder, request)) {
+      onDecision(undefined);
       return;
     }
-    this.pending.set(id, { holder, ask, timer: this.startTimer(id), onAnswer });
+    this.pending.set(id, { holder, request, timer: this.startTimer(id), onDecision });
   }
 
   private startTimer(id: number): TimerHandle {
-    const dueAtMs = this.clock.now() + ASK_TIMEOUT_MS;
+    const dueAtMs = this.clock.now() + HOLDER_TIMEOUT_MS;
     const timeOut = () => this.timeOut(id, this.clock.now() - dueAtMs);
-    return this.clock.setTimeout(timeOut, ASK_TIMEOUT_MS);
+    return this.clock.setTimeout(timeOut, HOLDER_TIMEOUT_MS);
   }
 
   private timeOut(id: number, lateMs: number): void {
-    const asked = this.pending.get(id)!;
-    if (lateMs > STALL_MS) {
-      asked.timer = this.startTimer(id);
+    const pending = this.pending.get(id)!;
+    if (lateMs > LOOP_STALL_MS) {
+      pending.timer = this.startTimer(id);
       return;
     }
     this.pending.delete(id);
-    this.silentUntilMs.set(asked.holder, this.clock.now() + SILENT_PAUSE_MS);
-    // The ask may still arrive, and be granted.
-    this.ports.sendBack(asked.holder, asked.ask);
-    asked.onAnswer(undefined);
+    this.skippedUntilMs.set(pending.holder, this.clock.now() + UNRESPONSIVE_BACKOFF_MS);
+    // The request may still arrive and be granted: refund it.
+    this.ports.sendBack(pending.holder, pending.request);
+    pending.onDecision(undefined);
   }
 
-  private noteAnswer(holder: string, ask: QuotaAsk, grant: QuotaGrant): void {
-    const key = emptyKey(holder, ask);
-    if (grant.isGranted) {
-      this.empty.delete(key);
+  private updateRefusalCache(holder: string, request: QuotaAsk, decision: QuotaGrant): void {
+    const key = refusalKey(holder, request);
+    if (decision.isGranted) {
+      this.cachedRefusals.delete(key);
       return;
     }
-    const untilMs = this.clock.now() + Math.min(EMPTY_PAUSE_MS, grant.emptyForMs);
-    this.empty.set(key, { untilMs, grant });
+    const untilMs = this.clock.now() + Math.min(MAX_REFUSAL_CACHE_MS, decision.emptyForMs);
+    this.cachedRefusals.set(key, { untilMs, grant: decision });
   }
 
-  private giveBack(holder: string, id: number, tenant: string): void {
+  private refund(holder: string, id: number, tenant: string): void {
     if (holder === this.self) {
       this.pools.giveBack(tenant, grantName(this.self, id), this.clock.now());
     } else {
@@ -243,7 +263,7 @@
     }
   }
 
-  private takeReserve(tenant: string, quota: TenantQuota, cost: number): boolean {
+  private drawReserve(tenant: string, quota: TenantQuota, cost: number): boolean {
     const nowMs = this.clock.now();
     const reserve = this.rights.reserve(nowMs);
     if (reserve === undefined) {
@@ -253,17 +273,20 @@
     const bucket = this.reserves.get(key) ?? new QuotaBucket(reserve.sinceMs);
     this.reserves.set(key, bucket);
     this.lastId += 1;
-    const terms = reserveTerms(quota, this.tolerance, reserve.gateways);
-    return bucket.take(grantName(this.self, this.lastId), cost, terms, nowMs);
+    const config = reserveConfig(quota, this.tolerance, reserve.gateways);
+    return bucket.take(grantName(this.self, this.lastId), cost, config, nowMs);
   }
 }
 
-/** Name of a grant at its holder. */
-export function grantName(asker: string, id: number): string {
-  return `${asker} ${id}`;
+/** Returns the key under which a holder stores a grant. */
+export function grantName(requester: string, id: number): string {
+  return `${requester} ${id}`;
 }
 
-/** A pool may refuse at once and still grant what flows in. */
-function emptyKey(holder: string, { tenant, mayWait }: QuotaAsk): string {
+/**
+ * Includes `mayWait`, since a pool that refuses an immediate grant may still issue an advance
+ * grant.
+ */
+function refusalKey(holder: string, { tenant, mayWait }: QuotaAsk): string {
   return `${holder} ${tenant} ${mayWait}`;
 }
--- a/src/gateway/quotas/quota-members-format.ts
+++ b/src/gateway/quotas/quota-members-format.ts
@@ -1,4 +1,4 @@
-/** The record of the members as text: the product's own format, wherever the text is kept. */
+/** Text encoding of the membership record, independent of the store that holds it. */
 import * as z from 'zod/mini';
 import type { StorePosition } from '../../cluster/store-position.js';
 import { NO_QUOTA_MEMBERS } from './quota-members.js';
@@ -16,15 +16,15 @@
 const recordSchema = z.object({
   members: membersSchema,
   settled: membersSchema,
-  /** Earlier releases wrote none. */
+  /** Absent in records of earlier releases. */
   sequence: z._default(count, 0),
   credits: count,
   creditedAtMs: count,
 });
 
 /**
- * Reads the record; `text` is undefined once it was removed. One that cannot be read names nobody, but can be
- * overwritten at its position.
+ * Decodes the record; `text` is undefined once it was deleted. A record that cannot be decoded has
+ * no members, but keeps its position, so that it can be overwritten.
  */
 export function decodeQuotaMembers(
   text: string | undefined,
@@ -33,13 +33,13 @@
   if (text === undefined) {
     return { ...NO_QUOTA_MEMBERS, epoch };
   }
-  const read = recordSchema.safeParse(parseJson(text));
-  return read.success
-    ? { ...read.data, epoch, revision }
+  const parsed = recordSchema.safeParse(parseJson(text));
+  return parsed.success
+    ? { ...parsed.data, epoch, revision }
     : { ...NO_QUOTA_MEMBERS, epoch, revision };
 }
 
-/** The text of the record. */
+/** Encodes a record to be written. */
 export function encodeQuotaMembers(change: QuotaMembersChange): string {
   const { members, settled, sequence, credits, creditedAtMs } = change;
   return JSON.stringify({ members, settled, sequence, credits, creditedAtMs });
--- a/src/gateway/quotas/quota-members-writer.ts
+++ b/src/gateway/quotas/quota-members-writer.ts
@@ -1,7 +1,8 @@
 /**
- * Keeps the record of members: writes the first one, takes in gateways that are heard, leaves out those that are gone,
- * and says when all have followed. Every gateway may; the first by name of those that are heard does, the others when
- * it does not. Each write holds only if nobody wrote meanwhile.
+ * Maintains the membership record: creates it, adds gateways that send heartbeats, removes those
+ * that timed out, and settles a membership once it is applied. Any gateway may write: the first
+ * reachable one by name goes first, the others take over in turn if it does not. Each write is a
+ * compare-and-swap on the record's position.
  */
 import type { Clock } from '../../clock.js';
 import { isLater, NO_POSITION, positionOf } from '../../cluster/store-position.js';
@@ -10,80 +11,99 @@
 import type { Result } from '../../result.js';
 import { isSettled } from './quota-members.js';
 import type { QuotaMember, QuotaMembersChange, QuotaMembersRecord } from './quota-members.js';
-import { MAX_AHEAD_MS } from './quota-pools.js';
-import { RIGHTS_HOLD_MS } from './quota-rights.js';
+import { MAX_ADVANCE_GRANT_MS } from './quota-pools.js';
+import { RIGHTS_LEASE_MS } from './quota-rights.js';
 
-/** What is known of another gateway. */
+/** State of another gateway as of its last heartbeat. */
 export interface HeardMember extends QuotaMember {
   readonly heardAtMs: number;
-  /** When its process was started, in milliseconds. */
+  /** When its process started, in milliseconds. */
   readonly startedAtMs: number;
-  /** Position of the record that it follows. */
+  /** Position of the newest record that it has applied. */
   readonly follows: StorePosition;
 }
 
-/** What the writer needs from its surroundings. */
+/** Dependencies of the writer. */
 export interface QuotaMembersPorts {
-  /** Writes the record where the last one is at `expected` (revision 0: there is none). */
+  /** Writes the record if the stored one is at `expected` (revision 0: none is stored). */
   write(
     change: QuotaMembersChange,
     expected: StorePosition,
   ): Promise<Result<StorePosition, WeirvaleError>>;
-  /** The record was written, or the store did not take it. */
+  /** Called after a write, with `failure` if the store rejected it or was unavailable. */
   onWritten(record: QuotaMembersRecord, failure: WeirvaleError | undefined): void;
-  /** Every other gateway that was ever heard. */
+  /** Returns every other gateway that ever sent a heartbeat. */
   heard(): readonly HeardMember[];
-  /** The newest record that this gateway follows. */
+  /** Returns the newest record that this gateway has applied. */
   record(): QuotaMembersRecord;
-  /** How old the newest word of the store is, in milliseconds; undefined before the first. */
+  /**
+   * Returns the time since the last message from the store, in milliseconds; undefined before the
+   * first.
+   */
   storeAgeMs(): number | undefined;
-  /** The time of day, in milliseconds. */
+  /** Returns the wall-clock time, in milliseconds. */
   timeOfDayMs(): number;
 }
 
-/** Silence from which a gateway is not counted on, in milliseconds: three periods of beats among 68 gateways (.9 s). */
-const ABSENT_MS = 3_000;
 /**
- * Silence from which a member is left out, in milliseconds: long after its rights have lapsed, so that clocks that
- * differ in rate do not matter.
+ * Silence after which a gateway counts as unreachable, in milliseconds: three heartbeat intervals
+ * of 68 gateways (.9 s).
  */
-export const GONE_MS = 2.5 * RIGHTS_HOLD_MS;
-/** Time for gateways that start together to hear each other, in milliseconds: one write instead of one for each. */
-const GATHER_MS = 1_500;
-/** Time in which what was granted ahead under former rights is used, in milliseconds; some times that. */
-const SETTLE_MS = 3 * MAX_AHEAD_MS;
-/** What each gateway waits longer than the one before it, in milliseconds: one write and its news fit in. */
-const TURN_MS = 1_000;
-/** Age of the store's last word up to which a write is tried, in milliseconds: a quiet watch answers more often. */
-const STORE_FRESH_MS = 5_000;
-/** Pause after a write that the store did not take, in milliseconds: the news of somebody else's write come in it. */
-const RETRY_MS = 700;
+const UNREACHABLE_AFTER_MS = 3_000;
+/**
+ * Silence after which a member is removed, in milliseconds: well after its lease on rights has
+ * expired, so that clock drift does not matter.
+ */
+export const REMOVE_AFTER_MS = 2.5 * RIGHTS_LEASE_MS;
+/** Delay that batches the joins of gateways that start together into one write, in milliseconds. */
+const MEMBER_CHANGE_DELAY_MS = 1_500;
+/**
+ * Delay before a membership is settled, in milliseconds: a few times the longest delay of an
+ * advance grant issued under earlier rights.
+ */
+const SETTLE_DELAY_MS = 3 * MAX_ADVANCE_GRANT_MS;
+/**
+ * Extra delay of each gateway over the one ranked before it, in milliseconds: covers one write and
+ * its propagation.
+ */
+const WRITER_STAGGER_MS = 1_000;
+/**
+ * Longest silence of the store at which a write is attempted, in milliseconds: an idle watch
+ * responds more often.
+ */
+const MAX_STORE_AGE_MS = 5_000;
+/**
+ * Delay after a failed write, in milliseconds: a conflicting write arrives from the store within
+ * it.
+ */
+const WRITE_RETRY_MS = 700;
 
 /**
- * Age up to which a gateway counts as just started, in milliseconds: after a restart of all some start a second or two
- * after others, and are heard on their first beats.
+ * Age up to which a gateway counts as recently started, in milliseconds: after a restart of the
+ * whole fleet some gateways start a second or two after others, and are observed with their first
+ * heartbeats.
  */
-const JUST_STARTED_MS = 4_000;
+const RECENT_START_MS = 4_000;
 /**
- * Time between two credits at least, in milliseconds of the time of day: a window of a quota, and as much again for
- * clocks that differ or are set.
+ * Minimum interval between two credits, in milliseconds of wall-clock time: one quota window, and
+ * as much again for clocks that are skewed or adjusted.
  */
-const CREDIT_PAUSE_MS = 16_000;
+const MIN_CREDIT_INTERVAL_MS = 16_000;
 
-/** Why the record is to be changed. */
+/** Reason for a change of the record. */
 type ChangeKind = 'first' | 'rewrite' | 'members' | 'settle' | 'credit';
 
-/** A change of the record that is due. */
-interface DueChange extends QuotaMembersChange {
+/** A pending change of the record. */
+interface PendingChange extends QuotaMembersChange {
   readonly kind: ChangeKind;
-  /** For how long it must have been due, in milliseconds. */
+  /** How long the change must be pending before it is written, in milliseconds. */
   readonly afterMs: number;
 }
 
-/** Keeps the record of members. */
+/** Writes the membership record. */
 export class QuotaMembersWriter {
-  /** What is due, and since when, in milliseconds. */
-  private due: { readonly kind: ChangeKind; readonly sinceMs: number } | undefined;
+  /** Kind of the pending change, and since when it is pending, in milliseconds. */
+  private pending: { readonly kind: ChangeKind; readonly sinceMs: number } | undefined;
   private isWriting = false;
   private isStopped = false;
   private readonly startedAtMs: number;
@@ -96,127 +116,146 @@
     this.startedAtMs = clock.now();
   }
 
-  /** Looks whether a change is due, and this gateway's turn has come; to be called a few times a second. */
+  /**
+   * Writes a pending change once its delay and this gateway's rank delay have passed; to be called
+   * a few times a second.
+   */
   tick(): void {
     const nowMs = this.clock.now();
     const storeAgeMs = this.ports.storeAgeMs() ?? Infinity;
-    const change = storeAgeMs <= STORE_FRESH_MS ? this.findChange(nowMs) : undefined;
+    const change = storeAgeMs <= MAX_STORE_AGE_MS ? this.nextChange(nowMs) : undefined;
     if (change === undefined) {
-      this.due = undefined;
+      this.pending = undefined;
       return;
     }
-    if (change.kind !== this.due?.kind) {
-      // What one kind of change has waited says nothing of another: who follows a record has to be given its time.
-      this.due = { kind: change.kind, sinceMs: nowMs };
+    if (change.kind !== this.pending?.kind) {
+      // The delay of one kind of change does not count for another: after a record is applied, its
+      // full settle delay must pass.
+      this.pending = { kind: change.kind, sinceMs: nowMs };
     }
-    const waitedMs = nowMs - this.due.sinceMs;
-    const isItsTurn = waitedMs >= change.afterMs + this.turn(nowMs) * TURN_MS;
-    if (isItsTurn && !this.isWriting && !this.isStopped) {
+    const pendingMs = nowMs - this.pending.sinceMs;
+    const isDue = pendingMs >= change.afterMs + this.writerRank(nowMs) * WRITER_STAGGER_MS;
+    if (isDue && !this.isWriting && !this.isStopped) {
       this.isWriting = true;
       void this.write(change);
     }
   }
 
-  /** Nothing is written any more. */
+  /** Stops further writes. */
   stop(): void {
     this.isStopped = true;
   }
 
-  private findChange(nowMs: number): DueChange | undefined {
+  private nextChange(nowMs: number): PendingChange | undefined {
     const record = this.ports.record();
-    const present = [this.self, ...this.ports.heard().filter((peer) => isPresent(peer, nowMs))];
+    const reachable = [this.self, ...this.ports.heard().filter((peer) => isReachable(peer, nowMs))];
     if (record.members === undefined) {
-      const first = present.map(toMember);
-      // Whoever knows what stood in one that cannot be read writes it down again long before.
-      const afterMs = record.isLost === true ? GONE_MS : GATHER_MS;
+      const first = reachable.map(toMember);
+      // A gateway that knows the content of an unreadable record rewrites it well before this delay
+      // has passed.
+      const afterMs = record.isLost === true ? REMOVE_AFTER_MS : MEMBER_CHANGE_DELAY_MS;
       return { ...record, kind: 'first', members: first, settled: first, afterMs };
     }
     if (record.isLost === true) {
       return { ...record, kind: 'rewrite', members: record.members, afterMs: 0 };
     }
-    const members = this.withoutGone(record, present, nowMs);
-    const joined = present.filter(({ name }) => !members.some((known) => known.name === name));
+    const members = this.removeTimedOut(record, reachable, nowMs);
+    const joined = reachable.filter(({ name }) => !members.some((known) => known.name === name));
     if (joined.length > 0 || members.length < record.members.length) {
       const next = [...members, ...joined.map(toMember)];
-      return { ...record, kind: 'members', members: next, afterMs: GATHER_MS };
+      return { ...record, kind: 'members', members: next, afterMs: MEMBER_CHANGE_DELAY_MS };
     }
     if (!isSettled(record)) {
-      return this.haveFollowed(record, nowMs)
-        ? { ...record, kind: 'settle', members, settled: members, afterMs: SETTLE_MS }
+      return this.isAppliedByAll(record, nowMs)
+        ? { ...record, kind: 'settle', members, settled: members, afterMs: SETTLE_DELAY_MS }
         : undefined;
     }
-    return this.findCredit({ ...record, members }, nowMs);
+    return this.nextCredit({ ...record, members }, nowMs);
   }
 
-  /** A fleet that has started again as a whole has empty pools, and all its callers come back at once. */
-  private findCredit(record: QuotaMembersChange, nowMs: number): DueChange | undefined {
+  /**
+   * Returns a credit for a fleet that has restarted as a whole: its pools are empty, and all its
+   * callers return at once.
+   */
+  private nextCredit(record: QuotaMembersChange, nowMs: number): PendingChange | undefined {
     const timeOfDayMs = this.ports.timeOfDayMs();
-    const isAllowed = Math.abs(timeOfDayMs - record.creditedAtMs) >= CREDIT_PAUSE_MS;
+    const isAllowed = Math.abs(timeOfDayMs - record.creditedAtMs) >= MIN_CREDIT_INTERVAL_MS;
     const all = [this.startedAtMs, ...this.ports.heard().map(({ startedAtMs }) => startedAtMs)];
-    const young = all.filter((startedAtMs) => nowMs - startedAtMs < JUST_STARTED_MS);
-    if (!isAllowed || young.length * 2 <= record.members.length) {
+    const recentlyStarted = all.filter((startedAtMs) => nowMs - startedAtMs < RECENT_START_MS);
+    if (!isAllowed || recentlyStarted.length * 2 <= record.members.length) {
       return undefined;
     }
     const credits = record.credits + 1;
     return { ...record, kind: 'credit', credits, creditedAtMs: timeOfDayMs, afterMs: 0 };
   }
 
-  /** Members but those that are gone. Who has rights is left out only if most members are here to say so. */
-  private withoutGone(
+  /**
+   * Returns the members without those that timed out. A gateway with rights is removed only if most
+   * members are reachable.
+   */
+  private removeTimedOut(
     { members = [], settled }: QuotaMembersRecord,
-    present: readonly QuotaMember[],
+    reachable: readonly QuotaMember[],
     nowMs: number,
   ): readonly QuotaMember[] {
-    const isHere = ({ name }: QuotaMember) => present.some((peer) => peer.name === name);
-    const areMostHere = members.filter(isHere).length * 2 > members.length;
+    const isReachableMember = ({ name }: QuotaMember) =>
+      reachable.some((peer) => peer.name === name);
+    const isMajorityReachable = members.filter(isReachableMember).length * 2 > members.length;
     const mayHaveRights = ({ name }: QuotaMember) => settled.some((known) => known.name === name);
     return members.filter(
       (member) =>
-        isHere(member) ||
-        (mayHaveRights(member) && !(areMostHere && this.isGone(member.name, nowMs))),
+        isReachableMember(member) ||
+        (mayHaveRights(member) && !(isMajorityReachable && this.hasTimedOut(member.name, nowMs))),
     );
   }
 
-  /** Whether all who may have had rights before the record follow it, or have none any more. */
-  private haveFollowed(record: QuotaMembersRecord, nowMs: number): boolean {
+  /**
+   * Whether every gateway that may hold rights under an earlier record has applied this one or has
+   * timed out.
+   */
+  private isAppliedByAll(record: QuotaMembersRecord, nowMs: number): boolean {
     const heard = new Map(this.ports.heard().map((peer) => [peer.name, peer]));
     return record.settled.every(
       ({ name }) =>
         name === this.self.name ||
         !isLater(record, heard.get(name)?.follows ?? NO_POSITION) ||
-        this.isGone(name, nowMs),
+        this.hasTimedOut(name, nowMs),
     );
   }
 
-  /** Whether a gateway was silent for so long that its rights have lapsed, whatever it heard itself. */
-  private isGone(name: string, nowMs: number): boolean {
+  /**
+   * Whether a gateway was silent for so long that its lease has expired, whatever messages it
+   * received itself.
+   */
+  private hasTimedOut(name: string, nowMs: number): boolean {
     if (name === this.self.name) {
       return false;
     }
     const heardAtMs = this.ports.heard().find((peer) => peer.name === name)?.heardAtMs;
-    return nowMs - (heardAtMs ?? this.startedAtMs) > GONE_MS;
+    return nowMs - (heardAtMs ?? this.startedAtMs) > REMOVE_AFTER_MS;
   }
 
-  /** How many gateways that are heard come before this one. */
-  private turn(nowMs: number): number {
-    return this.ports.heard().filter((peer) => isPresent(peer, nowMs) && peer.name < this.self.name)
-      .length;
+  /** Returns the number of reachable gateways that sort before this one by name. */
+  private writerRank(nowMs: number): number {
+    return this.ports
+      .heard()
+      .filter((peer) => isReachable(peer, nowMs) && peer.name < this.self.name).length;
   }
 
-  private async write(change: DueChange): Promise<void> {
+  private async write(change: PendingChange): Promise<void> {
     const expected = positionOf(this.ports.record());
     const { members, settled, credits, creditedAtMs } = change;
     const next = { members, settled, sequence: change.sequence + 1, credits, creditedAtMs };
     const written = await this.ports.write(next, expected);
     const record = { ...next, ...(written.ok ? written.val : expected) };
     this.ports.onWritten(record, written.ok ? undefined : written.val);
-    // What somebody else wrote comes with the store's news meanwhile.
-    this.clock.setTimeout(() => (this.isWriting = false), written.ok ? 0 : RETRY_MS);
+    // A conflicting write of another gateway arrives from the store during the delay.
+    this.clock.setTimeout(() => (this.isWriting = false), written.ok ? 0 : WRITE_RETRY_MS);
   }
 }
 
-function isPresent({ heardAtMs }: HeardMember, nowMs: number): boolean {
-  return nowMs - heardAtMs <= ABSENT_MS;
+function isReachable({ heardAtMs }: HeardMember, nowMs: number): boolean {
+  return nowMs - heardAtMs <= UNREACHABLE_AFTER_MS;
 }
 
 function toMember({ name, zone, region, address }: QuotaMember): QuotaMember {
--- a/src/gateway/quotas/quota-members.ts
+++ b/src/gateway/quotas/quota-members.ts
@@ -1,50 +1,61 @@
 /**
- * Which gateways hold rights to a tenant's quota: agreed on through one record of the cluster's store.
+ * Assignment of tenants' quota pools to gateways, derived from one membership record in the cluster
+ * store.
  *
- * The record names the members and those that it named when all had last followed it (`settled`). While the two
- * differ, a gateway has only the rights that it has under both: who loses a pool has stopped before another begins.
+ * The record lists the current members and the last settled membership (`settled`), which every
+ * gateway with earlier rights had applied unless it timed out. While the two differ, a gateway has
+ * only the rights that both give it, so that the former holder of a pool has stopped serving it
+ * before the next one starts.
  */
 import { NO_POSITION } from '../../cluster/store-position.js';
 import type { StorePosition } from '../../cluster/store-position.js';
 import { pickByRendezvous } from '../../membership/rendezvous.js';
 import { MAX_POOLS } from './quota-terms.js';
 
-/** A gateway that may hold rights. */
+/** A gateway that may hold quota rights. */
 export interface QuotaMember {
-  /** Name of the process; the same after each start. */
+  /** Process name; stable across restarts. */
   readonly name: string;
   readonly zone: string;
-  /** Region of the zone; empty where the deployment names none. */
+  /** Region of the zone; empty if the deployment defines none. */
   readonly region: string;
-  /** Address that gateways reach it at, IP:PORT. */
+  /** Peer address, IP:PORT. */
   readonly address: string;
 }
 
-/** The store's record of members. Its position has revision 0 where there is none. */
+/** The membership record in the store. Revision 0 means that the store holds none. */
 export interface QuotaMembersRecord extends StorePosition {
-  /** Undefined where there is none that can be read. */
+  /** Undefined if there is no readable record. */
   readonly members: readonly QuotaMember[] | undefined;
-  /** The members when all of them had last followed the record. */
+  /**
+   * The last membership that every gateway with earlier rights had applied, unless it timed out.
+   */
   readonly settled: readonly QuotaMember[];
-  /** Rises by one with each write, also where the store lost the one before: a lower one is the older record. */
+  /**
+   * Incremented by every write, also after the store lost the previous one: the lower number is the
+   * older record.
+   */
   readonly sequence: number;
-  /** Credits that were given to a fleet that had started again as a whole, since the first record. */
+  /**
+   * Number of credits issued since the first record; a credit tops up the pools after a restart of
+   * the whole fleet.
+   */
   readonly credits: number;
-  /** Time of day of the last of them, in milliseconds; 0 before the first. */
+  /** Wall-clock time of the last credit, in milliseconds; 0 before the first. */
   readonly creditedAtMs: number;
   /**
-   * Whether the store holds it no more, or holds an older one or something that cannot be read; what was last known
-   * stands here, at the position of what the store holds.
+   * Whether the store's copy is deleted, older or unreadable. The other fields then hold the last
+   * known record, at the position of the store's copy.
    */
   readonly isLost?: boolean;
 }
 
-/** What is written as the next record. */
+/** Content of the next record to be written. */
 export type QuotaMembersChange = Required<
   Pick<QuotaMembersRecord, 'settled' | 'sequence' | 'credits' | 'creditedAtMs'>
 > & { readonly members: readonly QuotaMember[] };
 
-/** No record was seen. */
+/** Placeholder while no record is known. */
 export const NO_QUOTA_MEMBERS: QuotaMembersRecord = {
   members: undefined,
   settled: [],
@@ -54,62 +65,65 @@
   creditedAtMs: 0,
 };
 
-/** Whether all members have followed the record. */
+/** Whether the current members are the settled membership. */
 export function isSettled({ members, settled }: QuotaMembersRecord): boolean {
-  return members !== undefined && namesOf(members) === namesOf(settled);
+  return members !== undefined && sortedNamesKey(members) === sortedNamesKey(settled);
 }
 
-/** Whether everybody has the same rights under both records. */
+/** Whether both records give every gateway the same rights. */
 export function haveSameRights(left: QuotaMembersRecord, right: QuotaMembersRecord): boolean {
-  const areSameMembers = namesOf(left.members ?? []) === namesOf(right.members ?? []);
-  return areSameMembers && namesOf(left.settled) === namesOf(right.settled);
+  const areSameMembers = sortedNamesKey(left.members ?? []) === sortedNamesKey(right.members ?? []);
+  return areSameMembers && sortedNamesKey(left.settled) === sortedNamesKey(right.settled);
 }
 
-function namesOf(members: readonly QuotaMember[]): string {
+function sortedNamesKey(members: readonly QuotaMember[]): string {
   return members
     .map(({ name }) => name)
     .sort()
     .join(' ');
 }
 
-/** Who holds the pools of each tenant, under one record. */
-export class QuotaHolders {
-  private readonly holders = new Map<string, readonly string[]>();
-  private readonly soleHolders = new Map<string, string | undefined>();
+/** Assignment of tenants' pools to holders under one membership record. */
+export class HolderAssignment {
+  private readonly holdersByTenant = new Map<string, readonly string[]>();
+  private readonly soleHolderByKey = new Map<string, string | undefined>();
 
   constructor(readonly record: QuotaMembersRecord) {}
 
-  /** Names of the gateways that hold a tenant's pools; empty if none are known. */
+  /** Returns the names of the gateways that hold a tenant's pools; empty if none are known. */
   holdersOf(tenant: string): readonly string[] {
-    let known = this.holders.get(tenant);
-    if (known === undefined) {
+    let holders = this.holdersByTenant.get(tenant);
+    if (holders === undefined) {
       const { members = [], settled } = this.record;
       const before = new Set(pickHolders(tenant, settled));
-      known = pickHolders(tenant, members).filter((name) => before.has(name));
-      this.holders.set(tenant, known);
+      holders = pickHolders(tenant, members).filter((name) => before.has(name));
+      this.holdersByTenant.set(tenant, holders);
     }
-    return known;
+    return holders;
   }
 
-  /** Name of the one gateway that holds what `key` names and is not divided; undefined while that is not settled. */
+  /**
+   * Returns the single holder of the undivided resource `key`; undefined until `members` and
+   * `settled` agree on it.
+   */
   soleHolderOf(key: string): string | undefined {
-    if (!this.soleHolders.has(key)) {
+    if (!this.soleHolderByKey.has(key)) {
       const { members = [], settled } = this.record;
-      const holder = pickByRendezvous(key, namesIn(members), 1)[0];
-      const isSettled = holder === pickByRendezvous(key, namesIn(settled), 1)[0];
-      this.soleHolders.set(key, isSettled ? holder : undefined);
+      const holder = pickByRendezvous(key, listNames(members), 1)[0];
+      const isSettled = holder === pickByRendezvous(key, listNames(settled), 1)[0];
+      this.soleHolderByKey.set(key, isSettled ? holder : undefined);
     }
-    return this.soleHolders.get(key);
+    return this.soleHolderByKey.get(key);
   }
 
-  /** Pools that each tenant's quota is divided among; at least 1. */
-  get pools(): number {
+  /** Number of pools that each tenant's quota is divided into; at least 1. */
+  get poolCount(): number {
     const { members = [], settled } = this.record;
     return Math.max(1, Math.min(MAX_POOLS, Math.max(members.length, settled.length)));
   }
 
-  /** Gateways among which the reserves are divided; 0 if `name` has none. */
-  countReserves(name: string): number {
+  /** Returns the number of gateways that share the reserves; 0 if `name` has no share. */
+  countReserveHolders(name: string): number {
     const { members = [], settled } = this.record;
     const isMember = [members, settled].every((list) =>
       list.some((member) => member.name === name),
@@ -118,22 +132,25 @@
   }
 }
 
-function namesIn(members: readonly QuotaMember[]): string[] {
+function listNames(members: readonly QuotaMember[]): string[] {
   return members.map(({ name }) => name);
 }
 
-/** The holders of a tenant's pools: as the hash ranks them, in as many regions and zones as can be had. */
+/**
+ * Picks the holders of a tenant's pools by rendezvous hashing, spread over as many regions, then
+ * zones, as possible.
+ */
 function pickHolders(tenant: string, members: readonly QuotaMember[]): string[] {
   const byName = new Map(members.map((member) => [member.name, member]));
   const names = [...byName.keys()];
   const ranked = pickByRendezvous(`quota/${tenant}`, names, names.length);
   const picked: QuotaMember[] = [];
-  const pick = (isApart: (member: QuotaMember, other: QuotaMember) => boolean) => {
+  const pick = (isSeparate: (member: QuotaMember, other: QuotaMember) => boolean) => {
     for (const name of ranked) {
       const member = byName.get(name)!;
       const isNew = !picked.includes(member);
       const isFree = picked.length < MAX_POOLS;
-      if (isFree && isNew && picked.every((other) => isApart(member, other))) {
+      if (isFree && isNew && picked.every((other) => isSeparate(member, other))) {
         picked.push(member);
       }
     }
--- a/src/gateway/quotas/quota-pools.ts
+++ b/src/gateway/quotas/quota-pools.ts
@@ -1,83 +1,90 @@
-/** The pools that this gateway holds: who asks is granted all of a cost, or nothing. */
+/** The quota pools that this gateway holds; a request for a cost is granted in full or refused. */
 import { DecayedSum } from '../../decayed-sum.js';
 import type { TenantQuota } from '../../routing/configuration.js';
 import { QuotaBucket } from './quota-bucket.js';
-import { poolCredit, poolTerms } from './quota-terms.js';
+import { poolCredit, poolConfig } from './quota-terms.js';
 import type { BucketTerms, QuotaTolerance } from './quota-terms.js';
 
-/** What a holder answers. */
+/** A holder's response to a quota request; sent as `grant` in `quota-answer`. */
 export type QuotaGrant =
   | {
       readonly isGranted: true;
-      /** Time that must pass before it is used, in milliseconds; 0 for none. */
+      /** Delay before the grant may be used, in milliseconds; above 0 for an advance grant. */
       readonly afterMs: number;
     }
   | {
       readonly isGranted: false;
-      /** Time until the pool grants again if nobody else asks, in milliseconds. */
+      /** Time until the pool could grant the cost if no other request came, in milliseconds. */
       readonly emptyForMs: number;
-      /** When a caller may usefully try again, in milliseconds. */
+      /** Suggested delay before the caller retries, in milliseconds. */
       readonly retryAfterMs: number;
-      /** What the pool holds. */
+      /** Level of the pool. */
       readonly left: number;
-      /** Whether the gateway that was asked holds a pool of the tenant. */
+      /** Whether the responding gateway holds a pool of the tenant. */
       readonly isHeld: boolean;
     };
 
-/** A grant that was refused. */
-export type RefusedGrant = Exclude<QuotaGrant, { readonly isGranted: true }>;
+/** A refused quota request. */
+export type QuotaRefusal = Exclude<QuotaGrant, { readonly isGranted: true }>;
 
-/** What is asked of a pool. */
-export interface AskedCost {
+/** Cost requested from a pool. */
+export interface RequestedCost {
   /** Tokens, or requests; above 0. */
   readonly cost: number;
-  /** What the whole request costs, where this is a part of it. */
+  /** Cost of the whole request, of which `cost` may be a part. */
   readonly whole: number;
-  /** Whether a grant of what flows in a little later is of use. */
+  /** Whether an advance grant, valid only after its `afterMs`, is acceptable. */
   readonly mayWait: boolean;
 }
 
-/** What pools need to know. */
+/** Dependencies of the pools. */
 export interface QuotaPoolsPorts {
-  /** The quota of a tenant in the configuration in force; undefined for one that has none, or is not known. */
+  /**
+   * Returns the tenant's quota in the current configuration; undefined if it has none or is
+   * unknown.
+   */
   quotaOf(tenant: string): TenantQuota | undefined;
-  /** Since when this gateway alone has the right to a pool of the tenant, in milliseconds; undefined if not. */
+  /**
+   * Returns when this gateway became the only holder of its pool of the tenant, in milliseconds;
+   * undefined if it is not.
+   */
   heldSinceMs(tenant: string): number | undefined;
-  /** Pools that a tenant's quota is divided among. */
+  /** Returns the number of pools that each tenant's quota is divided into. */
   countPools(): number;
-  /** A pool ran dry, or grants again after that. */
-  onDry(tenant: string, isDry: boolean, level: number, terms: BucketTerms): void;
+  /** Called when a pool becomes exhausted, and once it has recovered. */
+  onDry(tenant: string, isExhausted: boolean, level: number, config: BucketTerms): void;
 }
 
 /**
- * Longest time for which a request may wait for what flows into a pool, in milliseconds: pools are empty after a start,
- * and tenants below their limits would be refused for it.
+ * Longest delay of an advance grant, in milliseconds. Pools are empty after a start; without
+ * advance grants tenants below their limits would be refused.
  */
-export const MAX_AHEAD_MS = 200;
+export const MAX_ADVANCE_GRANT_MS = 200;
 /**
- * Memory of the largest request of a tenant, in milliseconds. A pool grants nothing before it holds as much as the
- * largest lately asked for: when more is asked than flows in, small requests would otherwise take all of it, and
- * large ones of the same tenant would never be served.
+ * Time for which a tenant's largest request is remembered, in milliseconds. A pool grants nothing
+ * while its level is below the largest recent request: when demand exceeds the refill rate, small
+ * requests would otherwise starve large ones of the same tenant.
  */
-const LARGEST_MEMORY_MS = 60_000;
+const LARGEST_COST_TTL_MS = 60_000;
 /**
- * Memory of what was refused, by which a pool that is over its rate is known, in milliseconds: a few of the times that a
- * request may wait.
+ * Time constant of the decaying sum of refused cost, by which overload of a pool is detected, in
+ * milliseconds: a few times the longest delay of an advance grant.
  */
-const REFUSED_MEMORY_MS = 1_000;
-/** Pause named for a tenant that this gateway cannot grant anything, in milliseconds. */
-const UNKNOWN_PAUSE_MS = 100;
+const REFUSED_DECAY_MS = 1_000;
+/** Retry delay returned for a tenant without quota or pool at this gateway, in milliseconds. */
+const NO_POOL_RETRY_MS = 100;
 /**
- * Bounds of the pause named to a caller, in milliseconds. One that returns late displaces another that would be in time.
+ * Bounds of the retry delay returned to a caller, in milliseconds. A caller that retries late
+ * displaces one that would be on time.
  */
 const MIN_RETRY_AFTER_MS = 50;
 const MAX_RETRY_AFTER_MS = 1_000;
 
 class Pool {
-  readonly refused = new DecayedSum(REFUSED_MEMORY_MS);
-  isDry = false;
-  private largest = 0;
-  private largestAtMs = -Infinity;
+  readonly refused = new DecayedSum(REFUSED_DECAY_MS);
+  isExhausted = false;
+  private largestCost = 0;
+  private largestCostAtMs = -Infinity;
 
   constructor(
     readonly bucket: QuotaBucket,
@@ -85,20 +92,20 @@
   ) {}
 
   /**
-   * Whether waiting is of use: where much was refused lately more is asked than flows in, and a queue before the pool
-   * would make all that is granted late and serve no more.
+   * Whether advance grants are useful: a high recently refused cost means that demand exceeds the
+   * refill rate, and queueing would then delay every grant without serving more requests.
    */
-  isWaitingUseful({ perMs }: BucketTerms, nowMs: number): boolean {
-    return this.refused.at(nowMs) <= perMs * MAX_AHEAD_MS;
+  allowsAdvanceGrants({ perMs }: BucketTerms, nowMs: number): boolean {
+    return this.refused.at(nowMs) <= perMs * MAX_ADVANCE_GRANT_MS;
   }
 
-  /** Level below which nothing is granted to an ask for a part of a request, or the whole. */
-  threshold({ cost, whole }: AskedCost, { capacity }: BucketTerms, nowMs: number): number {
-    if (whole >= this.largest || nowMs - this.largestAtMs > LARGEST_MEMORY_MS) {
-      this.largest = whole;
-      this.largestAtMs = nowMs;
+  /** Returns the level below which a request for `cost` is not granted at once. */
+  threshold({ cost, whole }: RequestedCost, { capacity }: BucketTerms, nowMs: number): number {
+    if (whole >= this.largestCost || nowMs - this.largestCostAtMs > LARGEST_COST_TTL_MS) {
+      this.largestCost = whole;
+      this.largestCostAtMs = nowMs;
     }
-    return Math.max(cost, Math.min(this.largest * (cost / whole), capacity / 2));
+    return Math.max(cost, Math.min(this.largestCost * (cost / whole), capacity / 2));
   }
 }
 
@@ -111,31 +118,32 @@
     private readonly ports: QuotaPoolsPorts,
   ) {}
 
-  /** Asks for a part of a tenant's pool, or the whole cost; `grant` names it, should it be given back. */
-  ask(tenant: string, asked: AskedCost, grant: string, nowMs: number): QuotaGrant {
-    const { cost, mayWait } = asked;
+  /** Requests `cost` from a tenant's pool; `grant` is the key for a later refund. */
+  ask(tenant: string, requested: RequestedCost, grant: string, nowMs: number): QuotaGrant {
+    const { cost, mayWait } = requested;
     const quota = this.ports.quotaOf(tenant);
     const pool = quota && this.poolOf(tenant, quota, nowMs);
     if (quota === undefined || pool === undefined) {
       return {
         isGranted: false,
-        emptyForMs: UNKNOWN_PAUSE_MS,
-        retryAfterMs: UNKNOWN_PAUSE_MS,
+        emptyForMs: NO_POOL_RETRY_MS,
+        retryAfterMs: NO_POOL_RETRY_MS,
         left: 0,
         isHeld: false,
       };
     }
-    const terms = this.termsOf(quota);
-    const level = pool.bucket.levelAt(terms, nowMs);
-    const lacking = pool.threshold(asked, terms, nowMs) - level;
-    this.noteDry(tenant, pool, lacking > 0, level, terms);
-    const afterMs = Math.max(0, lacking / terms.perMs);
-    const isInTime = afterMs <= (mayWait && pool.isWaitingUseful(terms, nowMs) ? MAX_AHEAD_MS : 0);
-    if (isInTime && pool.bucket.take(grant, cost, terms, nowMs, afterMs)) {
+    const config = this.configOf(quota);
+    const level = pool.bucket.levelAt(config, nowMs);
+    const missing = pool.threshold(requested, config, nowMs) - level;
+    this.updateExhausted(tenant, pool, missing > 0, level, config);
+    const afterMs = Math.max(0, missing / config.perMs);
+    const isInTime =
+      afterMs <= (mayWait && pool.allowsAdvanceGrants(config, nowMs) ? MAX_ADVANCE_GRANT_MS : 0);
+    if (isInTime && pool.bucket.take(grant, cost, config, nowMs, afterMs)) {
       return { isGranted: true, afterMs };
     }
     if (mayWait) {
-      // Nothing else is tried for it.
+      // The last attempt of the charge: its cost is refused for good.
       pool.refused.add(cost, nowMs);
     }
     return {
@@ -147,36 +155,36 @@
     };
   }
 
-  /** A grant was not used. */
+  /** Refunds an unused grant. */
   giveBack(tenant: string, grant: string, nowMs: number): void {
-    this.pools.get(tenant)?.bucket.giveBack(grant, nowMs);
+    this.pools.get(tenant)?.bucket.refund(grant, nowMs);
   }
 
-  /** What the pools hold, by tenant. */
+  /** Returns the level of each pool, by tenant. */
   levels(nowMs: number): ReadonlyMap<string, number> {
     const levels = new Map<string, number>();
     for (const [tenant, pool] of this.pools) {
       const quota = this.ports.quotaOf(tenant);
       if (quota !== undefined) {
-        levels.set(tenant, pool.bucket.levelAt(this.termsOf(quota), nowMs));
+        levels.set(tenant, pool.bucket.levelAt(this.configOf(quota), nowMs));
       }
     }
     return levels;
   }
 
-  /** Each pool is given its part of a credit once. */
+  /** Adds its share of one credit to each held pool. */
   credit(tenants: readonly string[], nowMs: number): void {
     for (const tenant of tenants) {
       const quota = this.ports.quotaOf(tenant);
       const pool = quota && this.poolOf(tenant, quota, nowMs);
       if (quota !== undefined && pool !== undefined) {
         const amount = poolCredit(quota, this.tolerance, this.ports.countPools());
-        pool.bucket.add(amount, this.termsOf(quota), nowMs);
+        pool.bucket.add(amount, this.configOf(quota), nowMs);
       }
     }
   }
 
-  /** The rights may have changed: pools that are held no more are dropped with what is in them. */
+  /** Discards pools that this gateway no longer holds, including their level. */
   review(): void {
     for (const tenant of this.pools.keys()) {
       if (this.ports.heldSinceMs(tenant) === undefined) {
@@ -185,8 +193,8 @@
     }
   }
 
-  private termsOf(quota: TenantQuota): BucketTerms {
-    return poolTerms(quota, this.tolerance, this.ports.countPools());
+  private configOf(quota: TenantQuota): BucketTerms {
+    return poolConfig(quota, this.tolerance, this.ports.countPools());
   }
 
   private poolOf(tenant: string, quota: TenantQuota, nowMs: number): Pool | undefined {
@@ -195,28 +203,29 @@
       this.pools.delete(tenant);
       return undefined;
     }
-    const known = this.pools.get(tenant);
-    if (known?.unit === quota.unit) {
-      return known;
+    const existing = this.pools.get(tenant);
+    if (existing?.unit === quota.unit) {
+      return existing;
     }
-    // What was counted in another unit says nothing of this one.
-    const bucket = new QuotaBucket(known === undefined ? sinceMs : nowMs);
+    // A level counted in another unit cannot be converted.
+    const bucket = new QuotaBucket(existing === undefined ? sinceMs : nowMs);
     const created = new Pool(bucket, quota.unit);
     this.pools.set(tenant, created);
     return created;
   }
 
-  private noteDry(
+  private updateExhausted(
     tenant: string,
     pool: Pool,
-    isDry: boolean,
+    isExhausted: boolean,
     level: number,
-    terms: BucketTerms,
+    config: BucketTerms,
   ): void {
-    // It is told dry no more once it holds half again: at the brink a line for each request would come.
-    if (isDry ? !pool.isDry : pool.isDry && level >= terms.capacity / 2) {
-      pool.isDry = isDry;
-      this.ports.onDry(tenant, isDry, level, terms);
+    // Hysteresis: reported as recovered only at half its capacity, to avoid a log line per request
+    // near empty.
+    if (isExhausted ? !pool.isExhausted : pool.isExhausted && level >= config.capacity / 2) {
+      pool.isExhausted = isExhausted;
+      this.ports.onDry(tenant, isExhausted, level, config);
     }
   }
 }
--- a/src/gateway/quotas/quota-rights.ts
+++ b/src/gateway/quotas/quota-rights.ts
@@ -1,22 +1,29 @@
-/** Which rights to tenants' quotas this gateway holds now: by the newest record of members, while it is in contact. */
+/**
+ * The quota rights of this gateway: derived from the newest membership record, and valid only under
+ * a lease.
+ */
 import { isLater, isNoPosition } from '../../cluster/store-position.js';
-import { haveSameRights, NO_QUOTA_MEMBERS, QuotaHolders } from './quota-members.js';
-import { MAX_AHEAD_MS } from './quota-pools.js';
+import { haveSameRights, NO_QUOTA_MEMBERS, HolderAssignment } from './quota-members.js';
+import { MAX_ADVANCE_GRANT_MS } from './quota-pools.js';
 import type { QuotaMembersRecord } from './quota-members.js';
 
 /**
- * How long rights hold without word of the store or of most members, in milliseconds. Longer than the outages and cuts
- * that gateways are to bear; whoever is named a member no more has stopped after it, wherever it is.
+ * Duration of the lease on rights since the last contact with the store or a majority of members,
+ * in milliseconds. Longer than the outages and partitions that gateways must tolerate; a gateway
+ * removed from the members has stopped serving its pools after it, even if partitioned.
  */
-export const RIGHTS_HOLD_MS = 60_000;
+export const RIGHTS_LEASE_MS = 60_000;
 
-/** The rights of one gateway. */
+/** Quota rights of one gateway. */
 export class QuotaRights {
-  private holders = new QuotaHolders(NO_QUOTA_MEMBERS);
-  private contactAtMs = -Infinity;
+  private assignment = new HolderAssignment(NO_QUOTA_MEMBERS);
+  private renewedAtMs = -Infinity;
   private changedAtMs = Infinity;
 
-  /** `onChange`: rights may have come or gone. */
+  /**
+   * `onChange` is called when rights may have been gained or lost, `onCredit` when the record adds
+   * a credit.
+   */
   constructor(
     private readonly self: string,
     private readonly startedAtMs: number,
@@ -24,12 +31,12 @@
     private readonly onCredit: () => void,
   ) {}
 
-  /** The newest record that was seen. */
+  /** The newest record applied. */
   get record(): QuotaMembersRecord {
-    return this.holders.record;
+    return this.assignment.record;
   }
 
-  /** Takes in a record of the store; says whether it is news. */
+  /** Applies a record from the store; returns whether it is newer than the current one. */
   take(record: QuotaMembersRecord, nowMs: number): boolean {
     if (!isNoPosition(record) && !isLater(record, this.record)) {
       return false;
@@ -37,75 +44,91 @@
     if (record.members === undefined && isNoPosition(record) && this.record.members === undefined) {
       return false;
     }
-    // A record that is gone, is older or cannot be read takes no rights: members keep to the last one until it is
-    // written anew.
+    // A deleted, older or unreadable record revokes no rights: members use the last known one until
+    // it is rewritten.
     const { epoch, revision } = record;
-    const former = this.record;
-    const isLost = record.members === undefined || record.sequence < former.sequence;
-    const known = isLost ? { ...former, epoch, revision, isLost } : record;
-    this.holders = new QuotaHolders(known);
-    if (!haveSameRights(known, former)) {
+    const previous = this.record;
+    const isLost = record.members === undefined || record.sequence < previous.sequence;
+    const next = isLost ? { ...previous, epoch, revision, isLost } : record;
+    this.assignment = new HolderAssignment(next);
+    if (!haveSameRights(next, previous)) {
       this.changedAtMs = nowMs;
       this.onChange();
     }
-    // Whoever finds a credit at its start may follow a process that has used it.
-    if (former.members !== undefined && known.credits > former.credits) {
+    // A credit that is found at startup may already have been used by the previous process of this
+    // name.
+    if (previous.members !== undefined && next.credits > previous.credits) {
       this.onCredit();
     }
     return true;
   }
 
-  /** Word of the store, or of most members, came at `atMs`. */
+  /** Renews the lease as of `atMs`, the last contact with the store or a majority of members. */
   noteContact(atMs: number, nowMs: number): void {
     const hasLapsed = this.hasLapsed(nowMs);
-    this.contactAtMs = Math.max(this.contactAtMs, atMs);
+    this.renewedAtMs = Math.max(this.renewedAtMs, atMs);
     if (hasLapsed) {
-      // Others may have held these rights meanwhile.
+      // Other gateways may have held these rights since the lease expired.
       this.changedAtMs = nowMs;
       this.onChange();
     }
   }
 
-  /** Whether rights rest, since this gateway was out of contact for too long or has only started. */
+  /** Whether the lease has expired: no contact for too long, or none yet since the start. */
   hasLapsed(nowMs: number): boolean {
-    return nowMs - this.contactAtMs > RIGHTS_HOLD_MS;
+    return nowMs - this.renewedAtMs > RIGHTS_LEASE_MS;
   }
 
-  /** Names of the gateways that hold a tenant's pools. */
+  /** Returns the names of the gateways that hold a tenant's pools. */
   holdersOf(tenant: string): readonly string[] {
-    return this.holders.holdersOf(tenant);
+    return this.assignment.holdersOf(tenant);
   }
 
-  /** Name of the one gateway that holds what `key` names and is not divided; undefined while that is not known. */
+  /**
+   * Returns the single holder of the undivided resource `key`; undefined while the assignment is
+   * not settled.
+   */
   soleHolderOf(key: string): string | undefined {
-    return this.holders.soleHolderOf(key);
+    return this.assignment.soleHolderOf(key);
   }
 
-  /** Since when this gateway alone holds what `key` names, in milliseconds; undefined if it does not. */
+  /**
+   * Returns when this gateway became the single holder of `key`, in milliseconds; undefined if it
+   * is not.
+   */
   soleSinceMs(key: string, nowMs: number): number | undefined {
     const isHeld = !this.hasLapsed(nowMs) && this.soleHolderOf(key) === this.self;
     return isHeld ? this.freeSinceMs : undefined;
   }
 
-  /** Pools that each tenant's quota is divided among. */
+  /** Number of pools that each tenant's quota is divided into. */
   get pools(): number {
-    return this.holders.pools;
+    return this.assignment.poolCount;
   }
 
-  /** Since when this gateway alone has the right to a pool of the tenant, in milliseconds; undefined if it has none. */
+  /**
+   * Returns when this gateway became the only holder of its pool of the tenant, in milliseconds;
+   * undefined if it has none.
+   */
   heldSinceMs(tenant: string, nowMs: number): number | undefined {
     const isHeld = !this.hasLapsed(nowMs) && this.holdersOf(tenant).includes(this.self);
     return isHeld ? this.freeSinceMs : undefined;
   }
 
-  /** What a former process of this name granted ahead may be used for a moment after its end. */
+  /**
+   * Start of the current rights: advance grants of the previous process of this name may be used
+   * shortly after its end.
+   */
   private get freeSinceMs(): number {
-    return Math.max(this.changedAtMs, this.startedAtMs + MAX_AHEAD_MS);
+    return Math.max(this.changedAtMs, this.startedAtMs + MAX_ADVANCE_GRANT_MS);
   }
 
-  /** Gateways among which reserves are divided, and since when this one has its part; undefined if it has none. */
+  /**
+   * Returns how many gateways share the reserves and since when this one has its share; undefined
+   * if it has none.
+   */
   reserve(nowMs: number): { readonly gateways: number; readonly sinceMs: number } | undefined {
-    const gateways = this.hasLapsed(nowMs) ? 0 : this.holders.countReserves(this.self);
+    const gateways = this.hasLapsed(nowMs) ? 0 : this.assignment.countReserveHolders(this.self);
     return gateways === 0 ? undefined : { gateways, sinceMs: this.freeSinceMs };
   }
 }
--- a/src/gateway/quotas/quota-terms.ts
+++ b/src/gateway/quotas/quota-terms.ts
@@ -1,92 +1,100 @@
 /**
- * How a tenant's limit is divided among those who may let requests pass.
+ * Division of a tenant's limit into pools, reserves and credits.
  *
- * In any window all gateways together may let pass `(rate x window + burst) x (1 + over) + slack`. Of that, a few
- * pools hold the rate, with half of `over` on top, and the burst. What is tolerated beyond, the surplus, is divided:
- * `POOL_SHARE` of it is stock of the pools, `RESERVE_SHARE` are reserves, `CREDIT_SHARE` is for one credit in a window.
- * The rest is left unused.
+ * In any window all gateways together may admit `(rate x window + burst) x (1 + over) + slack`. Of
+ * that, a few pools get the rate, with half of `over` on top, and the burst. The remaining
+ * tolerance, the surplus, is divided: `POOL_SHARE` of it adds to the pools' capacity,
+ * `RESERVE_SHARE` goes to reserves, `CREDIT_SHARE` to one credit per window. The rest stays unused.
  */
 import type { TenantQuota } from '../../routing/configuration.js';
 
-/** What is tolerated beyond a tenant's rate and burst, over all gateways. */
+/** Tolerated excess over a tenant's rate and burst, summed over all gateways. */
 export interface QuotaTolerance {
-  /** Share of rate and burst. */
+  /** Fraction of rate and burst. */
   readonly overShare: number;
-  /** Tokens (or requests) beside that. */
+  /** Tokens (or requests) on top of that. */
   readonly slack: number;
-  /** Window that the limit is counted in, in milliseconds. */
+  /** Sliding window over which the limit is measured, in milliseconds. */
   readonly windowMs: number;
 }
 
-/** A bucket's terms, in tokens (or requests) and milliseconds. */
+/** Configuration of a token bucket, in tokens (or requests) and milliseconds. */
 export interface BucketTerms {
-  /** Most that it ever holds. */
+  /** Highest level. */
   readonly capacity: number;
+  /** Refill rate. */
   readonly perMs: number;
 }
 
 /**
- * Pools of each tenant, at as many gateways if there are so many. One that dies or is cut off takes an eighth of the
- * rate with it. More of them would hold less each, and a request must fit into one or be put together from several.
+ * Maximum number of pools of a tenant, each at a different gateway. A gateway that crashes or is
+ * partitioned off takes an eighth of the rate with it. With more pools each would be smaller, and a
+ * request must fit into one or be split among several.
  */
 export const MAX_POOLS = 8;
 /**
- * Shares of the surplus that pools, reserves and a credit hold; the rest is a margin that nobody uses. Pools need stock
- * beside the burst, since requests are large against what one of them holds. A credit serves a fleet that has started again
- * as a whole, a reserve a gateway that is cut off from every holder.
+ * Shares of the surplus for pools, reserves and a credit; the rest is an unused margin. Pools need
+ * capacity beyond the burst, since requests are large relative to one pool. A credit serves a fleet
+ * that has restarted as a whole, a reserve a gateway that is partitioned from every holder.
  */
 const POOL_SHARE = 0.4;
 const RESERVE_SHARE = 0.2;
 const CREDIT_SHARE = 0.3;
-/** Part of the share above a tenant's rate that flows into its pools, so that what is lost on the way does not hold it below its rate. */
-const OVER_SHARE_IN_RATE = 0.5;
-/** Share of a reserve that is its stock; the rest flows into it during a window. */
-const RESERVE_STOCK_SHARE = 0.75;
+/**
+ * Share of `overShare` added to the pools' refill rate: lost grants would otherwise keep a tenant
+ * below its rate.
+ */
+const POOL_RATE_OVER_SHARE = 0.5;
+/** Share of a reserve that is its capacity; the rest is refilled over one window. */
+const RESERVE_CAPACITY_SHARE = 0.75;
 const MS_PER_S = 1_000;
 
-/** Terms of each of a tenant's `pools` pools. */
-export function poolTerms(
+/** Returns the configuration of each of a tenant's `pools` pools. */
+export function poolConfig(
   quota: TenantQuota,
   tolerance: QuotaTolerance,
   pools: number,
 ): BucketTerms {
-  const stock = quota.burst + POOL_SHARE * surplusOf(quota, tolerance);
+  const totalCapacity = quota.burst + POOL_SHARE * surplusOf(quota, tolerance);
   return {
-    capacity: stock / pools,
+    capacity: totalCapacity / pools,
     perMs: pooledRate(quota, tolerance) / MS_PER_S / pools,
   };
 }
 
-/** What flows at once into each of a tenant's `pools` pools, after a fleet has started again as a whole. */
+/**
+ * Returns the amount added at once to each of a tenant's `pools` pools after a restart of the whole
+ * fleet.
+ */
 export function poolCredit(quota: TenantQuota, tolerance: QuotaTolerance, pools: number): number {
   return (CREDIT_SHARE * surplusOf(quota, tolerance)) / pools;
 }
 
-/** Terms of the reserve that each of `gateways` gateways has for a tenant. */
-export function reserveTerms(
+/** Returns the configuration of the reserve that each of `gateways` gateways has for a tenant. */
+export function reserveConfig(
   quota: TenantQuota,
   tolerance: QuotaTolerance,
   gateways: number,
 ): BucketTerms {
   const share = (RESERVE_SHARE * surplusOf(quota, tolerance)) / gateways;
   return {
-    capacity: share * RESERVE_STOCK_SHARE,
-    perMs: (share * (1 - RESERVE_STOCK_SHARE)) / tolerance.windowMs,
+    capacity: share * RESERVE_CAPACITY_SHARE,
+    perMs: (share * (1 - RESERVE_CAPACITY_SHARE)) / tolerance.windowMs,
   };
 }
 
-/** Most that may pass in a window, over all gateways. */
-export function windowBound(quota: TenantQuota, tolerance: QuotaTolerance): number {
+/** Returns the most that all gateways together may admit in a window. */
+export function maxPerWindow(quota: TenantQuota, tolerance: QuotaTolerance): number {
   const nominal = (quota.ratePerS * tolerance.windowMs) / MS_PER_S + quota.burst;
   return nominal * (1 + tolerance.overShare) + tolerance.slack;
 }
 
-/** Rate of a tenant's pools together: a tenant over its limit is not held below it by what is lost on the way. */
+/** Returns the total refill rate of a tenant's pools, including a margin for lost grants. */
 function pooledRate({ ratePerS }: TenantQuota, { overShare }: QuotaTolerance): number {
-  return ratePerS * (1 + overShare * OVER_SHARE_IN_RATE);
+  return ratePerS * (1 + overShare * POOL_RATE_OVER_SHARE);
 }
 
 function surplusOf(quota: TenantQuota, tolerance: QuotaTolerance): number {
   const pooled = (pooledRate(quota, tolerance) * tolerance.windowMs) / MS_PER_S + quota.burst;
-  return windowBound(quota, tolerance) - pooled;
+  return maxPerWindow(quota, tolerance) - pooled;
 }
--- a/test/quota-fleet.test.ts
+++ b/test/quota-fleet.test.ts
@@ -6,14 +6,17 @@
 const SETTLE_MS = 8_000;
 const SEEDS = 200;
 
-/** Faults of a seed: kills in a row and all at once, pauses, cuts, an outage of the store, lost words, further runs. */
-async function playSeed(seed: number, fault?: QuotaFleetFault): Promise<QuotaFleet> {
+/**
+ * Injects the faults of a seed: single and fleet-wide kills, pauses, partitions, store outages,
+ * lost messages, reruns.
+ */
+async function runSeed(seed: number, fault?: QuotaFleetFault): Promise<QuotaFleet> {
   const random = new SeededRandom(seed * 7 + 1);
   const gateways = randomInteger(random, 1, 24);
   const fleet = new QuotaFleet({ seed, gateways, ...(fault === undefined ? {} : { fault }) });
   await fleet.run(SETTLE_MS);
   fleet.lossShare = random.next() < 0.3 ? 0.1 : 0;
-  fleet.furtherRuns = random.next() < 0.5 ? 0.4 : 0;
+  fleet.rerunShare = random.next() < 0.5 ? 0.4 : 0;
   const one = () => fleet.gateways[randomInteger(random, 0, fleet.gateways.length - 1)]!;
   const kinds: Array<() => void> = [
     () => one().kill(randomInteger(random, 200, 600)),
@@ -39,40 +42,40 @@
   return fleet;
 }
 
-test('whatever starts, dies, stands still or is cut off, no tenant gets more than its bound', async (t) => {
+test('no tenant exceeds its window limit while gateways start, crash, pause and are partitioned', async (t) => {
   let worst = 0;
   for (let seed = 0; seed < SEEDS; seed += 1) {
-    const fleet = await playSeed(seed);
+    const fleet = await runSeed(seed);
     const share = fleet.worstShare();
-    t.true(share <= 1, `seed ${seed}: ${share} of the bound`);
-    t.true(fleet.mostHeld <= 1 + 1e-9, `seed ${seed}: ${fleet.mostHeld} of the pools were held`);
+    t.true(share <= 1, `seed ${seed}: ${share} of the window limit`);
+    t.true(fleet.maxHeldShare <= 1 + 1e-9, `seed ${seed}: ${fleet.maxHeldShare} of the pools held`);
     worst = Math.max(worst, share);
   }
-  t.log(`worst of ${SEEDS} seeds: ${worst} of the bound`);
+  t.log(`worst of ${SEEDS} seeds: ${worst} of the window limit`);
 });
 
-const BROKEN: Readonly<Record<string, QuotaFleetFault>> = {
-  'a start that brings rights along': { startsFull: true },
-  'what is used before it is granted': { usesUnanswered: true },
-  'a share taken from others that hold it still': { takesOthersShare: true },
-  'further runs that are not charged': { ignoresFurtherRuns: true },
-  'credits that come too close': { creditsEachTime: true },
+const INJECTED_FAULTS: Readonly<Record<string, QuotaFleetFault>> = {
+  'full pools at the start of a process': { startsFull: true },
+  'requests admitted without a grant after a timeout': { treatsTimeoutAsGrant: true },
+  'pool shares claimed while other gateways still hold them': { takesOthersShare: true },
+  'reruns that are not charged': { ignoresReruns: true },
+  'credits issued at too short intervals': { creditsEachTime: true },
 };
-for (const [name, fault] of Object.entries(BROKEN)) {
-  test(`the check finds ${name}`, async (t) => {
+for (const [name, fault] of Object.entries(INJECTED_FAULTS)) {
+  test(`the limit check detects ${name}`, async (t) => {
     for (let seed = 0; seed < SEEDS; seed += 1) {
-      if ((await playSeed(seed, fault)).worstShare() > 1) {
+      if ((await runSeed(seed, fault)).worstShare() > 1) {
         t.log(`seed ${seed}`);
         t.pass();
         return;
       }
     }
-    t.fail('no seed breaks the bound');
+    t.fail('no seed exceeds the window limit');
   });
 }
 
 for (const gateways of [1, 2, 8, 27, 64]) {
-  test(`while nothing happens ${gateways} gateways give a tenant its rate, and refuse none that asks for less`, async (t) => {
+  test(`${gateways} healthy gateways admit a tenant's full rate and refuse no request of a tenant below its rate`, async (t) => {
     const fleet = new QuotaFleet({ seed: 5, gateways });
     await fleet.run(SETTLE_MS);
     fleet.beginDemand();
@@ -86,7 +89,7 @@
   });
 }
 
-test('a tenant at .6 of its limit is refused less than 5 in 100 while half of eight gateways stand still by turns', async (t) => {
+test('fewer than 5 in 100 requests of a tenant at .6 of its limit are refused while half of eight gateways pause in turn', async (t) => {
   const fleet = new QuotaFleet({ seed: 6, gateways: 8 });
   await fleet.run(SETTLE_MS);
   fleet.beginDemand();
@@ -100,7 +103,7 @@
   t.true(fleet.worstShare() <= 1);
 });
 
-test('gateways that are apart from the start share one quota, once the store names them', async (t) => {
+test('gateways partitioned from each other since the start share one quota through the membership record', async (t) => {
   const fleet = new QuotaFleet({ seed: 7, gateways: 8 });
   fleet.lossShare = 1;
   fleet.beginDemand();
@@ -108,7 +111,7 @@
   t.true(fleet.worstShare() <= 1, `${fleet.worstShare()}`);
 });
 
-test('a gateway that was cut off for minutes is left out, and has stopped long before', async (t) => {
+test('a gateway partitioned for minutes stops serving its pools well before it is removed from the members', async (t) => {
   const fleet = new QuotaFleet({ seed: 8, gateways: 5 });
   await fleet.run(SETTLE_MS);
   fleet.beginDemand(1.5, 0.1);
@@ -129,7 +132,7 @@
   t.true(fleet.worstShare() <= 1);
 });
 
-test('a long outage of the store takes nobody the rights that members hold', async (t) => {
+test('members keep their quota rights during a long store outage', async (t) => {
   const fleet = new QuotaFleet({ seed: 9, gateways: 5 });
   await fleet.run(SETTLE_MS);
   fleet.isStoreUp = false;
@@ -139,7 +142,7 @@
   t.is(fleet.refused.calm, 0);
 });
 
-test('gateways that are added hold rights once all members know of them', async (t) => {
+test('added gateways hold quota rights once all members have applied the new membership', async (t) => {
   const fleet = new QuotaFleet({ seed: 10, gateways: 3 });
   await fleet.run(SETTLE_MS);
   fleet.beginDemand();
@@ -150,7 +153,7 @@
   t.true(fleet.worstShare() <= 1);
 });
 
-test('a limit that is lowered binds from then on', async (t) => {
+test('a lowered limit takes effect at once', async (t) => {
   const fleet = new QuotaFleet({ seed: 11, gateways: 8 });
   await fleet.run(SETTLE_MS);
   fleet.beginDemand();
@@ -162,11 +165,11 @@
   t.true(fleet.ranSince(fromMs) <= (4_000 * 8 + 4_000) * 1.1 + 14_000);
 });
 
-test('no pool is held by two, and the check finds rights that are taken before others follow', async (t) => {
-  const playJoin = async (fault: QuotaFleetFault) => {
+test('no pool has two holders, and the check detects rights used before other gateways apply the record', async (t) => {
+  const runJoin = async (fault: QuotaFleetFault) => {
     const fleet = new QuotaFleet({ seed: 12, gateways: 10, fault });
     await fleet.run(SETTLE_MS);
-    // Those that are cut off know nothing of the ones that are added.
+    // Partitioned gateways do not learn of the added ones.
     fleet.gateways.slice(0, 5).forEach((gateway) => (gateway.isCut = true));
     for (let index = 0; index < 10; index += 1) {
       fleet.add();
@@ -176,14 +179,16 @@
     await fleet.run(10_000);
     return fleet;
   };
-  const fleet = await playJoin({});
+  const fleet = await runJoin({});
   t.is(fleet.members.settled.length, 20);
-  t.true(fleet.mostHeld <= 1 + 1e-9);
-  t.true((await playJoin({ ignoresSettled: true })).mostHeld > 1);
+  t.true(fleet.maxHeldShare <= 1 + 1e-9);
+  t.true((await runJoin({ ignoresSettled: true })).maxHeldShare > 1);
 });
 
-/** Gateways that start, die and stand still before a store that comes back from copies again and again. */
-async function playCopies(seed: number, fault?: QuotaFleetFault): Promise<QuotaFleet> {
+/**
+ * Runs gateways that start, crash and pause while the store is repeatedly restored from backups.
+ */
+async function runWithRestores(seed: number, fault?: QuotaFleetFault): Promise<QuotaFleet> {
   const random = new SeededRandom(seed * 11 + 3);
   const gateways = randomInteger(random, 1, 24);
   const fleet = new QuotaFleet({ seed, gateways, ...(fault === undefined ? {} : { fault }) });
@@ -206,25 +211,25 @@
   return fleet;
 }
 
-test('no tenant gets more than its bound, and no pool is held by two, while the store comes back from copies', async (t) => {
+test('no tenant exceeds its window limit and no pool has two holders while the store is restored from backups', async (t) => {
   let worst = 0;
   for (let seed = 0; seed < SEEDS; seed += 1) {
-    const fleet = await playCopies(seed);
+    const fleet = await runWithRestores(seed);
     const share = fleet.worstShare();
-    t.true(share <= 1, `seed ${seed}: ${share} of the bound`);
-    t.true(fleet.mostHeld <= 1 + 1e-9, `seed ${seed}: ${fleet.mostHeld} of the pools were held`);
+    t.true(share <= 1, `seed ${seed}: ${share} of the window limit`);
+    t.true(fleet.maxHeldShare <= 1 + 1e-9, `seed ${seed}: ${fleet.maxHeldShare} of the pools held`);
     worst = Math.max(worst, share);
   }
-  t.log(`worst of ${SEEDS} seeds: ${worst} of the bound`);
+  t.log(`worst of ${SEEDS} seeds: ${worst} of the window limit`);
 });
 
-test('the check finds an older record of members that is followed', async (t) => {
+test('the check detects that an older membership record is applied', async (t) => {
   for (let seed = 0; seed < SEEDS; seed += 1) {
-    if ((await playCopies(seed, { ignoresSequence: true })).mostHeld > 1 + 1e-9) {
+    if ((await runWithRestores(seed, { ignoresSequence: true })).maxHeldShare > 1 + 1e-9) {
       t.log(`seed ${seed}`);
       t.pass();
       return;
     }
   }
-  t.fail('no pool was held by two');
+  t.fail('no pool had two holders');
 });
--- a/test/quota-members-writer.test.ts
+++ b/test/quota-members-writer.test.ts
@@ -5,15 +5,15 @@
   QuotaMembersRecord,
 } from '../src/gateway/quotas/quota-members.js';
 import { QuotaMembersWriter } from '../src/gateway/quotas/quota-members-writer.js';
-import { MAX_AHEAD_MS } from '../src/gateway/quotas/quota-pools.js';
+import { MAX_ADVANCE_GRANT_MS } from '../src/gateway/quotas/quota-pools.js';
 import { ok } from '../src/result.js';
 import { VirtualClock } from '../src/sim/virtual-clock.js';
 
-const LOOK_MS = 100;
+const TICK_MS = 100;
 const SELF = { name: 'a', zone: 'z', region: 'r', address: 'a' };
 const JOINER = { name: 'b', zone: 'z', region: 'r', address: 'b' };
 
-/** A writer that looks every .1 s; the other gateway follows each record at once. */
+/** Starts a writer that ticks every .1 s; the other gateway applies each record at once. */
 function startWriter(clock: VirtualClock, first: QuotaMembersRecord) {
   const written: Array<QuotaMembersChange & { readonly atMs: number }> = [];
   let record = first;
@@ -35,19 +35,20 @@
     },
     clock,
   );
-  const look = () => {
+  const tick = () => {
     writer.tick();
-    clock.setTimeout(look, LOOK_MS);
+    clock.setTimeout(tick, TICK_MS);
   };
-  look();
+  tick();
   return written;
 }
 
 /*
- * A gateway that joins began with its pools before what others had granted ahead under the former record was used: the
- * time for that was counted from when the join had become due, and not from when all had followed it.
+ * Guards against a joining gateway that serves its pools while advance grants under the previous
+ * record may still be used: the settle delay must count from when all gateways have applied the
+ * join, not from when the join became pending.
  */
-test('a record is settled only once what was granted ahead under the one before is used', async (t) => {
+test('a membership is settled only after advance grants under the previous one can no longer be used', async (t) => {
   const clock = new VirtualClock();
   const members = [SELF];
   const written = startWriter(clock, {
@@ -57,8 +58,8 @@
     revision: 1,
   });
   await clock.runUntil(10_000);
-  const [joined, settled] = written;
-  t.deepEqual([joined!.members.length, joined!.settled.length], [2, 1]);
-  t.deepEqual([settled!.members.length, settled!.settled.length], [2, 2]);
-  t.true(settled!.atMs - joined!.atMs > MAX_AHEAD_MS);
+  const [joinRecord, settledRecord] = written;
+  t.deepEqual([joinRecord!.members.length, joinRecord!.settled.length], [2, 1]);
+  t.deepEqual([settledRecord!.members.length, settledRecord!.settled.length], [2, 2]);
+  t.true(settledRecord!.atMs - joinRecord!.atMs > MAX_ADVANCE_GRANT_MS);
 });
--- a/test/quota-restarts.test.ts
+++ b/test/quota-restarts.test.ts
@@ -2,19 +2,16 @@
 import anyTest from 'ava';
 import { runQuotas } from '../bench/soak/quota-run.js';
 
-// One fleet at a time: processes that start compete for the processor.
+// One fleet at a time: starting processes compete for CPU time.
 const test = anyTest.serial;
 
 /*
- * Back ends ran more of one customer than its rate, burst and tolerated surplus allow. Gateways were being started
- * again one after another; each that started let the customer spend afresh what the others had counted as spent.
- *
- * Evidence: in the record the gateways' process ids rise together with the configuration versions that they first
- * installed, so they started in a row while operators changed the configuration. On the code as it was, real gateways
- * of which one was killed every half second ran 1.18 of the bound in the worst window, and the same fleet without
- * kills .92: what differs is the starts alone.
+ * Guards against a tenant exceeding its rate, burst and tolerance while gateways restart one after
+ * another: a gateway that starts with full pools grants again what the others have counted as
+ * spent. With one gateway killed every half second the worst window then reaches 1.18 of the limit,
+ * against .92 without kills.
  */
-test('quota: gateways that are killed and started again in turn let no tenant beyond its limit', async (t) => {
+test('quota: no tenant exceeds its limit while gateways are killed and restarted in turn', async (t) => {
   execFileSync('node', ['platform/build.mjs']);
   const { worstShare, calmRefused, folder } = await runQuotas({
     fault: 'kill-in-turn',
@@ -23,7 +20,7 @@
     lengthMs: 13_000,
     basePort: 24_000,
   });
-  t.log(`${worstShare} of the bound, ${calmRefused} of the calm refused; logs in ${folder}`);
+  t.log(`${worstShare} of the limit, ${calmRefused} of calm requests refused; logs in ${folder}`);
   t.true(worstShare <= 1);
   t.true(calmRefused < 0.01);
 });
@@ -36,12 +33,12 @@
     lengthMs: 10_000,
     basePort: 24_010,
   });
-  t.log(`${worstShare} of the bound, ${furtherTries} further tries; logs in ${folder}`);
+  t.log(`${worstShare} of the limit, ${furtherTries} further attempts; logs in ${folder}`);
   t.true(furtherTries > 0);
   t.true(worstShare <= 1);
 });
 
-test('quota: gateways that never hear each other share one limit', async (t) => {
+test('quota: gateways that never receive messages from each other share one limit', async (t) => {
   const { worstShare, folder } = await runQuotas({
     fault: 'apart',
     gateways: 4,
@@ -49,6 +46,6 @@
     lengthMs: 10_000,
     basePort: 24_020,
   });
-  t.log(`${worstShare} of the bound; logs in ${folder}`);
+  t.log(`${worstShare} of the limit; logs in ${folder}`);
   t.true(worstShare <= 1);
 });
--- a/test/slot-agent-links.test.ts
+++ b/test/slot-agent-links.test.ts
@@ -18,14 +18,14 @@
 const SILENCE_MS = 150;
 const PATIENCE_MS = 5_000;
 
-/** An agent that the test lets beat, fall silent, complain of silence, or die. */
+/** A fake agent that sends periodic state messages until the test silences or stops it. */
 class FakeAgent {
   private readonly server: Server;
   private readonly sockets = new Set<Socket>();
-  private readonly beats: NodeJS.Timeout;
+  private readonly stateTimer: NodeJS.Timeout;
   private channel: MessageChannel<AgentToGateway, GatewayToAgent> | undefined;
   isSilent = false;
-  /** Messages heard that an agent counts: all about slots after the hello. */
+  /** Number of received messages that an agent counts: all but `hello` and `reach`. */
   messagesSeen = 0;
 
   constructor(port: number) {
@@ -39,18 +39,18 @@
       });
     });
     this.server.listen(port, HOST);
-    this.beats = setInterval(() => this.beat(), 20);
+    this.stateTimer = setInterval(() => this.sendStateUnlessSilent(), 20);
   }
 
-  /** The process is gone: its connections are ended, its port is closed. */
-  die(): void {
-    clearInterval(this.beats);
+  /** Simulates a crash: destroys its connections and closes its port. */
+  crash(): void {
+    clearInterval(this.stateTimer);
     this.server.close();
     this.sockets.forEach((socket) => socket.destroy());
   }
 
-  /** Says a word at once. */
-  speak(): void {
+  /** Sends a state message at once. */
+  sendState(): void {
     this.channel?.send({
       kind: 'state',
       occupied: 0,
@@ -62,14 +62,14 @@
     this.channel?.flush();
   }
 
-  private beat(): void {
+  private sendStateUnlessSilent(): void {
     if (!this.isSilent) {
-      this.speak();
+      this.sendState();
     }
   }
 }
 
-/** A gateway's links to the agent of one engine, kept up by ticks of 10 ms. */
+/** Starts a gateway's links to the agent of one engine, maintained in ticks of 10 ms. */
 function startLinks(port: number, host = HOST) {
   const world = new GatewayWorld(backendOf('a', { address: `${host}:9` }));
   world.engines = true;
@@ -110,8 +110,8 @@
   return { known: world.directory.find('a')!, stop };
 }
 
-/** Waits until something holds, for a machine that is busy; says whether it came to hold. */
-async function holdsSoon(condition: () => boolean): Promise<boolean> {
+/** Polls until `condition` holds, with a timeout for a busy machine; returns whether it holds. */
+async function waitFor(condition: () => boolean): Promise<boolean> {
   const untilMs = SYSTEM_CLOCK.now() + PATIENCE_MS;
   while (!condition() && SYSTEM_CLOCK.now() < untilMs) {
     await sleep(SYSTEM_CLOCK, 5);
@@ -119,80 +119,81 @@
   return condition();
 }
 
-test('words that a gateway lives are counted like any other, so that no count seems to hold what was taken later', async (t) => {
+test('keepalives count as sent messages, so that no state report seems to cover slots taken after it', async (t) => {
   const agent = new FakeAgent(28_957);
   const { known, stop } = startLinks(28_957);
   t.teardown(() => {
     stop();
-    agent.die();
+    agent.crash();
   });
-  t.true(await holdsSoon(() => known.agent !== undefined));
+  t.true(await waitFor(() => known.agent !== undefined));
   known.outstanding = 1;
-  t.true(await holdsSoon(() => agent.messagesSeen >= 3));
+  t.true(await waitFor(() => agent.messagesSeen >= 3));
   t.true(known.agent!.messagesSent >= agent.messagesSeen);
 });
 
-test('an agent that falls silent makes its path doubtful, and its next word ends that', async (t) => {
+test('the path of a silent agent is marked silent until its next message', async (t) => {
   const agent = new FakeAgent(28_951);
   const { known, stop } = startLinks(28_951);
-  t.true(await holdsSoon(() => known.path.heardAtMs !== undefined));
+  t.true(await waitFor(() => known.path.heardAtMs !== undefined));
   agent.isSilent = true;
-  t.true(await holdsSoon(() => known.path.isAgentSilent));
+  t.true(await waitFor(() => known.path.isAgentSilent));
   agent.isSilent = false;
-  t.true(await holdsSoon(() => !known.path.isAgentSilent));
+  t.true(await waitFor(() => !known.path.isAgentSilent));
   stop();
-  agent.die();
+  agent.crash();
 });
 
-test('an agent that died was heard to do so: its engine is used without it', async (t) => {
+test('a crashed agent whose host closes the connection does not mark the path silent', async (t) => {
   const agent = new FakeAgent(28_952);
   const { known, stop } = startLinks(28_952);
-  t.true(await holdsSoon(() => known.path.heardAtMs !== undefined));
-  agent.die();
-  t.true(await holdsSoon(() => known.agent === undefined));
+  t.true(await waitFor(() => known.path.heardAtMs !== undefined));
+  agent.crash();
+  t.true(await waitFor(() => known.agent === undefined));
   await sleep(SYSTEM_CLOCK, SILENCE_MS * 3);
   t.false(known.path.isAgentSilent);
   stop();
 });
 
-test('a path on which nothing comes back stays doubtful although connections come up, until it is whole', async (t) => {
+test('a path without return traffic stays marked silent across reconnects until it recovers', async (t) => {
   const agent = new FakeAgent(28_953);
   const proxy = new LoopbackProxy(HOST, 28_953);
   await proxy.start('127.0.5.2', 28_953);
   const { known, stop } = startLinks(28_953, '127.0.5.2');
-  t.true(await holdsSoon(() => known.path.heardAtMs !== undefined));
+  t.true(await waitFor(() => known.path.heardAtMs !== undefined));
   proxy.mood = 'cut-from-target';
-  t.true(await holdsSoon(() => known.path.isAgentSilent));
-  t.true(await holdsSoon(() => known.agent !== undefined));
+  t.true(await waitFor(() => known.path.isAgentSilent));
+  t.true(await waitFor(() => known.agent !== undefined));
   t.true(known.path.isAgentSilent);
   proxy.mood = 'passes';
-  t.true(await holdsSoon(() => !known.path.isAgentSilent));
+  t.true(await waitFor(() => !known.path.isAgentSilent));
   stop();
   proxy.stop();
-  agent.die();
+  agent.crash();
 });
 
 test.serial(
-  'time in which the gateway itself stood still does not count as silence of an agent',
+  'time during which the gateway itself was stalled does not count as silence of an agent',
   async (t) => {
     const agent = new FakeAgent(28_954);
     const { known, stop } = startLinks(28_954);
-    t.true(await holdsSoon(() => known.path.heardAtMs !== undefined));
+    t.true(await waitFor(() => known.path.heardAtMs !== undefined));
     agent.isSilent = true;
-    let hasStoodStill = false;
+    let hasStalled = false;
     setImmediate(() => {
-      agent.speak();
+      agent.sendState();
       const untilMs = SYSTEM_CLOCK.now() + SILENCE_MS * 1.2;
       while (SYSTEM_CLOCK.now() < untilMs) {
-        // The agent's word lies unread meanwhile, and the next tick comes before it.
+        // Blocks the event loop: the agent's message stays unread, and the next tick runs before it
+        // is read.
       }
-      hasStoodStill = true;
+      hasStalled = true;
     });
-    t.true(await holdsSoon(() => hasStoodStill));
+    t.true(await waitFor(() => hasStalled));
     await sleep(SYSTEM_CLOCK, SILENCE_MS / 3);
     t.false(known.path.isAgentSilent);
     t.not(known.agent, undefined);
     stop();
-    agent.die();
+    agent.crash();
   },
 );
--- a/test/support/heap-clock.ts
+++ b/test/support/heap-clock.ts
@@ -1,4 +1,4 @@
-/** A virtual clock for many timers: time passes only from one to the next. */
+/** A virtual clock with a heap of timers: time advances only from one timer to the next. */
 import { Heap } from 'heap-js';
 import type { Clock, TimerHandle } from '../../src/clock.js';
 
@@ -8,7 +8,7 @@
   callback: (() => void) | undefined;
 }
 
-/** A virtual clock for many timers. */
+/** A virtual clock backed by a heap, for many timers. */
 export class HeapClock implements Clock {
   private readonly timers = new Heap<Timer>(
     (left, right) => left.atMs - right.atMs || left.number - right.number,
@@ -31,7 +31,10 @@
     (handle as Timer).callback = undefined;
   }
 
-  /** Runs the next timer up to `untilMs`; false if there is none. */
+  /**
+   * Runs the next timer due by `untilMs`; if there is none, advances to `untilMs` and returns
+   * false.
+   */
   step(untilMs: number): boolean {
     const next = this.timers.peek();
     if (next === undefined || next.atMs > untilMs) {
--- a/test/support/quota-fleet.ts
+++ b/test/support/quota-fleet.ts
@@ -1,4 +1,7 @@
-/** Gateways' quotas on a virtual clock: processes that die, stand still and are cut off, and a store that may be away. */
+/**
+ * Simulates gateways' quotas on a virtual clock, with crashes, pauses, partitions and store
+ * outages.
+ */
 import type { Clock } from '../../src/clock.js';
 import type { PeerHello, PeerMessage } from '../../src/cluster/peer-messages.js';
 import { NO_REACH } from '../../src/cluster/replicated-records.js';
@@ -11,7 +14,7 @@
 import { decodeQuotaMembers } from '../../src/gateway/quotas/quota-members-format.js';
 import { NO_QUOTA_MEMBERS } from '../../src/gateway/quotas/quota-members.js';
 import type { QuotaRights } from '../../src/gateway/quotas/quota-rights.js';
-import { windowBound } from '../../src/gateway/quotas/quota-terms.js';
+import { maxPerWindow } from '../../src/gateway/quotas/quota-terms.js';
 import { err, ok } from '../../src/result.js';
 import type { RandomSource } from '../../src/random.js';
 import { SeededRandom } from '../../src/random.js';
@@ -23,25 +26,25 @@
 import { isNoPosition, isSamePosition } from '../../src/cluster/store-position.js';
 import type { StorePosition } from '../../src/cluster/store-position.js';
 
-/** Faults put into the quotas, which the check has to find. */
+/** Faults injected into the quotas, which the limit check must detect. */
 export interface QuotaFleetFault {
-  /** A pool is full from the start of its process. */
+  /** Pools are full from the start of their process. */
   readonly startsFull?: boolean;
-  /** An ask that is not answered counts as granted. */
-  readonly usesUnanswered?: boolean;
-  /** Each pool takes the share of one of two. */
+  /** A quota request that times out counts as granted. */
+  readonly treatsTimeoutAsGrant?: boolean;
+  /** Each pool is sized as one of two, whatever the number of pools. */
   readonly takesOthersShare?: boolean;
-  /** A gateway takes the rights of a new record before the others follow it. */
+  /** A gateway uses the rights of a new record before the other gateways have applied it. */
   readonly ignoresSettled?: boolean;
-  /** A fleet is given a credit each time that it starts again. */
+  /** Every restart of the fleet is credited, whatever the time since the last credit. */
   readonly creditsEachTime?: boolean;
-  /** An older record, which the store shows after a return from a copy, is followed. */
+  /** An older record, which the store returns after a restore from a backup, is applied. */
   readonly ignoresSequence?: boolean;
-  /** Further runs of a request are not charged. */
-  readonly ignoresFurtherRuns?: boolean;
+  /** Reruns of a request are not charged. */
+  readonly ignoresReruns?: boolean;
 }
 
-/** Sizes of a fleet. */
+/** Options of a fleet. */
 export interface QuotaFleetOptions {
   readonly seed: number;
   readonly gateways: number;
@@ -53,12 +56,12 @@
 const WINDOW_S = 8;
 const TOLERANCE = { overShare: OVER, slack: SLACK, windowMs: WINDOW_S * 1_000 };
 const TICK_MS = 100;
-const BEAT_TICKS = 4;
+const HEARTBEAT_TICKS = 4;
 const STEP_MS = 5;
 const MAX_DELAY_MS = 8;
-/** Time until a process that starts has connections to its peers, in milliseconds. */
-const MEET_MS = 60;
-/** Quota of each tenant at the start. */
+/** Time until a starting process is connected to its peers, in milliseconds. */
+const CONNECT_DELAY_MS = 60;
+/** Initial quota of each tenant. */
 export const FLEET_QUOTA: TenantQuota = {
   ratePerS: 20_000,
   burst: 20_000,
@@ -69,14 +72,14 @@
 
 const NO_RIGHTS: { readonly rights?: QuotaRights } = {};
 
-/** The rights inside a gateway's quotas. */
+/** Returns the private rights of a gateway's quotas. */
 function rightsOf(quotas: GatewayQuotas): { readonly rights?: QuotaRights } {
   return quotas as unknown as { readonly rights: QuotaRights };
 }
 
 type TakeRecord = [record: QuotaMembersRecord, nowMs: number];
 
-/** One process of a gateway. */
+/** One process (incarnation) of a gateway. */
 export class FleetProcess {
   isAlive = true;
   pausedUntilMs = 0;
@@ -113,7 +116,7 @@
       learnPeers: () => undefined,
       storeAgeMs: () => this.storeAgeMs,
       tenants: () => [...fleet.quotas.keys()],
-      timeOfDayMs: () => fleet.tellTimeOfDay(),
+      timeOfDayMs: () => fleet.readTimeOfDayMs(),
     });
     this.statements = new GatewayStatements({
       settings: settingsOf(name, zone),
@@ -123,21 +126,21 @@
       metrics: { record: () => undefined } as unknown as GatewayMetrics,
       holders: () => this.quotas,
       countGateways: () => fleet.gateways.length,
-      tellPeers: (conditions) => this.sayToAll({ kind: 'conditions', conditions }),
+      tellPeers: (conditions) => this.broadcast({ kind: 'conditions', conditions }),
       onChange: () => fleet.onCondition?.(this),
       isKnown: () => true,
     });
-    this.breakBy(fleet.fault);
-    // A connection comes up to each peer, which tells what it knows.
-    fleet.clock.setTimeout(() => this.act(() => this.meetPeers()), MEET_MS);
+    this.injectFault(fleet.fault);
+    // Peers send their known conditions on each new connection.
+    fleet.clock.setTimeout(() => this.act(() => this.receiveInitialState()), CONNECT_DELAY_MS);
   }
 
   get storeAgeMs(): number | undefined {
-    const atMs = this.gateway.storeWordAtMs;
+    const atMs = this.gateway.storeContactAtMs;
     return this.isAlive && atMs !== undefined ? this.fleet.clock.now() - atMs : undefined;
   }
 
-  /** Runs `action` once the process is not paused, if it lives then. */
+  /** Runs `action` once the process is not paused, if it is still alive. */
   act(action: () => void): void {
     const waitMs = this.pausedUntilMs - this.fleet.clock.now();
     if (waitMs > 0) {
@@ -147,7 +150,7 @@
     }
   }
 
-  private meetPeers(): void {
+  private receiveInitialState(): void {
     for (const { process } of this.fleet.gateways) {
       process?.act(() => {
         const conditions = process.statements.tell();
@@ -156,7 +159,7 @@
     }
   }
 
-  private sayToAll(message: PeerMessage): void {
+  private broadcast(message: PeerMessage): void {
     this.fleet.gateways
       .filter((gateway) => gateway !== this.gateway)
       .forEach(({ name }) => this.send(name, message));
@@ -167,16 +170,16 @@
     if (target?.process === undefined) {
       return false;
     }
-    this.fleet.deliver(this, target, (peer) => this.hand(peer, message));
+    this.fleet.deliver(this, target, (peer) => this.deliverTo(peer, message));
     return true;
   }
 
-  private hand(peer: FleetProcess, message: PeerMessage): void {
+  private deliverTo(peer: FleetProcess, message: PeerMessage): void {
     if (message.kind === 'quota-ask') {
       const answer = peer.quotas.answer(this.hello, message);
-      this.fleet.deliver(peer, this.gateway, (asker) => {
-        if (asker === this) {
-          asker.quotas.receiveAnswer(answer);
+      this.fleet.deliver(peer, this.gateway, (requester) => {
+        if (requester === this) {
+          requester.quotas.receiveAnswer(answer);
         }
       });
     } else if (message.kind === 'quota-return') {
@@ -187,9 +190,9 @@
       peer.statements.takeBack(this.hello, message);
     } else if (message.kind === 'send-right-ask') {
       peer.statements.answer(this.hello, message, (answer) =>
-        this.fleet.deliver(peer, this.gateway, (asker) => {
-          if (asker === this) {
-            asker.statements.receiveAnswer(answer);
+        this.fleet.deliver(peer, this.gateway, (requester) => {
+          if (requester === this) {
+            requester.statements.receiveAnswer(answer);
           }
         }),
       );
@@ -213,11 +216,11 @@
     };
   }
 
-  /** Breaks what a fault names, inside the quotas. */
-  private breakBy(fault: QuotaFleetFault): void {
-    const { startsFull, usesUnanswered, takesOthersShare, ignoresSettled } = fault;
+  /** Patches private members of the quotas to inject `fault`. */
+  private injectFault(fault: QuotaFleetFault): void {
+    const { startsFull, treatsTimeoutAsGrant, takesOthersShare, ignoresSettled } = fault;
     const inside = this.quotas as unknown as {
-      rights: { freeSinceMs: number; pools: number; take(...told: TakeRecord): boolean };
+      rights: { freeSinceMs: number; pools: number; take(...args: TakeRecord): boolean };
       charges: { timeOut(id: number): void; receive(id: number, grant: object): void };
     };
     if (startsFull === true) {
@@ -231,20 +234,20 @@
       inside.rights.take = (record, nowMs) =>
         take({ ...record, settled: record.members ?? record.settled }, nowMs);
     }
-    if (usesUnanswered === true) {
+    if (treatsTimeoutAsGrant === true) {
       inside.charges.timeOut = (id) => inside.charges.receive(id, { isGranted: true, afterMs: 0 });
     }
   }
 }
 
-/** A machine on which a gateway runs, again and again. */
+/** A gateway's host, on which its process starts and restarts. */
 export class FleetGateway {
   process: FleetProcess | undefined;
-  /** Whether nothing passes between it and other gateways, and the store. */
+  /** Whether it is partitioned from other gateways and the store. */
   isCut = false;
-  /** Gateways of different sides do not hear each other; all reach the store. */
+  /** Partition side: gateways of different sides cannot exchange messages; all reach the store. */
   side = 0;
-  storeWordAtMs: number | undefined;
+  storeContactAtMs: number | undefined;
   private starts = 0;
 
   constructor(
@@ -256,7 +259,7 @@
   start(): void {
     this.starts += 1;
     this.process = new FleetProcess(this, this.fleet, this.starts);
-    this.storeWordAtMs = undefined;
+    this.storeContactAtMs = undefined;
   }
 
   kill(awayMs: number): void {
@@ -274,7 +277,7 @@
   }
 }
 
-/** A fleet of gateways with tenants that ask for more, and for less, than their quotas. */
+/** A fleet of gateways under load of one tenant above and one below its quota. */
 export class QuotaFleet {
   readonly clock = new HeapClock();
   readonly random: RandomSource;
@@ -286,24 +289,29 @@
     ['calm', FLEET_QUOTA],
   ]);
   isStoreUp = true;
-  /** What may be sent to a back end changed at a process. */
+  /** Called when a process changes its view of what may be sent to a back end. */
   onCondition: ((process: FleetProcess) => void) | undefined;
-  /** Time of day when the clock began, in milliseconds. */
+  /** Wall-clock time at the start of the virtual clock, in milliseconds. */
   timeOfDayMs = 1e12;
-  /** Share of runs that are run once more. */
-  furtherRuns = 0;
-  /** Share of the words between gateways that are lost. */
+  /** Share of runs that are repeated once. */
+  rerunShare = 0;
+  /** Share of messages between gateways that are lost. */
   lossShare = 0;
   readonly asked = { greedy: 0, calm: 0 };
   readonly refused = { greedy: 0, calm: 0 };
-  /** Most of a tenant's pools that were held at one moment, as a share of all that there may be. */
-  mostHeld = 0;
+  /**
+   * Largest share of a tenant's pools held at one time; above 1 means that a pool had two holders.
+   */
+  maxHeldShare = 0;
   private readonly ran: Array<{ readonly atMs: number; readonly cost: number }> = [];
   private record: QuotaMembersRecord = NO_QUOTA_MEMBERS;
   private revision = 0;
   private epoch = 1;
-  /** Every record that the store ever held, and since when. */
-  private readonly held: Array<{ readonly record: QuotaMembersRecord; readonly atMs: number }> = [];
+  /** Every record that the store ever held, with the time of its write. */
+  private readonly recordHistory: Array<{
+    readonly record: QuotaMembersRecord;
+    readonly atMs: number;
+  }> = [];
   private hasPromises = false;
 
   constructor({ seed, gateways, fault = {} }: QuotaFleetOptions) {
@@ -317,19 +325,19 @@
     this.every(TICK_MS, () => this.tick());
   }
 
-  /** The time of day as every gateway has it, in milliseconds. */
-  tellTimeOfDay(): number {
-    // A day between two looks: no two credits are ever too close.
+  /** Returns the wall-clock time that every gateway reads, in milliseconds. */
+  readTimeOfDayMs(): number {
+    // Advances by a day on each read, so that no credit is ever rejected as too early.
     this.timeOfDayMs += this.fault.creditsEachTime === true ? 86_400_000 : 0;
     return this.clock.now() + this.timeOfDayMs;
   }
 
-  /** The store's record of members. */
+  /** The membership record in the store. */
   get members(): QuotaMembersRecord {
     return this.record;
   }
 
-  /** Calls `act` again and again. */
+  /** Calls `act` periodically. */
   every(periodMs: number, act: () => void): void {
     this.clock.setTimeout(() => {
       act();
@@ -337,7 +345,7 @@
     }, periodMs);
   }
 
-  /** A further gateway begins. */
+  /** Adds and starts a gateway. */
   add(): void {
     const index = this.gateways.length;
     const added = new FleetGateway(`g${index}`, `z${index % 3}`, this);
@@ -345,17 +353,17 @@
     added.start();
   }
 
-  /** Lets both tenants ask from now on, in multiples of their rates. */
+  /** Starts the load of both tenants, in multiples of their rates. */
   beginDemand(greedy = 5, calm = 0.6): void {
     const mean = SIZES.reduce((sum, size) => sum + size, 0) / SIZES.length;
     const perStep = (times: number) => (FLEET_QUOTA.ratePerS * times * STEP_MS) / 1_000 / mean;
     this.every(STEP_MS, () => {
-      this.askDue('greedy', perStep(greedy));
-      this.askDue('calm', perStep(calm));
+      this.issueDueRequests('greedy', perStep(greedy));
+      this.issueDueRequests('calm', perStep(calm));
     });
   }
 
-  /** Lets time pass. */
+  /** Advances the virtual clock by `forMs`. */
   async run(forMs: number): Promise<void> {
     const untilMs = this.clock.now() + forMs;
     while (this.clock.step(untilMs)) {
@@ -366,7 +374,7 @@
     }
   }
 
-  /** Worst window of the greedy tenant, as a share of the bound. */
+  /** Returns the greedy tenant's usage in its worst window, as a share of the window limit. */
   worstShare(quota: TenantQuota = FLEET_QUOTA): number {
     let first = 0;
     let sum = 0;
@@ -379,31 +387,34 @@
       }
       worst = Math.max(worst, sum);
     }
-    return worst / windowBound(quota, TOLERANCE);
+    return worst / maxPerWindow(quota, TOLERANCE);
   }
 
-  /** Tokens of the greedy tenant that were run since `fromMs`. */
+  /** Returns the tokens of the greedy tenant that were run since `fromMs`. */
   ranSince(fromMs: number): number {
     return this.ran.reduce((sum, { atMs, cost }) => sum + (atMs >= fromMs ? cost : 0), 0);
   }
 
-  /** Something reaches a gateway's process after a while, unless the path is cut. */
-  deliver(from: FleetProcess, to: FleetGateway, hand: (peer: FleetProcess) => void): void {
+  /**
+   * Delivers to a gateway's process after a random delay, unless the message is lost or the path
+   * partitioned.
+   */
+  deliver(from: FleetProcess, to: FleetGateway, handle: (peer: FleetProcess) => void): void {
     if (this.random.next() < this.lossShare) {
       return;
     }
     const delayMs = 1 + Math.floor(this.random.next() * MAX_DELAY_MS);
     this.clock.setTimeout(() => {
-      const isApart = from.gateway.isCut || to.isCut || from.gateway.side !== to.side;
-      const isCut = from.gateway !== to && isApart;
+      const isSeparated = from.gateway.isCut || to.isCut || from.gateway.side !== to.side;
+      const isBlocked = from.gateway !== to && isSeparated;
       const target = to.process;
-      if (!isCut && target !== undefined) {
-        target.act(() => hand(target));
+      if (!isBlocked && target !== undefined) {
+        target.act(() => handle(target));
       }
     }, delayMs);
   }
 
-  /** A gateway writes the record of members. */
+  /** Writes the membership record by compare-and-swap on its position. */
   write(writer: FleetProcess, text: string, expected: StorePosition) {
     this.hasPromises = true;
     if (!this.isStoreUp || writer.gateway.isCut) {
@@ -415,88 +426,90 @@
     }
     this.revision += 1;
     const position = at(this.revision, this.epoch);
-    this.hold(decodeQuotaMembers(text, position));
+    this.setRecord(decodeQuotaMembers(text, position));
     return Promise.resolve(ok(position));
   }
 
-  /** The store comes back as it was `copyAgeMs` ago. */
+  /** Restores the store from a backup taken `copyAgeMs` ago. */
   restoreStore(copyAgeMs: number): void {
     const copyAtMs = this.clock.now() - copyAgeMs;
-    const { record } = this.held.filter(({ atMs }) => atMs <= copyAtMs).at(-1) ?? {
+    const { record } = this.recordHistory.filter(({ atMs }) => atMs <= copyAtMs).at(-1) ?? {
       record: NO_QUOTA_MEMBERS,
     };
     this.epoch += 1;
     this.revision = record.revision;
-    this.hold({ ...record, epoch: this.epoch });
+    this.setRecord({ ...record, epoch: this.epoch });
   }
 
-  private get shownRecord(): QuotaMembersRecord {
+  private get visibleRecord(): QuotaMembersRecord {
     const sequence = Number.MAX_SAFE_INTEGER;
     return this.fault.ignoresSequence === true ? { ...this.record, sequence } : this.record;
   }
 
-  private hold(record: QuotaMembersRecord): void {
+  private setRecord(record: QuotaMembersRecord): void {
     this.record = record;
-    this.held.push({ record, atMs: this.clock.now() });
+    this.recordHistory.push({ record, atMs: this.clock.now() });
   }
 
-  /** Somebody removes the record, or writes what is none. */
+  /** Replaces the record by an unreadable one. */
   spoilRecord(): void {
     this.revision += 1;
-    this.hold({ ...NO_QUOTA_MEMBERS, ...at(this.revision, this.epoch) });
+    this.setRecord({ ...NO_QUOTA_MEMBERS, ...at(this.revision, this.epoch) });
   }
 
-  private noteHeld(): void {
+  private sampleHeldPools(): void {
     const nowMs = this.clock.now();
     const held = this.gateways.reduce((sum, { process }) => {
       const { rights } = process === undefined ? NO_RIGHTS : rightsOf(process.quotas);
       return sum + (rights?.heldSinceMs('greedy', nowMs) === undefined ? 0 : 1 / rights.pools);
     }, 0);
-    this.mostHeld = Math.max(this.mostHeld, held);
+    this.maxHeldShare = Math.max(this.maxHeldShare, held);
   }
 
   private tick(): void {
-    this.noteHeld();
-    const isBeat = Math.round(this.clock.now() / TICK_MS) % BEAT_TICKS === 0;
+    this.sampleHeldPools();
+    const isHeartbeatDue = Math.round(this.clock.now() / TICK_MS) % HEARTBEAT_TICKS === 0;
     for (const gateway of this.gateways) {
       const { process } = gateway;
       if (process === undefined) {
         continue;
       }
       if (this.isStoreUp && !gateway.isCut) {
-        gateway.storeWordAtMs = this.clock.now();
-        process.act(() => this.held.length > 0 && process.quotas.takeRecord(this.shownRecord));
+        gateway.storeContactAtMs = this.clock.now();
+        process.act(
+          () => this.recordHistory.length > 0 && process.quotas.takeRecord(this.visibleRecord),
+        );
       }
       process.act(() => process.quotas.tick());
       process.act(() => process.statements.tick());
-      if (isBeat) {
-        process.act(() => this.beat(process));
+      if (isHeartbeatDue) {
+        process.act(() => this.sendHeartbeat(process));
       }
     }
   }
 
-  private beat(process: FleetProcess): void {
-    const beat = { kind: 'beat', reach: NO_REACH, isReading: true } as const;
+  private sendHeartbeat(process: FleetProcess): void {
+    const base = { kind: 'beat', reach: NO_REACH, isReading: true } as const;
     const { position: quotaPosition, ageMs } = process.quotas;
     for (const other of this.gateways) {
       if (other !== process.gateway) {
-        const heard = { ...beat, quotaPosition, ageMs };
-        this.deliver(process, other, (peer) => peer.quotas.hearBeat(process.hello, heard));
+        const heartbeat = { ...base, quotaPosition, ageMs };
+        this.deliver(process, other, (peer) => peer.quotas.hearBeat(process.hello, heartbeat));
       }
     }
   }
 
-  private askDue(tenant: 'greedy' | 'calm', count: number): void {
+  private issueDueRequests(tenant: 'greedy' | 'calm', count: number): void {
     for (let due = count; due > 0; due -= 1) {
       const gateway = this.gateways[Math.floor(this.random.next() * this.gateways.length)]!;
       const cost = SIZES[Math.floor(this.random.next() * SIZES.length)]!;
       if (this.random.next() < due && gateway.process !== undefined) {
-        this.ask(tenant, cost, gateway.process);
+        this.issueRequest(tenant, cost, gateway.process);
       }
     }
   }
 
-  private ask(tenant: 'greedy' | 'calm', cost: number, process: FleetProcess): void {
+  private issueRequest(tenant: 'greedy' | 'calm', cost: number, process: FleetProcess): void {
     this.asked[tenant] += 1;
     process.act(() => {
       process.quotas.charge(tenant, cost, (result) => {
@@ -510,10 +523,10 @@
 
   private runOnce(cost: number, process: FleetProcess): void {
     this.ran.push({ atMs: this.clock.now(), cost });
-    if (this.random.next() >= this.furtherRuns) {
+    if (this.random.next() >= this.rerunShare) {
       return;
     }
-    if (this.fault.ignoresFurtherRuns === true) {
+    if (this.fault.ignoresReruns === true) {
       this.ran.push({ atMs: this.clock.now(), cost });
       return;
     }
