--- a/src/gateway/dispatch/agent-homes.ts
+++ b/src/gateway/dispatch/agent-homes.ts
@@ -1,16 +1,19 @@
 /**
- * Query: what the agent beside an engine says of homes, by which a gateway checks itself before it sends.
+ * Checks of a request's allowed regions against what the slot agent of an engine reports.
  *
- * A gateway may know an older configuration than the agent, or hold another table of regions. It takes a free
- * slot without asking, and what was sent cannot be taken back; so it looks at the agent's word first.
+ * A gateway may hold an older configuration than the agent, or a different mapping of zones to
+ * regions. It takes free slots without a grant and cannot recall a request that was sent, so it
+ * checks the agent's report before it sends.
  */
 import type { AllowedRegions } from '../../routing/backend-restriction.js';
 import type { HomeOwner } from '../../routing/named-homes.js';
 import { isAccepted } from '../../routing/place-matching.js';
 import type { AgentHomes } from '../../slot-agent/slot-messages.js';
 
-/** Whether the engine stands, by its agent's word, in none of the regions that a request allows. */
-export function isAbroadByAgent(
+/**
+ * Whether the agent reports the engine in a region that is none of the request's allowed regions.
+ */
+export function isOutsideAllowedRegions(
   agentHomes: AgentHomes | undefined,
   allowedRegions: AllowedRegions,
 ): boolean {
@@ -20,18 +23,21 @@
   return !isAccepted(agentHomes.region, allowedRegions);
 }
 
-/** Whether two requests have the same route and tenant, so that whatever names their homes is the same. */
-export function isSameOwner(left: HomeOwner | undefined, right: HomeOwner | undefined): boolean {
+/** Whether two requests have the same route and tenant, and so the same rules for their homes. */
+export function isSameHomeOwner(
+  left: HomeOwner | undefined,
+  right: HomeOwner | undefined,
+): boolean {
   return left?.route === right?.route && left?.tenant === right?.tenant;
 }
 
 /**
- * Whether the agent knows a newer configuration than this gateway: its slots are then had by grants only,
- * which the agent gives by its own knowledge of the request's homes.
+ * Whether the agent has a newer configuration than this gateway. Its slots are then available by
+ * grant only, since the agent checks the request's homes against the newer configuration.
  *
- * @param version - of the configuration in force here; undefined where none is
+ * @param version - version of the configuration in force at this gateway; undefined where none is
  */
-export function mustAskAgent(
+export function requiresGrant(
   agentHomes: AgentHomes | undefined,
   version: number | undefined,
 ): boolean {
--- a/src/gateway/dispatch/backend-choice.ts
+++ b/src/gateway/dispatch/backend-choice.ts
@@ -1,58 +1,73 @@
-/** Query: what it costs to bind a request to a back end, and whom that would hold up. */
+/** Cost of binding a request to a backend, and whether doing so stalls other streams there. */
 import type { DispatchRequest } from './dispatch-request.js';
 import type { EngineSpeed } from './engine-speed.js';
 import type { KnownBackend } from './known-backend.js';
-import type { UsualSpeed } from './usual-speed.js';
+import type { MeanSpeed } from './usual-speed.js';
 
-/** Weight of the whole work against the time to the first event when a back end is chosen. */
-const WORK_WEIGHT = 0.5;
+/** Weight of the time for the whole answer relative to the time to the first event. */
+const WHOLE_ANSWER_WEIGHT = 0.5;
 /**
- * Share by which each request at work there lengthens the time to the first event; without it the nearest of
- * like engines would be filled first.
+ * Fraction by which each active request at the backend lengthens the time to the first event.
+ * Without it the nearest of several equal engines would be filled first.
+ */
+const CONCURRENCY_SLOWDOWN = 0.03;
+/**
+ * Cost of each active request at a backend of unknown speed, so that it gets one request at a time.
  */
-const OTHERS_SHARE = 0.03;
-/** Cost for each request at a back end of unknown speed: it is tried with one at a time. */
 const UNKNOWN_SPEED_COST_MS = 1_000;
-/** Added to the cost of a back end that would be late, or make others late. */
+/** Cost added to a backend that is expected to send the first event after its due time. */
 const LATE_COST_MS = 100_000;
 /**
- * Cost of a certain failure: a late answer loses about .7 of what one in time is worth, a failed request all
- * of it.
+ * Cost of a certain failure: a late answer loses about 0.7 of the value of one in time, a failed
+ * request all of it.
  */
 const FAILURE_COST_MS = LATE_COST_MS / 0.7;
-/** A share of failures up to this is as good as none: every engine loses an answer now and then. */
-const USUAL_FAILURE_SHARE = 0.1;
+/**
+ * Failure rate up to which a backend has no failure cost: every engine occasionally loses an
+ * answer.
+ */
+const TOLERATED_FAILURE_RATE = 0.1;
 
-/** Cost of binding `request` to a back end, in milliseconds; the lowest is chosen. */
-export function costOf(
+/** Returns the cost of binding `request` to a backend, in milliseconds; the lowest cost wins. */
+export function bindingCostMs(
   request: DispatchRequest,
   known: KnownBackend,
-  usual: UsualSpeed,
+  meanSpeed: MeanSpeed,
   nowMs: number,
 ): number {
-  const workMs = (known.msPerUnit ?? usual.msPerUnit) * request.units;
-  const unusualShare = Math.max(0, known.failureShare(nowMs) - USUAL_FAILURE_SHARE);
-  const failureMs = unusualShare * FAILURE_COST_MS;
+  const workMs = (known.msPerUnit ?? meanSpeed.msPerUnit) * request.units;
+  const excessFailureShare = Math.max(0, known.failureShare(nowMs) - TOLERATED_FAILURE_RATE);
+  const failureMs = excessFailureShare * FAILURE_COST_MS;
   if (request.promptTokens === 0) {
     return (known.occupied + 1) * workMs + known.roundTrip.costMs + failureMs;
   }
   const tokens = known.pendingPromptTokens + request.promptTokens;
-  const aloneMs = known.speed.expectedFirstMs(tokens, usual.prefill);
-  const firstMs = aloneMs * (1 + known.occupied * OTHERS_SHARE);
-  const trialMs = known.speed.isKnown ? 0 : known.occupied * UNKNOWN_SPEED_COST_MS;
+  const unloadedMs = known.speed.expectedFirstEventMs(tokens, meanSpeed.prefill);
+  const firstMs = unloadedMs * (1 + known.occupied * CONCURRENCY_SLOWDOWN);
+  const unknownSpeedMs = known.speed.isKnown ? 0 : known.occupied * UNKNOWN_SPEED_COST_MS;
   const isLate = nowMs + firstMs + known.roundTrip.ms > request.firstDueAtMs;
   const lateMs = isLate ? LATE_COST_MS : 0;
-  return firstMs + known.roundTrip.costMs + workMs * WORK_WEIGHT + trialMs + failureMs + lateMs;
+  return (
+    firstMs +
+    known.roundTrip.costMs +
+    workMs * WHOLE_ANSWER_WEIGHT +
+    unknownSpeedMs +
+    failureMs +
+    lateMs
+  );
 }
 
-/** Whether reading the prompt there would make the streams of `others` requests pause too long. */
-export function harmsOthers(
+/**
+ * Whether processing the prompt would pause the streams of `others` requests for longer than the
+ * request's own bound on pauses.
+ */
+export function stallsOtherStreams(
   request: DispatchRequest,
   speed: EngineSpeed,
-  others: number,
+  otherRequests: number,
   tokensPerEvent: number,
 ): boolean {
-  if (request.promptTokens === 0 || request.maxPauseMs === 0 || others <= 0) {
+  if (request.promptTokens === 0 || request.maxPauseMs === 0 || otherRequests <= 0) {
     return false;
   }
   return speed.expectedPauseMs(request.promptTokens, tokensPerEvent) > request.maxPauseMs;
--- a/src/gateway/dispatch/backend-chooser.ts
+++ b/src/gateway/dispatch/backend-chooser.ts
@@ -1,143 +1,163 @@
-/** Query: the back end that a request is bound to while one of those permitted has a free slot. */
+/** Selects the backend for a request among the permitted ones with a free slot. */
 import { restrictionOf } from '../../routing/backend-restriction.js';
 import type { OperatorRules, RestrictionReason } from '../../routing/backend-restriction.js';
 import type { BackendDirectory } from './backend-directory.js';
 import type { HomeOwner } from '../../routing/named-homes.js';
-import { isAbroadByAgent, isSameOwner, mustAskAgent } from './agent-homes.js';
-import { costOf, harmsOthers } from './backend-choice.js';
+import { isOutsideAllowedRegions, isSameHomeOwner, requiresGrant } from './agent-homes.js';
+import { bindingCostMs, stallsOtherStreams } from './backend-choice.js';
 import type { ColdStarts } from './cold-starts.js';
 import type { DispatchRequest } from './dispatch-request.js';
 import { sendLimitPerS } from '../statements/send-limit.js';
 import type { SendRights } from '../statements/send-rights.js';
 import type { KnownBackend } from './known-backend.js';
-import { hasWaitedForNear, isFar, isWorthWaitingFor } from './near-first.js';
-import { reachableOf } from './path-choice.js';
-import { hasRoom } from './slot-room.js';
-import { UsualSpeeds } from './usual-speed.js';
-import type { UsualSpeed } from './usual-speed.js';
+import { hasWaitedForLocalRegion, isRemoteRegion, isUsableLocally } from './near-first.js';
+import { selectReachable } from './path-choice.js';
+import { hasFreeCapacity } from './slot-room.js';
+import { MeanSpeedCache } from './usual-speed.js';
+import type { MeanSpeed } from './usual-speed.js';
 
-/** What a choice asks of its surroundings. */
-export interface BackendChooserPorts extends OperatorRules {
-  /** Whether a service's back ends are engines, which serve in batches. */
+/** Dependencies of the backend selection. */
+export interface BackendPickerPorts extends OperatorRules {
+  /** Whether the service's backends are engines, which process requests in batches. */
   isEngine(service: string): boolean;
-  /** Gateways that are known, this one included. */
+  /** Number of known gateways, including this one. */
   countGateways(): number;
-  /** Tokens that an engine of the service gathers in one event. */
+  /** Number of tokens that an engine of the service puts into one event. */
   tokensPerEvent(service: string): number;
-  /** Version of the configuration in force; missing where there are no homes. */
+  /** Version of the configuration in force; absent where homes are not supported. */
   configurationVersion?(): number | undefined;
-  /** What may begin at back ends that start slowly. */
+  /** Limits on starting requests at cold backends. */
   readonly coldStarts: ColdStarts;
-  /** Rights to send to back ends that name a limit; missing where none is ever named. */
+  /** Rights to send to backends that announce a rate limit; absent where no backend does. */
   readonly sendRights?: Pick<SendRights, 'mayBegin' | 'want' | 'use'>;
 }
 
-/** Bounds of a choice. */
-export interface BackendChooserOptions {
+/** Options of the backend selection. */
+export interface BackendPickerOptions {
   /**
-   * What all gateways together use of an engine while no agent tells, as a share of its slots.
-   * Default 1.25: gateways are not equally busy.
+   * Slots of an engine that all gateways together use while its agent is not connected, as a
+   * fraction of its slots. Default 1.25, since load is spread unevenly over gateways.
    */
   readonly shareWithoutAgent: number;
-  /** How long a back end that left the list is used where no other is left, in milliseconds. Default 1,500. */
+  /**
+   * How long an unlisted backend may still be used while no listed one is left, in milliseconds.
+   * Default 1,500.
+   */
   readonly unlistedGraceMs: number;
 }
 
-/** What says where a request may be served at all. */
-export type ServedRequest = Pick<DispatchRequest, 'service' | 'allowedRegions'>;
+/** The fields of a request that determine where it may be served. */
+export type PlacementConstraints = Pick<DispatchRequest, 'service' | 'allowedRegions'>;
 
-/** Added to the cost of a cold back end, in milliseconds: above any other, so that warm ones are used first. */
-const AFTER_WARM_COST_MS = 1_000_000_000;
+/**
+ * Cost added to a cold backend, in milliseconds. Exceeds any other cost, so that warm backends are
+ * used first.
+ */
+const COLD_BACKEND_COST_MS = 1_000_000_000;
 
-/** Time after which a back end that named a limit is asked whether it still does, in milliseconds. */
+/** Age of the last rate-limit statement after which a backend is probed, in milliseconds. */
 const LIMIT_STALE_MS = 1_000;
 
-/** Chooses among the back ends of a directory. */
-export class BackendChooser {
-  private readonly usualSpeeds = new UsualSpeeds();
+/** Selects among the backends of a directory. */
+export class BackendPicker {
+  private readonly meanSpeeds = new MeanSpeedCache();
 
   constructor(
     private readonly directory: BackendDirectory,
-    private readonly ports: BackendChooserPorts,
-    private readonly options: BackendChooserOptions,
+    private readonly ports: BackendPickerPorts,
+    private readonly options: BackendPickerOptions,
   ) {}
 
-  /** The best back end with a free slot for the request; undefined if there is none. */
-  choose(request: DispatchRequest, nowMs: number): KnownBackend | undefined {
+  /**
+   * Returns the lowest-cost backend with a free slot for the request; undefined if there is none.
+   */
+  pick(request: DispatchRequest, nowMs: number): KnownBackend | undefined {
     const permitted = this.candidates(request, nowMs);
-    const usual = this.usualSpeeds.of(request.service, permitted, nowMs);
+    const meanSpeed = this.meanSpeeds.of(request.service, permitted, nowMs);
     const hasProven = permitted.some((known) => !known.isOnTrial);
     let best: KnownBackend | undefined;
     let bestCost = Infinity;
-    let hasNearRoom = false;
+    let hasLocalCapacity = false;
     for (const known of permitted) {
-      if (!this.hasRoom(known, nowMs) || this.harms(request, known, known.occupied)) {
+      if (
+        !this.hasCapacity(known, nowMs) ||
+        this.stallsOtherStreams(request, known, known.occupied)
+      ) {
         continue;
       }
       if (known.isOnTrial && !request.isRepeatable && hasProven) {
         continue;
       }
-      hasNearRoom ||= !isFar(known);
-      const cost = this.costOf(request, known, usual, nowMs) + this.coldCost(known, nowMs);
+      hasLocalCapacity ||= !isRemoteRegion(known);
+      const cost = this.costOf(request, known, meanSpeed, nowMs) + this.coldCost(known, nowMs);
       if (cost < bestCost) {
         best = known;
         bestCost = cost;
       }
     }
-    const mayCross = hasNearRoom || this.mayCross(request, permitted, nowMs);
-    return best !== undefined && isFar(best) && !mayCross ? undefined : best;
+    const mayUseRemote = hasLocalCapacity || this.mayUseRemoteRegion(request, permitted, nowMs);
+    return best !== undefined && isRemoteRegion(best) && !mayUseRemote ? undefined : best;
   }
 
-  /** Whether a request for which there is no room near by goes to another region now. */
-  private mayCross(
+  /** Whether a request that finds no free slot in the local region may go to another region now. */
+  private mayUseRemoteRegion(
     request: DispatchRequest,
     permitted: readonly KnownBackend[],
     nowMs: number,
   ): boolean {
-    const reach = this.directory.reachOf(request.service);
-    return hasWaitedForNear(request, reach, nowMs) || !permitted.some(isWorthWaitingFor);
+    const availability = this.directory.regionAvailability(request.service);
+    return (
+      hasWaitedForLocalRegion(request, availability, nowMs) || !permitted.some(isUsableLocally)
+    );
   }
 
   /**
-   * A version on a small share gets that share before others are asked, and at as few back ends as bear it,
-   * so that it is seen with its slots full.
+   * A version with a limited rollout share gets its share first, concentrated on as few backends as
+   * can carry it, so that the version is observed under full load.
    */
   private costOf(
     request: DispatchRequest,
     known: KnownBackend,
-    usual: UsualSpeed,
+    meanSpeed: MeanSpeed,
     nowMs: number,
   ): number {
-    const isFirst =
+    const isPreferred =
       this.isLimitStale(known, nowMs) || this.ports.versionUse(known.backend) === 'limited';
-    return isFirst ? -known.occupied - 1 : costOf(request, known, usual, nowMs);
+    return isPreferred ? -known.occupied - 1 : bindingCostMs(request, known, meanSpeed, nowMs);
   }
 
   /**
-   * A back end that named a limit and was not heard for a while gets the next request for which there is a right:
-   * nothing else would show that it names none any more.
+   * Whether a backend that announced a rate limit has sent no statement for a while. It then gets
+   * the next request for which a send right is held, since only an answer can show that the limit
+   * was lifted.
    */
   private isLimitStale({ condition }: KnownBackend, nowMs: number): boolean {
     return condition.limitPerS !== undefined && condition.limitAgeMs(nowMs) > LIMIT_STALE_MS;
   }
 
   private coldCost(known: KnownBackend, nowMs: number): number {
-    return this.ports.coldStarts.isCold(known, nowMs) ? AFTER_WARM_COST_MS : 0;
+    return this.ports.coldStarts.isCold(known, nowMs) ? COLD_BACKEND_COST_MS : 0;
   }
 
-  /** Whether any back end of the service that operators permit has a free slot. */
-  hasAnyRoom(service: string, nowMs: number): boolean {
+  /** Whether any backend of the service that operators permit has a free slot. */
+  hasAnyCapacity(service: string, nowMs: number): boolean {
     return this.directory
       .ofService(service)
       .some(
         (known) =>
-          this.hasRoom(known, nowMs) &&
+          this.hasCapacity(known, nowMs) &&
           restrictionOf(known.backend, undefined, this.ports) === undefined,
       );
   }
 
-  /** Whether a healthy back end that may serve the request, and is not in `excluded`, has a free slot. */
-  hasRoomFor(request: ServedRequest, excluded: ReadonlySet<string>, nowMs: number): boolean {
+  /**
+   * Whether a healthy backend that may serve the request and is not in `excluded` has a free slot.
+   */
+  hasCapacityFor(
+    request: PlacementConstraints,
+    excluded: ReadonlySet<string>,
+    nowMs: number,
+  ): boolean {
     return this.directory
       .ofService(request.service)
       .some(
@@ -148,100 +168,121 @@
           !known.path.isSuspect &&
           !known.health.isEjected(nowMs) &&
           this.isPermitted(request, known) &&
-          this.hasRoom(known, nowMs),
+          this.hasCapacity(known, nowMs),
       );
   }
 
-  /** Whether its agent may be asked for slots: of one that names a limit they are had with a right alone. */
-  mayBeGranted(known: KnownBackend, nowMs: number): boolean {
-    return this.isOpen(known) && this.isUnlimited(known) && !known.condition.isResting(nowMs);
+  /**
+   * Whether slots may be requested from the backend's agent. Not of a rate-limited backend, whose
+   * slots also require a send right.
+   */
+  mayUseGrants(known: KnownBackend, nowMs: number): boolean {
+    return (
+      this.isUnrestricted(known) && this.isUnlimited(known) && !known.condition.isResting(nowMs)
+    );
   }
 
-  /** Whether operators let the back end be used freely. */
-  private isOpen({ backend }: KnownBackend): boolean {
+  /** Whether operators permit the backend without a limited rollout share. */
+  private isUnrestricted({ backend }: KnownBackend): boolean {
     const isPermitted = restrictionOf(backend, undefined, this.ports) === undefined;
     return isPermitted && this.ports.versionUse(backend) === 'open';
   }
 
-  /** Whether operators permit any back end that is ready, or that left the list a moment ago. */
-  hasCandidates(request: ServedRequest, nowMs: number): boolean {
+  /** Whether operators permit any backend that is ready or was unlisted recently. */
+  hasCandidates(request: PlacementConstraints, nowMs: number): boolean {
     return this.directory
       .ofService(request.service)
       .some(
         (known) =>
-          (known.isReady || this.isUnlistedLately(known, nowMs)) &&
+          (known.isReady || this.wasRecentlyUnlisted(known, nowMs)) &&
           this.isPermitted(request, known),
       );
   }
 
   /**
-   * The request of those that wait, first in order first, for which a slot that was granted is used; undefined
-   * if there is none. A back end on trial gets one that may be run again elsewhere, or the last in order.
-   * An agent that knows a newer configuration granted for the homes of one route and tenant, and no others.
+   * Returns the first waiting request in queue order that may use a granted slot; undefined if
+   * there is none. A backend on trial gets a repeatable request, else the last in order. A grant of
+   * an agent with a newer configuration is valid only for requests with the route and tenant that
+   * it was issued for.
    */
-  chooseForGrant(
+  pickForGrant(
     queue: readonly DispatchRequest[],
     known: KnownBackend,
     grantedTo: HomeOwner | undefined,
     nowMs: number,
   ): DispatchRequest | undefined {
-    const isBound = this.mustAsk(known);
-    const fitting = (request: DispatchRequest) =>
-      this.fits(request, known) && (!isBound || isSameOwner(request.homeOwner, grantedTo));
-    if (!this.mayBeGranted(known, nowMs)) {
+    const needsSameOwner = this.requiresGrant(known);
+    const isEligible = (request: DispatchRequest) =>
+      this.canUseGrant(request, known) &&
+      (!needsSameOwner || isSameHomeOwner(request.homeOwner, grantedTo));
+    if (!this.mayUseGrants(known, nowMs)) {
       return undefined;
     }
     if (!known.isOnTrial) {
-      return queue.find(fitting);
+      return queue.find(isEligible);
     }
-    const repeatable = queue.find((request) => request.isRepeatable && fitting(request));
-    return repeatable ?? queue.filter(fitting).at(-1);
+    const repeatable = queue.find((request) => request.isRepeatable && isEligible(request));
+    return repeatable ?? queue.filter(isEligible).at(-1);
   }
 
-  /** Whether the request could use a slot that the agent of a back end that is open grants. */
-  fits(request: DispatchRequest, known: KnownBackend): boolean {
+  /** Whether the request could use a slot granted by the agent of an unrestricted backend. */
+  canUseGrant(request: DispatchRequest, known: KnownBackend): boolean {
     const isExcluded = request.excluded.has(known.backend.id);
-    const isHome = request.allowedRegions === undefined || this.isPermitted(request, known);
-    return isHome && !isExcluded && !this.harms(request, known, known.occupied - 1);
+    const isInAllowedRegion =
+      request.allowedRegions === undefined || this.isPermitted(request, known);
+    return (
+      isInAllowedRegion &&
+      !isExcluded &&
+      !this.stallsOtherStreams(request, known, known.occupied - 1)
+    );
   }
 
-  /** Whether operators permit that the request is sent to the back end. */
-  isPermitted(request: ServedRequest, known: KnownBackend): boolean {
+  /** Whether operators permit the request to be sent to the backend. */
+  isPermitted(request: PlacementConstraints, known: KnownBackend): boolean {
     return this.restriction(request, known) === undefined;
   }
 
-  /** Why operators keep the request from the back end, as this gateway or the agent there knows it. */
+  /**
+   * Returns why operators exclude the backend for the request, according to this gateway or the
+   * backend's agent.
+   */
   restriction(
-    { allowedRegions }: ServedRequest,
+    { allowedRegions }: PlacementConstraints,
     { backend, agent }: KnownBackend,
   ): RestrictionReason | undefined {
     const reason = restrictionOf(backend, allowedRegions, this.ports);
-    return reason ?? (isAbroadByAgent(agent?.homes, allowedRegions) ? 'outside-home' : undefined);
+    return (
+      reason ?? (isOutsideAllowedRegions(agent?.homes, allowedRegions) ? 'outside-home' : undefined)
+    );
   }
 
-  private harms(request: DispatchRequest, known: KnownBackend, others: number): boolean {
+  private stallsOtherStreams(
+    request: DispatchRequest,
+    known: KnownBackend,
+    others: number,
+  ): boolean {
     const tokensPerEvent = this.ports.tokensPerEvent(request.service);
-    return harmsOthers(request, known.speed, others, tokensPerEvent);
+    return stallsOtherStreams(request, known.speed, others, tokensPerEvent);
   }
 
   /**
-   * Back ends that the request may be bound to: healthy ones of those that this
-   * gateway works with if there are any, then other healthy ones.
+   * Returns the backends that the request may be bound to: healthy ones of this gateway's subset if
+   * there are any, else other healthy ones.
    */
   private candidates(request: DispatchRequest, nowMs: number): KnownBackend[] {
     const { service, allowedRegions, excluded } = request;
-    const served = { service, allowedRegions };
+    const constraints = { service, allowedRegions };
     const permitted = this.directory
       .ofService(service)
-      .filter((known) => !excluded.has(known.backend.id) && this.isPermitted(served, known));
+      .filter((known) => !excluded.has(known.backend.id) && this.isPermitted(constraints, known));
     const ready = permitted.filter((known) => known.isReady);
     if (ready.length === 0) {
-      return permitted.filter((known) => this.isUnlistedLately(known, nowMs));
+      return permitted.filter((known) => this.wasRecentlyUnlisted(known, nowMs));
     }
     const healthy = ready.filter(
       (known) => known.availability !== 'closed' && !known.health.isEjected(nowMs),
     );
-    const reachable = reachableOf(healthy, request.isRepeatable, nowMs);
+    const reachable = selectReachable(healthy, request.isRepeatable, nowMs);
     const assigned = reachable.filter((known) => known.isAssigned);
     if (assigned.length > 0) {
       return assigned;
@@ -249,57 +290,58 @@
     return reachable.length > 0 ? [...reachable] : ready;
   }
 
-  private isUnlistedLately(known: KnownBackend, nowMs: number): boolean {
+  private wasRecentlyUnlisted(known: KnownBackend, nowMs: number): boolean {
     const { unlistedAtMs } = known;
     const isRecent =
       unlistedAtMs !== undefined && nowMs - unlistedAtMs < this.options.unlistedGraceMs;
     return isRecent && !known.isLeaving && !known.isReplaced && !known.isWithdrawn;
   }
 
-  /** Whether its agent knows a newer configuration, so that its slots are had by grants only. */
-  private mustAsk({ agent }: KnownBackend): boolean {
-    return mustAskAgent(agent?.homes, this.ports.configurationVersion?.());
+  /** Whether the agent has a newer configuration, so that slots are available by grant only. */
+  private requiresGrant({ agent }: KnownBackend): boolean {
+    return requiresGrant(agent?.homes, this.ports.configurationVersion?.());
   }
 
-  private hasRoom(known: KnownBackend, nowMs: number): boolean {
+  private hasCapacity(known: KnownBackend, nowMs: number): boolean {
     return this.mayBegin(known, nowMs) && this.hasFreeSlot(known, nowMs);
   }
 
   private hasFreeSlot(known: KnownBackend, nowMs: number): boolean {
-    if (this.mustAsk(known)) {
+    if (this.requiresGrant(known)) {
       return false;
     }
     const inputs = {
       isEngine: this.ports.isEngine(known.backend.service),
       gateways: this.ports.countGateways(),
       shareWithoutAgent: this.options.shareWithoutAgent,
-      draw: this.directory.shareDraw(known.backend.id),
+      shareHash: this.directory.shareHash(known.backend.id),
     };
-    return hasRoom(known, inputs, nowMs) && this.ports.coldStarts.mayStart(known, nowMs);
+    return hasFreeCapacity(known, inputs, nowMs) && this.ports.coldStarts.mayStart(known, nowMs);
   }
 
   /**
-   * Whether what it says of itself keeps no request from the back end now. Every way out asks this: what a free slot allows, and
-   * what an agent granted before that was heard.
+   * Whether the backend's own statements (rest period, rate limit) allow a request now, whatever
+   * its free slots. `mayUseGrants` is the same check for grants, since the agent may have issued a
+   * grant before the statement arrived.
    */
   mayBegin(known: KnownBackend, nowMs: number): boolean {
     const hasRight = this.ports.sendRights?.mayBegin(known.backend.id) ?? true;
     return hasRight && !known.condition.isResting(nowMs);
   }
 
-  /** Whether the back end names no limit, so that its agent may deal out its slots. */
+  /** Whether the backend announces no rate limit, so that its agent may grant slots. */
   private isUnlimited({ condition }: KnownBackend): boolean {
     return sendLimitPerS(condition) === undefined;
   }
 
-  /** Asks for rights to send what waits to back ends that name a limit and have a free slot. */
-  wantRights(service: string, queue: readonly DispatchRequest[], nowMs: number): void {
+  /** Requests send rights for waiting requests at rate-limited backends with a free slot. */
+  requestSendRights(service: string, queue: readonly DispatchRequest[], nowMs: number): void {
     for (const known of this.directory.ofService(service)) {
-      const isOfUse = known.isReady && !known.condition.isResting(nowMs);
-      if (this.isUnlimited(known) || !isOfUse || !this.hasFreeSlot(known, nowMs)) {
+      const isUsable = known.isReady && !known.condition.isResting(nowMs);
+      if (this.isUnlimited(known) || !isUsable || !this.hasFreeSlot(known, nowMs)) {
         continue;
       }
-      const request = queue.find((one) => this.fits(one, known));
+      const request = queue.find((one) => this.canUseGrant(one, known));
       if (request !== undefined) {
         this.ports.sendRights?.want(known.backend.id, request);
       }
--- a/src/gateway/dispatch/backend-directory.ts
+++ b/src/gateway/dispatch/backend-directory.ts
@@ -1,4 +1,4 @@
-/** The back ends that a gateway knows, by service, and which of the engines it works with. */
+/** The backends known to a gateway, indexed by service, and the engine subset that it uses. */
 import { isLater, laterOf, NO_POSITION } from '../../cluster/store-position.js';
 import type { StorePosition } from '../../cluster/store-position.js';
 import { restrictionOf } from '../../routing/backend-restriction.js';
@@ -11,51 +11,63 @@
 import { pairShare } from '../../pair-share.js';
 import { distanceFrom, regionNameOf } from '../../routing/standpoint.js';
 import type { BackendCondition } from '../statements/backend-condition.js';
-import { chooseEngines, DEFAULT_ENGINE_SUBSET_OPTIONS } from './engine-subset.js';
+import { selectSubset, DEFAULT_ENGINE_SUBSET_OPTIONS } from './engine-subset.js';
 import type { EngineSubsetOptions, SubsetOwner } from './engine-subset.js';
 import { addHomeEngines } from './home-engines.js';
 import type { HomeRegions } from './home-engines.js';
 import { KnownBackend } from './known-backend.js';
-import { isFar, reachOf, UNKNOWN_REACH } from './near-first.js';
-import type { ServiceReach } from './near-first.js';
+import { isRemoteRegion, regionAvailabilityOf, DEFAULT_REGION_AVAILABILITY } from './near-first.js';
+import type { RegionAvailability } from './near-first.js';
 
-/** What a directory needs from its surroundings. */
+/** Dependencies of a directory. */
 export interface BackendDirectoryPorts extends OperatorRules {
-  /** Whether a service's back ends are engines, which serve in batches. */
+  /** Whether the service's backends are engines, which process requests in batches. */
   isEngine(service: string): boolean;
-  /** Regions that the gateway needs engines of; missing where none are known. */
+  /** Home regions in which the gateway needs engines; absent where homes are not supported. */
   homeRegions?(): HomeRegions;
-  /** Whether the gateway's region has back ends of a service that may be waited for changed. */
-  onReach?(service: string, hasNear: boolean): void;
-  /** Whether the configuration in force names a service; missing where any is. */
+  /** Called when the local region loses or regains its usable backends of a service. */
+  onReach?(service: string, hasLocalBackends: boolean): void;
+  /**
+   * Whether the configuration in force defines the service; absent where every service counts as
+   * defined.
+   */
   isNamed?(service: string): boolean;
-  /** What the life of that name said of itself, maybe before it was announced; missing where nobody hears that. */
+  /**
+   * Statements of the backend incarnation with this id, possibly received before its announcement;
+   * absent where statements are not tracked.
+   */
   conditionOf?(backendId: string): BackendCondition;
-  /** Another process is at the address of a back end, which therefore has ended. */
+  /**
+   * Called when another incarnation was found at the backend's address, which means that it has
+   * ended.
+   */
   onReplaced?(backendId: string): void;
 }
 
-/** Bounds of a directory. */
+/** Options of a directory. */
 export interface BackendDirectoryOptions {
-  /** How long a back end that left the list is remembered, in milliseconds. Default 30,000. */
-  readonly rememberMs: number;
+  /** How long an unlisted backend is retained, in milliseconds. Default 30,000. */
+  readonly unlistedRetentionMs: number;
   readonly subset: EngineSubsetOptions;
 }
 
-/** Defaults of a directory. */
+/** Default options of a directory. */
 export const DEFAULT_BACKEND_DIRECTORY_OPTIONS: BackendDirectoryOptions = {
-  rememberMs: 30_000,
+  unlistedRetentionMs: 30_000,
   subset: DEFAULT_ENGINE_SUBSET_OPTIONS,
 };
 
-/** The back ends that a gateway knows. */
+/** Tracks the backends known to a gateway. */
 export class BackendDirectory {
   private readonly backends = new Map<string, KnownBackend>();
   private byService = new Map<string, KnownBackend[]>();
-  /** Draws are asked for at each look at a back end, and hashing two names takes longer than the look. */
-  private readonly draws = new Map<string, number>();
-  private hasListing = false;
-  private readonly reaches = new Map<string, ServiceReach>();
+  /**
+   * Hash of this gateway and each backend. Cached, since hashing costs more than the rest of a
+   * capacity check.
+   */
+  private readonly shareHashes = new Map<string, number>();
+  private hasInitialListing = false;
+  private readonly regionAvailabilities = new Map<string, RegionAvailability>();
 
   constructor(
     private readonly owner: SubsetOwner,
@@ -63,57 +75,60 @@
     private readonly options: BackendDirectoryOptions = DEFAULT_BACKEND_DIRECTORY_OPTIONS,
   ) {}
 
-  /** Every back end that is known. */
   list(): KnownBackend[] {
     return [...this.backends.values()];
   }
 
-  /** Those of one service. */
   ofService(service: string): readonly KnownBackend[] {
     return this.byService.get(service) ?? [];
   }
 
-  /** One back end. */
   find(backendId: string): KnownBackend | undefined {
     return this.backends.get(backendId);
   }
 
-  /** The region that this gateway stands in. */
+  /** Returns the region of this gateway. */
   get region(): string {
     return regionNameOf(this.owner, this.owner.zone);
   }
 
-  /** How the back ends of a service lie to this gateway. */
-  reachOf(service: string): ServiceReach {
-    return this.reaches.get(service) ?? UNKNOWN_REACH;
+  /** Returns the availability of the service's backends by region, as of the last update. */
+  regionAvailability(service: string): RegionAvailability {
+    return this.regionAvailabilities.get(service) ?? DEFAULT_REGION_AVAILABILITY;
   }
 
-  /** Looks anew at how they lie; where all of the own region are lost, more of the others are worked with. */
+  /**
+   * Recomputes the availability of the service by region. Where the whole local region is lost, the
+   * subset is extended with engines of other regions.
+   */
   reviewReach(service: string): void {
-    const before = this.reachOf(service);
+    const before = this.regionAvailability(service);
     const usable = this.ofService(service).filter(
       ({ backend }) => !this.ports.isEvacuated(backend.zone),
     );
-    const reach = reachOf(usable);
-    this.reaches.set(service, reach);
-    if (reach.isNearLost !== before.isNearLost) {
-      this.ports.onReach?.(service, !reach.isNearLost);
+    const availability = regionAvailabilityOf(usable);
+    this.regionAvailabilities.set(service, availability);
+    if (availability.isLocalRegionLost !== before.isLocalRegionLost) {
+      this.ports.onReach?.(service, !availability.isLocalRegionLost);
       this.assign(service);
     }
   }
 
-  /** A number in [0, 1) by which gateways that share a back end without a word take unlike parts. */
-  shareDraw(backendId: string): number {
-    const known = this.draws.get(backendId);
-    if (known !== undefined) {
-      return known;
+  /**
+   * Returns a hash in [0, 1) of this gateway and the backend, by which gateways divide its slots
+   * without coordination.
+   */
+  shareHash(backendId: string): number {
+    const cached = this.shareHashes.get(backendId);
+    if (cached !== undefined) {
+      return cached;
     }
-    const draw = pairShare(this.owner.name, backendId);
-    this.draws.set(backendId, draw);
-    return draw;
+    const hash = pairShare(this.owner.name, backendId);
+    this.shareHashes.set(backendId, hash);
+    return hash;
   }
 
-  /** Back ends of a service that are listed as taking requests and that operators permit. */
+  /** Returns the service's backends that are ready and permitted by operators. */
   permitted(service: string, allowedRegions: AllowedRegions): KnownBackend[] {
     return this.ofService(service).filter(
       ({ backend, isReady }) =>
@@ -121,7 +136,7 @@
     );
   }
 
-  /** Why operators keep requests from some of the back ends that are listed as taking requests. */
+  /** Returns the reasons why operators exclude some of the service's ready backends. */
   restrictions(service: string, allowedRegions: AllowedRegions): Set<RestrictionReason> {
     const reasons = new Set<RestrictionReason>();
     for (const { backend, isReady } of this.ofService(service)) {
@@ -133,7 +148,10 @@
     return reasons;
   }
 
-  /** Time until the first of those back ends has rested, in milliseconds; 0 where one of them does not rest. */
+  /**
+   * Returns the time until the first permitted backend ends its rest period, in milliseconds; 0
+   * where at least one is not resting.
+   */
   restLeftMs(service: string, allowedRegions: AllowedRegions, nowMs: number): number {
     const restsLeftMs = this.permitted(service, allowedRegions).map(({ condition }) =>
       Math.max(0, condition.restUntilMs - nowMs),
@@ -141,12 +159,15 @@
     return restsLeftMs.length === 0 ? 0 : Math.min(...restsLeftMs);
   }
 
-  /** Slots of those back ends of a service. */
+  /** Returns the total number of slots of the service's permitted backends. */
   countSlots(service: string): number {
     return this.permitted(service, undefined).reduce((sum, { backend }) => sum + backend.slots, 0);
   }
 
-  /** Whether evacuations alone keep a request from every back end that is listed as taking requests. */
+  /**
+   * Whether every ready backend that the request could otherwise use is excluded by zone
+   * evacuations alone.
+   */
   isEvacuated(service: string, allowedRegions: AllowedRegions): boolean {
     const { ports } = this;
     const withoutEvacuations: OperatorRules = {
@@ -167,24 +188,27 @@
     return isAnyEvacuated;
   }
 
-  /** Every service that back ends are known of. */
+  /** Returns every service with a known backend. */
   get services(): string[] {
     return [...this.byService.keys()];
   }
 
   /**
-   * Expected time to the first event at a usual back end, in milliseconds: the median of the permitted ones. By
-   * the fastest one requests counted as in time that any other back end answers late.
+   * Returns the expected time to the first event at a typical backend, in milliseconds: the median
+   * over the permitted ones. Estimating by the fastest backend would count requests as in time that
+   * most others answer late.
    */
   expectedFirstMs(service: string, promptTokens: number, allowedRegions?: AllowedRegions): number {
     const expected = this.permitted(service, allowedRegions)
       .filter(({ speed }) => speed.isKnown)
-      .map(({ speed, roundTrip }) => speed.expectedFirstMs(promptTokens) + roundTrip.ms)
+      .map(({ speed, roundTrip }) => speed.expectedFirstEventMs(promptTokens) + roundTrip.ms)
       .sort((left, right) => left - right);
     return expected[Math.floor((expected.length - 1) / 2)] ?? 0;
   }
 
-  /** Mean expected time of a whole answer among the permitted back ends, in milliseconds. */
+  /**
+   * Returns the mean expected time for a whole answer over the permitted backends, in milliseconds.
+   */
   expectedWholeMs(service: string, units: number, allowedRegions?: AllowedRegions): number {
     const expected = this.permitted(service, allowedRegions).flatMap(({ msPerUnit, roundTrip }) =>
       msPerUnit === undefined ? [] : [msPerUnit * units + roundTrip.ms],
@@ -194,17 +218,18 @@
   }
 
   /**
-   * Everything that was announced before this process started is known. Back ends that come later have just
-   * started; of the earlier ones their own word is believed, since most of them started long ago.
+   * Marks the end of the initial listing. Backends announced later have just started and count as
+   * cold; earlier ones, most of which have long been running, are cold only if their announcement
+   * says so.
    */
   noteListed(): void {
-    this.hasListing = true;
+    this.hasInitialListing = true;
   }
 
   /**
-   * Takes in a back end's newest announcement; undefined when it left the list.
+   * Applies a backend's newest announcement; undefined when it was removed from the list.
    *
-   * @param isWithdrawn - whether its record is there and names no back end that can be used
+   * @param isWithdrawn - whether its record still exists but describes no usable backend
    */
   update(
     backendId: string,
@@ -218,13 +243,13 @@
         known.isWithdrawn = isWithdrawn;
         known.unlistedAtMs ??= nowMs;
       }
-      this.forgetOld(nowMs);
+      this.evictUnlisted(nowMs);
     } else if (known === undefined) {
       const distance = distanceFrom(this.owner, backend.zone);
       const condition = this.ports.conditionOf?.(backendId);
       const created = new KnownBackend(backend, nowMs, distance, condition);
       this.backends.set(backendId, created);
-      if (this.hasListing) {
+      if (this.hasInitialListing) {
         created.cold.noteIncarnation(nowMs);
       }
       created.cold.noteAnnounced(backend.remainingColdMs, nowMs);
@@ -240,7 +265,7 @@
     if (backend !== undefined) {
       this.markReplaced(backend.address);
     }
-    this.index();
+    this.rebuildIndex();
     const service = backend?.service ?? known?.backend.service;
     if (service !== undefined) {
       this.assign(service);
@@ -248,7 +273,7 @@
     }
   }
 
-  /** Another incarnation answered at the address of this one, which therefore has ended. */
+  /** Marks a backend as ended after another incarnation answered at its address. */
   noteMisdirected(backendId: string): void {
     const known = this.backends.get(backendId);
     if (known !== undefined) {
@@ -259,8 +284,8 @@
   }
 
   /**
-   * Chooses anew which engines of a service this gateway works with. Those of an evacuated zone are left out,
-   * so that others take their places.
+   * Reselects the engine subset of this gateway for a service. Engines in evacuated zones are left
+   * out, so that others take their places.
    */
   assign(service: string): void {
     if (!this.ports.isEngine(service)) {
@@ -268,55 +293,59 @@
     }
     const listed = this.ofService(service).filter(({ isReady }) => isReady);
     const reachable = listed.filter(({ path }) => !path.isSuspect);
-    // Those that are out of reach keep their place and are looked for; others fill in for them meanwhile.
+    // Suspect engines keep their place and are still probed; others fill in for them meanwhile.
     const ready = reachable.length > 0 ? reachable : listed;
-    // Those of the own region are worked with also while they are lost, so that their return is heard.
-    const { isNearLost } = this.reachOf(service);
-    const eligible = isNearLost ? ready.filter(isFar) : ready;
+    // Local engines stay in the subset while the region is lost, so that their recovery is
+    // detected.
+    const { isLocalRegionLost } = this.regionAvailability(service);
+    const eligible = isLocalRegionLost ? ready.filter(isRemoteRegion) : ready;
     const engines = eligible
       .map(({ backend }) => backend)
       .filter(({ zone }) => !this.ports.isEvacuated(zone));
-    const chosen = chooseEngines(engines, this.owner, this.options.subset);
+    const chosen = selectSubset(engines, this.owner, this.options.subset);
     const homes = this.ports.homeRegions?.();
     if (homes !== undefined) {
       addHomeEngines(chosen, engines, this.owner.name, homes);
     }
     for (const known of ready) {
-      const isKeptNear = isNearLost && !isFar(known);
-      known.isAssigned = isKeptNear || chosen.has(known.backend.id);
+      const isRetainedLocal = isLocalRegionLost && !isRemoteRegion(known);
+      known.isAssigned = isRetainedLocal || chosen.has(known.backend.id);
     }
   }
 
-  /** The same after an order of the operators: agents that are worked with again get time to be connected. */
-  assignAnew(service: string, nowMs: number): void {
-    const left = this.ofService(service).filter(({ isAssigned }) => !isAssigned);
+  /**
+   * Reselects the subset after an operator change. Engines that return to it get time for their
+   * agents to connect.
+   */
+  updateSubsetAfterOrder(service: string, nowMs: number): void {
+    const outside = this.ofService(service).filter(({ isAssigned }) => !isAssigned);
     this.assign(service);
-    for (const known of left) {
+    for (const known of outside) {
       if (known.isAssigned && known.agent === undefined) {
-        known.awaitAgent(nowMs);
+        known.startAgentWait(nowMs);
       }
     }
   }
 
-  /** The services that the configuration names changed. */
+  /** Reevaluates which backends are replaced after the set of configured services changed. */
   reviewReplaced(): void {
     const addresses = new Set(this.list().map(({ backend }) => backend.address));
     addresses.forEach((address) => this.markReplaced(address));
   }
 
   /**
-   * Of several lives announced at one address only the latest can be there. An announcement of a service that
-   * nobody has configured says nothing of the others.
+   * Marks all but the latest incarnation announced at an address as replaced. An announcement for a
+   * service that is not configured does not affect the others.
    */
   private markReplaced(address: string): void {
-    const there = this.list().filter(
+    const sameAddress = this.list().filter(
       ({ backend }) =>
         backend.address === address && this.ports.isNamed?.(backend.service) !== false,
     );
-    const latest = there
+    const latest = sameAddress
       .filter((known) => !known.hasEnded)
       .reduce<StorePosition>((position, { backend }) => laterOf(position, backend), NO_POSITION);
-    for (const known of there) {
+    for (const known of sameAddress) {
       const wasReplaced = known.isReplaced;
       known.isReplaced = known.hasEnded || isLater(latest, known.backend);
       if (known.isReplaced && !wasReplaced) {
@@ -325,7 +354,7 @@
     }
   }
 
-  private index(): void {
+  private rebuildIndex(): void {
     this.byService = new Map();
     for (const known of this.backends.values()) {
       const { service } = known.backend;
@@ -335,13 +364,14 @@
     }
   }
 
-  private forgetOld(nowMs: number): void {
+  private evictUnlisted(nowMs: number): void {
     for (const [id, known] of this.backends) {
-      const isOld =
-        known.unlistedAtMs !== undefined && nowMs - known.unlistedAtMs > this.options.rememberMs;
-      if (isOld && known.outstanding === 0) {
+      const isExpired =
+        known.unlistedAtMs !== undefined &&
+        nowMs - known.unlistedAtMs > this.options.unlistedRetentionMs;
+      if (isExpired && known.outstanding === 0) {
         this.backends.delete(id);
-        this.draws.delete(id);
+        this.shareHashes.delete(id);
       }
     }
   }
--- a/src/gateway/dispatch/backend-health.ts
+++ b/src/gateway/dispatch/backend-health.ts
@@ -1,34 +1,34 @@
-/** What the outcomes of requests say of a back end's health. */
+/** Outlier ejection: the health of a backend from the outcomes of its requests. */
 
-/** How an attempt at a back end ended. */
+/** Outcome of an attempt at a backend. */
 export type AttemptOutcome =
-  /** A whole answer, whatever its status, that was no failure of the back end. */
+  /** A complete answer of any status that does not indicate a failure of the backend. */
   | 'answered'
-  /** The back end said that it did not run the request. */
+  /** The backend reported that it did not run the request. */
   | 'refused'
-  /** A reset, a broken answer, or an error of its own. */
+  /** A reset, a truncated answer, or an error response of the backend itself. */
   | 'failed'
-  /** Nothing was heard of it: it may hang, or the path from here be cut. */
+  /** No data was received: the backend may hang, or the network path to it may be cut. */
   | 'silent'
-  /** It was left for another back end, since the path to it is believed to be lost. */
+  /** The attempt was moved to another backend, since the path to this one is suspect. */
   | 'path-lost'
-  /** Nothing listens at its address: the request was not sent, and none can be for now. */
+  /** The connection was refused: the request was not sent, and none can be for now. */
   | 'unreachable'
-  /** Ended for a reason that says nothing of the back end. */
+  /** Ended for a reason that does not reflect on the backend. */
   | 'unknown';
 
-/** Bounds of ejection. */
+/** Options of ejection. */
 export interface BackendHealthOptions {
-  /** Weight of the newest outcome. Default 0.2. */
+  /** Weight of the newest outcome in the moving average. Default 0.2. */
   readonly smoothing: number;
-  /** Share of failures from which a back end is ejected. Default 0.45. */
+  /** Failure rate from which a backend is ejected. Default 0.45. */
   readonly ejectShare: number;
-  /** First and longest ejection, in milliseconds. Defaults 1,000 and 6,000. */
+  /** Shortest and longest ejection, in milliseconds. Defaults 1,000 and 6,000. */
   readonly ejectMinMs: number;
   readonly ejectMaxMs: number;
 }
 
-/** Defaults of ejection. */
+/** Default options of ejection. */
 export const DEFAULT_BACKEND_HEALTH_OPTIONS: BackendHealthOptions = {
   smoothing: 0.2,
   ejectShare: 0.45,
@@ -36,36 +36,36 @@
   ejectMaxMs: 6_000,
 };
 
-/** Health of one back end. */
+/** Tracks the health of one backend. */
 export class BackendHealth {
   private failureShare = 0;
   private ejectedUntilMs = 0;
-  private ejectMs: number;
+  private nextEjectionMs: number;
   private isOnTrial = false;
 
   constructor(private readonly options = DEFAULT_BACKEND_HEALTH_OPTIONS) {
-    this.ejectMs = options.ejectMinMs;
+    this.nextEjectionMs = options.ejectMinMs;
   }
 
-  /** Whether requests should go elsewhere while others are left. */
+  /** Whether requests should avoid the backend while others are available. */
   isEjected(nowMs: number): boolean {
     return nowMs < this.ejectedUntilMs;
   }
 
-  /** Whether only one request at a time should be risked on it. */
+  /** Whether the backend is probed with one request at a time after an ejection. */
   get isProbing(): boolean {
     return this.isOnTrial;
   }
 
-  /** Another process answers there than the one of which something was learned. */
-  forget(): void {
+  /** Resets the state after the process at the backend's address was replaced. */
+  reset(): void {
     this.failureShare = 0;
     this.ejectedUntilMs = 0;
-    this.ejectMs = this.options.ejectMinMs;
+    this.nextEjectionMs = this.options.ejectMinMs;
     this.isOnTrial = false;
   }
 
-  /** Learns from an outcome; says whether it led to an ejection. */
+  /** Records an outcome. Returns whether it led to an ejection. */
   learn(outcome: AttemptOutcome, nowMs: number): boolean {
     if (outcome === 'unknown' || outcome === 'refused' || outcome === 'path-lost') {
       return false;
@@ -76,7 +76,7 @@
     if (!hasFailed) {
       if (this.isOnTrial) {
         this.isOnTrial = false;
-        this.ejectMs = ejectMinMs;
+        this.nextEjectionMs = ejectMinMs;
         this.failureShare = 0;
       }
       return false;
@@ -88,8 +88,8 @@
     if (nowMs < this.ejectedUntilMs) {
       return false;
     }
-    this.ejectedUntilMs = nowMs + this.ejectMs;
-    this.ejectMs = Math.min(this.ejectMs * 2, ejectMaxMs);
+    this.ejectedUntilMs = nowMs + this.nextEjectionMs;
+    this.nextEjectionMs = Math.min(this.nextEjectionMs * 2, ejectMaxMs);
     this.isOnTrial = true;
     return true;
   }
--- a/src/gateway/dispatch/cold-share.ts
+++ b/src/gateway/dispatch/cold-share.ts
@@ -1,49 +1,54 @@
 /**
- * This gateway's part of what gateways without a link to an agent send a cold back end, without a word
- * between them.
+ * This gateway's share of the requests that gateways without an agent connection may send to a cold
+ * backend; each computes its share without coordination.
  */
 import { pairShare } from '../../pair-share.js';
 import { partByRank } from '../../routing/cold-start.js';
 
-/** What a gateway knows of the others. */
+/** A gateway's view of its peers. */
 export interface GatewayView {
-  /** Address of this gateway among its peers. */
+  /** Peer address of this gateway. */
   readonly self: string;
-  /** Addresses of every other gateway that this process ever heard of, gone ones included. */
+  /** Addresses of every other gateway seen since this process started, including ended ones. */
   readonly others: ReadonlySet<string>;
-  /** Whether some peer was ever heard, or there is none by configuration. */
+  /** Whether at least one peer was contacted, or none is configured. */
   readonly hasHeardPeers: boolean;
   readonly startedAtMs: number;
 }
 
 /**
- * Time from the start until a gateway counts on its view, in milliseconds: peers connect within the first
- * second and pass on all addresses that they know; what an earlier process at this address sent has left
- * every window by then.
+ * Time after the start until the peer view is considered complete, in milliseconds. Peers connect
+ * within the first second and exchange all known addresses; requests sent by an earlier process at
+ * this address have by then left every rate window.
  */
-export const SETTLE_MS = 3_000;
+export const PEER_VIEW_SETTLE_MS = 3_000;
 
-/** Whether a gateway knows enough of the others to use its part. */
-export function isSettled({ hasHeardPeers, startedAtMs }: GatewayView, nowMs: number): boolean {
-  return hasHeardPeers && nowMs - startedAtMs >= SETTLE_MS;
+/** Whether the peer view is complete enough to compute a share. */
+export function isPeerViewSettled(
+  { hasHeardPeers, startedAtMs }: GatewayView,
+  nowMs: number,
+): boolean {
+  return hasHeardPeers && nowMs - startedAtMs >= PEER_VIEW_SETTLE_MS;
 }
 
-/** This gateway's part of `total` at a back end; 0 while it does not know the others. */
+/** Returns this gateway's share of `total` at a backend; 0 until the peer view is complete. */
 export function coldShare(
   view: GatewayView,
   backendId: string,
   total: number,
   nowMs: number,
 ): number {
-  if (!isSettled(view, nowMs)) {
+  if (!isPeerViewSettled(view, nowMs)) {
     return 0;
   }
   const { self, others } = view;
-  const before = [...others].filter((other) => other !== self && isBefore(other, self, backendId));
-  return partByRank(total, before.length, others.has(self) ? others.size : others.size + 1);
+  const precedingPeers = [...others].filter(
+    (other) => other !== self && ranksBefore(other, self, backendId),
+  );
+  return partByRank(total, precedingPeers.length, others.has(self) ? others.size : others.size + 1);
 }
 
-function isBefore(other: string, self: string, backendId: string): boolean {
-  const [theirs, own] = [pairShare(other, backendId), pairShare(self, backendId)];
-  return theirs < own || (theirs === own && other < self);
+function ranksBefore(other: string, self: string, backendId: string): boolean {
+  const [otherHash, ownHash] = [pairShare(other, backendId), pairShare(self, backendId)];
+  return otherHash < ownHash || (otherHash === ownHash && other < self);
 }
--- a/src/gateway/dispatch/cold-starts.ts
+++ b/src/gateway/dispatch/cold-starts.ts
@@ -1,39 +1,46 @@
 /**
- * What a gateway may begin on its own at back ends of services with slow starts.
+ * Limits the requests that a gateway starts without a grant at backends of services with slow
+ * starts.
  *
- * Where an agent is connected, a back end that is (or may be) cold is used by grants alone: the agent counts
- * them. Where none is, all gateways together keep to the part of the bound that agents leave, each to its
- * share of it.
+ * While an agent is connected, a backend that is or may be cold is used by grants only, which the
+ * agent counts. Without an agent, all gateways together stay within the part of the limit that
+ * agents leave, each within its own share.
  */
 import { GRANT_LIFE_MS } from '../../slot-agent/start-limiter.js';
 import { StartWindow } from '../../slot-agent/start-window.js';
 import type { ColdStartBound, Coldness } from '../../routing/cold-start.js';
 import type { KnownBackend } from './known-backend.js';
 
-/** What the limits ask of their surroundings. */
+/** Dependencies of the limiter. */
 export interface ColdStartPorts {
-  /** The bound of a service; undefined where its back ends bear any rate. */
+  /** Limit of a service; undefined where its backends accept any rate from their start. */
   boundOf(service: string): ColdStartBound | undefined;
-  /** When this process learned that a zone is in use again; undefined if it never was not. */
+  /**
+   * When this process learned that an evacuated zone is back in use; undefined if it never was
+   * evacuated.
+   */
   returnedAtMs(zone: string): number | undefined;
-  /** This gateway's part of `total` at a back end whose agent it does not hear. */
+  /** This gateway's share of `total` at a backend whose agent is not connected. */
   share(backendId: string, total: number, nowMs: number): number;
-  /** A back end with a free slot was passed over for the rate of its starts. */
+  /** Called when a backend with a free slot was skipped because of its start rate limit. */
   onHeld(known: KnownBackend): void;
-  /** A back end is taken for cold, or no longer. */
+  /** Called when a backend becomes cold, or warm again. */
   onChange(known: KnownBackend, coldness: Coldness | undefined): void;
 }
 
-/** What an agent is told beside the requests that wait. */
-export interface ColdNote {
-  /** The gateway's clock, which the agent names with each grant. */
+/** Cold-start fields of a demand message. */
+export interface ColdStartInfo {
+  /** Clock of the gateway, which the agent returns with each grant. */
   readonly atMs?: number;
-  /** How much longer the gateway takes the back end for cold, in milliseconds. */
+  /** Remaining time for which the gateway considers the backend cold, in milliseconds. */
   readonly coldMs?: number;
 }
 
-/** What a busy gateway gets of an agent's grants, in equal shares: gateways are not equally busy. */
-const BUSY_GATEWAY_SHARE = 1.25;
+/**
+ * Factor over an equal share of an agent's grants that a busy gateway may get, since load is spread
+ * unevenly over gateways.
+ */
+const BUSY_GATEWAY_FACTOR = 1.25;
 const MS_PER_S = 1_000;
 
 const NO_PORTS: ColdStartPorts = {
@@ -44,14 +51,14 @@
   onChange: () => undefined,
 };
 
-/** What a gateway may begin on its own. */
+/** Limits the requests that a gateway starts without a grant. */
 export class ColdStarts {
-  private readonly ownStarts = new WeakMap<KnownBackend, StartWindow>();
+  private readonly ungrantedStarts = new WeakMap<KnownBackend, StartWindow>();
   private readonly coldBackends = new Set<KnownBackend>();
 
   constructor(private readonly ports: ColdStartPorts = NO_PORTS) {}
 
-  /** Why a back end is taken for cold; undefined while it is not. */
+  /** Returns why and until when the backend counts as cold; undefined while it is warm. */
   coldness(known: KnownBackend, nowMs: number): Coldness | undefined {
     const { service, zone } = known.backend;
     const bound = this.ports.boundOf(service);
@@ -60,30 +67,30 @@
       : known.cold.coldness(bound.coldStartMs, this.ports.returnedAtMs(zone), nowMs);
   }
 
-  /** Whether a request that is sent now meets a cold back end, as this gateway or its agent believes. */
+  /** Whether this gateway or the backend's agent considers it cold. */
   isCold(known: KnownBackend, nowMs: number): boolean {
-    const isToldCold = this.isBounded(known) && known.agent?.grantsOnly === 'cold';
-    return isToldCold || this.coldness(known, nowMs) !== undefined;
+    const isReportedCold = this.hasStartLimit(known) && known.agent?.grantsOnly === 'cold';
+    return isReportedCold || this.coldness(known, nowMs) !== undefined;
   }
 
-  private isBounded({ backend }: KnownBackend): boolean {
+  private hasStartLimit({ backend }: KnownBackend): boolean {
     return this.ports.boundOf(backend.service) !== undefined;
   }
 
-  /** Whether a request may begin there without a grant. */
+  /** Whether a request may start there without a grant. */
   mayStart(known: KnownBackend, nowMs: number): boolean {
     const bound = this.ports.boundOf(known.backend.service);
     if (bound === undefined) {
       return true;
     }
-    const mayStart = this.isWithin(bound, known, nowMs);
+    const mayStart = this.isWithinLimit(bound, known, nowMs);
     if (!mayStart) {
       this.ports.onHeld(known);
     }
     return mayStart;
   }
 
-  private isWithin(bound: ColdStartBound, known: KnownBackend, nowMs: number): boolean {
+  private isWithinLimit(bound: ColdStartBound, known: KnownBackend, nowMs: number): boolean {
     const isCold = this.coldness(known, nowMs) !== undefined;
     if (known.agent !== undefined) {
       return !isCold && known.agent.grantsOnly === undefined;
@@ -93,43 +100,47 @@
 
   private hasShareLeft({ ungranted }: ColdStartBound, known: KnownBackend, nowMs: number): boolean {
     const share = this.ports.share(known.backend.id, ungranted, nowMs);
-    return share > 0 && (this.ownStarts.get(known)?.count(nowMs) ?? 0) < share;
+    return share > 0 && (this.ungrantedStarts.get(known)?.count(nowMs) ?? 0) < share;
   }
 
-  /** A request begins without a grant. */
+  /** Records a request that starts without a grant. */
   noteStart(known: KnownBackend, nowMs: number): void {
-    if (known.agent !== undefined || !this.isBounded(known)) {
+    if (known.agent !== undefined || !this.hasStartLimit(known)) {
       return;
     }
-    const starts = this.ownStarts.get(known) ?? new StartWindow();
-    this.ownStarts.set(known, starts);
+    const starts = this.ungrantedStarts.get(known) ?? new StartWindow();
+    this.ungrantedStarts.set(known, starts);
     starts.add(nowMs, nowMs);
   }
 
   /**
-   * Whether a grant that rests on this gateway's word of `heardAtMs` is too old to be used. Only where the rate
-   * of starts has a bound: elsewhere demands name no time, so that the word may be old and the grant is not.
+   * Whether a grant is too old to be used: the agent based it on this gateway's message of
+   * `heardAtMs`. Applies only to services with a start rate limit: elsewhere demands carry no time,
+   * so that message may be old while the grant is recent.
    */
-  isStale(known: KnownBackend, heardAtMs: number | undefined, nowMs: number): boolean {
-    return heardAtMs !== undefined && nowMs - heardAtMs > GRANT_LIFE_MS && this.isBounded(known);
+  isStaleGrant(known: KnownBackend, heardAtMs: number | undefined, nowMs: number): boolean {
+    return (
+      heardAtMs !== undefined && nowMs - heardAtMs > GRANT_LIFE_MS && this.hasStartLimit(known)
+    );
   }
 
-  /** What the agent beside a back end is told with each demand. */
-  noteFor(known: KnownBackend, nowMs: number): ColdNote {
-    if (!this.isBounded(known)) {
+  /** Returns the cold-start fields of a demand to the backend's agent. */
+  demandInfo(known: KnownBackend, nowMs: number): ColdStartInfo {
+    if (!this.hasStartLimit(known)) {
       return {};
     }
     const coldness = this.coldness(known, nowMs);
-    // What rests on the agent's own word, or on its silence, is no news to it: told back, it would never end.
-    const isNews = coldness !== undefined && coldness.reason !== 'agent-lost';
-    return { atMs: nowMs, ...(isNews && { coldMs: coldness.untilMs - nowMs }) };
+    // A state that derives from the agent's own report or from losing its connection is not
+    // reported back: the two sides would keep confirming each other and it would never end.
+    const isOwnFinding = coldness !== undefined && coldness.reason !== 'agent-lost';
+    return { atMs: nowMs, ...(isOwnFinding && { coldMs: coldness.untilMs - nowMs }) };
   }
 
   /**
-   * Requests in a millisecond that this gateway may expect to begin while every back end is cold, where
-   * `gateways` share them; undefined while some is warm.
+   * Returns the number of requests per millisecond that this gateway may expect to start while
+   * every backend is cold, divided among `gateways`; undefined while some backend is warm.
    */
-  supplyPerMs(
+  expectedStartsPerMs(
     backends: readonly KnownBackend[],
     gateways: number,
     nowMs: number,
@@ -142,7 +153,7 @@
     }
     const perS = usable.map((known) => this.startsPerS(known, gateways, nowMs));
     const sum = perS.reduce((total, starts) => total + starts, 0);
-    // A gateway that has just started has no part yet, but agents that will grant within a moment.
+    // A gateway that has just started has no share yet, but its agents will grant shortly.
     return sum === 0 ? undefined : sum / MS_PER_S;
   }
 
@@ -151,11 +162,11 @@
     const { granted, ungranted } = this.ports.boundOf(backend.service)!;
     return agent === undefined
       ? this.ports.share(backend.id, ungranted, nowMs)
-      : (granted * BUSY_GATEWAY_SHARE) / Math.max(1, gateways);
+      : (granted * BUSY_GATEWAY_FACTOR) / Math.max(1, gateways);
   }
 
-  /** Tells of back ends that are taken for cold since the last call, or no longer; to be called now and then. */
-  review(backends: readonly KnownBackend[], nowMs: number): void {
+  /** Reports backends that became cold or warm since the last call. Must be called periodically. */
+  reportChanges(backends: readonly KnownBackend[], nowMs: number): void {
     const isListed = new Set(backends);
     for (const known of [...this.coldBackends].filter((one) => !isListed.has(one))) {
       this.coldBackends.delete(known);
--- a/src/gateway/dispatch/dispatcher.ts
+++ b/src/gateway/dispatch/dispatcher.ts
@@ -1,16 +1,16 @@
 /**
- * Binds waiting requests to back ends, without I/O.
+ * Binds waiting requests to backends, without I/O.
  *
- * A request goes out at once while a permitted back end has a free slot. When
- * none has, it waits in order of tier, and the agents beside the back ends are
- * told what waits; an agent grants a slot the moment one is free, and the
- * gateway then binds whichever request comes first by that time.
+ * A request is sent at once while a permitted backend has a free slot. Otherwise it waits in a
+ * queue ordered by tier, and a demand message lists the first waiting requests to the agents of the
+ * backends. An agent grants a slot as soon as one is free; the gateway then binds the request that
+ * is first in the queue at that time.
  */
-import { BackendChooser } from './backend-chooser.js';
+import { BackendPicker } from './backend-chooser.js';
 import type {
-  BackendChooserOptions,
-  BackendChooserPorts,
-  ServedRequest,
+  BackendPickerOptions,
+  BackendPickerPorts,
+  PlacementConstraints,
 } from './backend-chooser.js';
 import type { BackendDirectory } from './backend-directory.js';
 import type { Backend } from '../../routing/backend.js';
@@ -27,103 +27,106 @@
 import type { HomeRefusalReason } from '../homes/home-refusal.js';
 import type { DispatchRequest } from './dispatch-request.js';
 import type { KnownBackend, SlotAgentLink } from './known-backend.js';
-import { hasWaitedForNear } from './near-first.js';
-import { nextDemand, UNTOLD_DEMAND } from './slot-demand.js';
-import { statedHomes } from './stated-homes.js';
+import { hasWaitedForLocalRegion } from './near-first.js';
+import { nextDemand, UNSENT_DEMAND } from './slot-demand.js';
+import { homeFieldsOf } from './stated-homes.js';
 import { ServiceQueue } from './service-queue.js';
 
 /** Options of a dispatcher. */
-export interface DispatcherOptions extends BackendChooserOptions {
-  /** Waiting requests that agents are told of. Default 8. */
+export interface DispatcherOptions extends BackendPickerOptions {
+  /** Maximum number of waiting requests that a demand lists. Default 8. */
   readonly demandLength: number;
 }
 
-/** Defaults of a dispatcher. */
+/** Default options of a dispatcher. */
 export const DEFAULT_DISPATCHER_OPTIONS: DispatcherOptions = {
   demandLength: 8,
   shareWithoutAgent: 1.25,
   unlistedGraceMs: 1_500,
 };
 
-/** What a dispatcher does to its surroundings. */
-export interface DispatcherPorts extends BackendChooserPorts {
-  /** Sends a message to the agent beside a back end. */
+/** Dependencies of a dispatcher. */
+export interface DispatcherPorts extends BackendPickerPorts {
+  /** Sends a message to the agent of a backend. */
   sendToAgent(backendId: string, message: SlotMessage): void;
-  /** A request was bound to a back end and is sent there. */
+  /** Called when a request was bound to a backend and is sent there. */
   onSent(backend: Backend): void;
-  /** A back end was ejected for its failures. */
+  /** Called when a backend was ejected for its failures. */
   onEjected(backendId: string): void;
-  /** A request was kept from back ends that operators do not permit; once for each reason. */
+  /** Called once per reason when operator rules exclude ready backends for a request. */
   onKept(reason: RestrictionReason): void;
-  /** The agent beside a back end says whether it may be used. */
+  /** Called when the agent of a backend reports a change of its availability. */
   onAvailability(backend: Backend, availability: EngineAvailability): void;
-  /** The agent beside a back end finds that nothing listens at its address. */
+  /** Called when the agent of a backend reports that nothing listens at its address. */
   onEnded?(backendId: string): void;
 }
 
-/** How long requests of a service are expected to wait. */
+/** Wait estimates for the requests of a service. */
 export type WaitForecast = Pick<
   ServiceQueue,
   'expectedWaitMs' | 'expectedLateWaitMs' | 'expectedRecoveryMs'
 >;
 
-/** Binds waiting requests to back ends. */
+/** Binds waiting requests to backends. */
 export class Dispatcher {
   private readonly waiting = new Map<string, ServiceQueue>();
-  private readonly chooser: BackendChooser;
+  private readonly picker: BackendPicker;
 
   constructor(
     private readonly directory: BackendDirectory,
     private readonly ports: DispatcherPorts,
     private readonly options: DispatcherOptions = DEFAULT_DISPATCHER_OPTIONS,
   ) {
-    this.chooser = new BackendChooser(directory, ports, options);
+    this.picker = new BackendPicker(directory, ports, options);
   }
 
-  /** The queue of a service, by which the wait of its requests is reckoned. */
+  /** Returns the wait estimates of a service. */
   forecastOf(service: string): WaitForecast {
     return this.queueOf(service);
   }
 
-  /** Requests that wait, by service. */
+  /** Returns the number of waiting requests by service. */
   waitingByService(): Map<string, number> {
     return new Map([...this.waiting].map(([service, queue]) => [service, queue.length]));
   }
 
-  /** Requests that wait for a service. */
+  /** Returns the number of requests that wait for a service. */
   countWaiting(service: string): number {
     return this.waiting.get(service)?.length ?? 0;
   }
 
-  /** Why a request is refused for its homes; undefined where it is not. */
-  homeRefusal(request: ServedRequest, nowMs: number): HomeRefusalReason | undefined {
-    return homeRefusalOf(request.allowedRegions, () => this.chooser.hasCandidates(request, nowMs));
+  /** Returns why the request is refused because of its homes; undefined where it is not. */
+  homeRefusal(request: PlacementConstraints, nowMs: number): HomeRefusalReason | undefined {
+    return homeRefusalOf(request.allowedRegions, () => this.picker.hasCandidates(request, nowMs));
   }
 
-  /** Why operators keep a request from a back end; undefined where they do not. */
-  restriction(request: ServedRequest, known: KnownBackend): RestrictionReason | undefined {
-    return this.chooser.restriction(request, known);
+  /** Returns why operators exclude a backend for the request; undefined where they do not. */
+  restriction(request: PlacementConstraints, known: KnownBackend): RestrictionReason | undefined {
+    return this.picker.restriction(request, known);
   }
 
-  /** The region of a zone; undefined for one that is not known. */
+  /** Returns the region of a zone; undefined for an unknown zone. */
   regionOf(zone: string): string | undefined {
     return this.ports.regionOf(zone);
   }
 
-  /** Whether operators permit a back end that is listed as taking requests, those in `excluded` left out. */
-  hasReady(request: ServedRequest, excluded: ReadonlySet<string>): boolean {
+  /** Whether operators permit a ready backend for the request that is not in `excluded`. */
+  hasReady(request: PlacementConstraints, excluded: ReadonlySet<string>): boolean {
     return this.directory
       .ofService(request.service)
       .some(
         (known) =>
           known.isReady &&
           !excluded.has(known.backend.id) &&
-          this.chooser.isPermitted(request, known),
+          this.picker.isPermitted(request, known),
       );
   }
 
-  /** The same for one that does not rest now, so that the request need not wait for it. */
-  hasAwake(request: ServedRequest, excluded: ReadonlySet<string>, nowMs: number): boolean {
+  /**
+   * Like `hasReady`, but also skips backends in a rest period, so that the request need not wait
+   * for one.
+   */
+  hasAwake(request: PlacementConstraints, excluded: ReadonlySet<string>, nowMs: number): boolean {
     const resting = this.directory
       .ofService(request.service)
       .filter(({ condition }) => condition.isResting(nowMs))
@@ -134,8 +137,12 @@
     );
   }
 
-  /** The same for one on a path that is trusted. */
-  hasReachable(request: ServedRequest, excluded: ReadonlySet<string>, nowMs: number): boolean {
+  /** Like `hasAwake`, but also skips backends that are closed or on a suspect path. */
+  hasReachable(
+    request: PlacementConstraints,
+    excluded: ReadonlySet<string>,
+    nowMs: number,
+  ): boolean {
     const suspects = this.directory
       .ofService(request.service)
       .filter(({ path, availability }) => path.isSuspect || availability === 'closed')
@@ -143,13 +150,16 @@
     return this.hasAwake(request, new Set([...excluded, ...suspects]), nowMs);
   }
 
-  /** Whether a slot of a back end that is not in `excluded` could be had now, before anything that waits. */
-  hasRoom(request: ServedRequest, excluded: ReadonlySet<string>, nowMs: number): boolean {
-    const isFirst = this.countWaiting(request.service) === 0;
-    return isFirst && this.chooser.hasRoomFor(request, excluded, nowMs);
+  /**
+   * Whether the request could get a slot of a backend not in `excluded` now, ahead of all that
+   * wait.
+   */
+  hasRoom(request: PlacementConstraints, excluded: ReadonlySet<string>, nowMs: number): boolean {
+    const isQueueEmpty = this.countWaiting(request.service) === 0;
+    return isQueueEmpty && this.picker.hasCapacityFor(request, excluded, nowMs);
   }
 
-  /** Takes in a back end's newest announcement; see `BackendDirectory.update`. */
+  /** Applies a backend's newest announcement; see `BackendDirectory.update`. */
   updateBackend(
     backendId: string,
     backend: Backend | undefined,
@@ -163,22 +173,23 @@
   }
 
   /**
-   * Takes in what operators ordered: `apply` changes what back ends are permitted. What is left of each
-   * service's slots is reckoned with at once, and what waits is served by whatever is permitted now.
+   * Applies a change of operator rules through `apply`. The supply estimate of each service is
+   * scaled to its remaining slots at once, and waiting requests are bound to whatever is permitted
+   * now.
    */
   changeOrders(apply: () => void, nowMs: number): void {
     const { directory } = this;
-    const before = directory.services.map((service) => directory.countSlots(service));
+    const slotsBefore = directory.services.map((service) => directory.countSlots(service));
     apply();
     for (const [index, service] of directory.services.entries()) {
-      directory.assignAnew(service, nowMs);
-      this.queueOf(service).scaleSupply(before[index]!, directory.countSlots(service));
+      directory.updateSubsetAfterOrder(service, nowMs);
+      this.queueOf(service).scaleSupply(slotsBefore[index]!, directory.countSlots(service));
       this.serve(service, nowMs);
-      this.tellDemand(service, nowMs);
+      this.sendDemand(service, nowMs);
     }
   }
 
-  /** Binds the request now if a slot is free; otherwise it waits in order. */
+  /** Binds the request if a slot is free; otherwise queues it. */
   submit(request: DispatchRequest, nowMs: number): void {
     const { service, allowedRegions } = request;
     for (const reason of this.directory.restrictions(service, allowedRegions)) {
@@ -188,32 +199,41 @@
     this.serve(request.service, nowMs);
   }
 
-  /** How long a request of the service waits before engines of other regions are used, in milliseconds. */
+  /**
+   * Returns how long a request of the service waits before engines of other regions are used, in
+   * milliseconds.
+   */
   farPatienceMs(service: string): number {
-    return this.directory.reachOf(service).farPatienceMs;
+    return this.directory.regionAvailability(service).remoteDelayMs;
   }
 
-  /** Serves what waits for a service; some of it may have waited long enough to go farther. */
+  /**
+   * Serves the queue of a service again; requests in it may have waited long enough for other
+   * regions.
+   */
   review(service: string, nowMs: number): void {
     this.serve(service, nowMs);
   }
 
-  /** A back end said something of itself: others take its place if it leaves, and what waits may be served now. */
+  /**
+   * Reacts to a changed statement of a backend: reselects the subset in case it is leaving, and
+   * serves the queue in case it accepts requests again.
+   */
   followCondition({ backend }: KnownBackend, nowMs: number): void {
     this.directory.assign(backend.service);
     this.directory.reviewReach(backend.service);
     this.serve(backend.service, nowMs);
   }
 
-  /** Takes a waiting request back. */
+  /** Removes a waiting request. */
   withdraw(request: DispatchRequest, nowMs: number): void {
     if (this.remove(request)) {
       this.queueOf(request.service).settle(nowMs);
-      this.tellDemand(request.service, nowMs);
+      this.sendDemand(request.service, nowMs);
     }
   }
 
-  /** An attempt ended. */
+  /** Records the end of an attempt and releases its slot. */
   finish(backendId: string, outcome: AttemptOutcome, nowMs: number): void {
     const known = this.directory.find(backendId);
     if (known === undefined) {
@@ -232,7 +252,8 @@
       known.noteOutcome(hasFailed, nowMs);
     }
     const isSilent = outcome === 'silent';
-    // Others may reach what is silent here: the agent is told so, not that the back end failed.
+    // The backend may be reachable for other gateways, so the agent gets a silent attempt and no
+    // failure.
     const released: SlotReleased = isSilent
       ? { kind: 'released', isSilent }
       : { kind: 'released', hasFailed };
@@ -243,7 +264,9 @@
     this.serve(known.backend.service, nowMs);
   }
 
-  /** The first event came, or never will: the prompt no longer stands before others. */
+  /**
+   * Records that the first event arrived or never will, so that the prompt no longer delays others.
+   */
   notePromptRead(backendId: string, promptTokens: number): void {
     const known = this.directory.find(backendId);
     if (known !== undefined) {
@@ -251,18 +274,18 @@
     }
   }
 
-  /** Learns a back end's speed from a whole answer. */
+  /** Updates a backend's speed estimate from a whole answer. */
   learnSpeed(backendId: string, units: number, elapsedMs: number): void {
     this.directory.find(backendId)?.learnSpeed(units, elapsedMs);
   }
 
-  /** Whether a request that is sent to the back end now meets it cold. */
+  /** Whether a request sent to the backend now would find it cold. */
   isCold(backendId: string, nowMs: number): boolean {
     const known = this.directory.find(backendId);
     return known !== undefined && this.ports.coldStarts.isCold(known, nowMs);
   }
 
-  /** The first event came: the back end answers. */
+  /** Records the first event, which proves that a backend on trial works. */
   noteFirst(backendId: string): void {
     const known = this.directory.find(backendId);
     if (known?.availability === 'trial') {
@@ -270,25 +293,25 @@
     }
   }
 
-  /** Learns from the time to the first event how fast a back end reads prompts. */
+  /** Updates a backend's prompt speed estimate from the time to the first event. */
   learnFirst(backendId: string, promptTokens: number, firstMs: number): void {
     const known = this.directory.find(backendId);
     if (known === undefined) {
       return;
     }
     const wasKnown = known.speed.isKnown;
-    known.speed.learnFirst(promptTokens, known.withoutWay(firstMs));
+    known.speed.learnFirstEventTime(promptTokens, known.withoutRoundTrip(firstMs));
     if (!wasKnown && known.speed.isKnown) {
       this.sendToAgent(backendId, known, { kind: 'speed', speed: known.learned });
     }
   }
 
-  /** Learns how far apart the events of a back end are. */
+  /** Updates the estimate of the interval between events of a backend. */
   learnPause(backendId: string, pauseMs: number): void {
-    this.directory.find(backendId)?.speed.learnPause(pauseMs);
+    this.directory.find(backendId)?.speed.learnEventInterval(pauseMs);
   }
 
-  /** A connection to the agent of a back end stands. */
+  /** Records an established connection to the agent of a backend. */
   connectAgent(backendId: string, nowMs: number): void {
     const known = this.directory.find(backendId);
     if (known === undefined) {
@@ -297,23 +320,23 @@
     known.agent = {
       occupied: known.outstanding,
       messagesSent: 0,
-      takenUnseen: [],
+      unacknowledgedTakes: [],
       grantsSeen: 0,
-      lastDemand: '',
+      lastDemandKey: '',
       failureShare: 0,
       availability: 'open',
-      // Until the agent's first word nothing is known of the engine.
+      // Assumes a cold engine until the agent's first state message.
       grantsOnly: 'cold',
-      hasSpoken: false,
+      hasReportedState: false,
     };
-    this.tellDemand(known.backend.service, nowMs);
+    this.sendDemand(known.backend.service, nowMs);
   }
 
-  /** The connection to the agent of a back end is gone. */
+  /** Records the loss of the connection to the agent of a backend. */
   disconnectAgent(backendId: string, nowMs: number): void {
     const known = this.directory.find(backendId);
     if (known !== undefined) {
-      if (known.agent?.grantsOnly === 'cold' && known.agent.hasSpoken) {
+      if (known.agent?.grantsOnly === 'cold' && known.agent.hasReportedState) {
         known.cold.suspect('agent-lost', nowMs);
       }
       known.agent = undefined;
@@ -322,14 +345,14 @@
     }
   }
 
-  /** Takes a message of the agent of a back end. */
+  /** Handles a message from the agent of a backend. */
   receiveFromAgent(backendId: string, message: SlotAnswer, nowMs: number): void {
     const known = this.directory.find(backendId);
     if (known?.agent === undefined) {
       return;
     }
     if (message.kind === 'state') {
-      known.agent.hasSpoken = true;
+      known.agent.hasReportedState = true;
       known.agent.occupied = message.occupied;
       known.agent.failureShare = message.failureShare;
       known.agent.homes = message.homes;
@@ -341,7 +364,9 @@
       known.adopt(message.speed);
       known.roundTrip.adopt(message.roundTripMs ?? known.roundTrip.ms);
       const { messagesSeen } = message;
-      known.agent.takenUnseen = known.agent.takenUnseen.filter((number) => number > messagesSeen);
+      known.agent.unacknowledgedTakes = known.agent.unacknowledgedTakes.filter(
+        (number) => number > messagesSeen,
+      );
       this.serve(known.backend.service, nowMs);
       return;
     }
@@ -349,14 +374,17 @@
     this.useGrant(known, message, nowMs);
   }
 
-  /** Serves what waits; to be called now and then, since ejections end with time alone. */
+  /**
+   * Serves all queues. Must be called periodically, since ejections end by the passing of time
+   * alone.
+   */
   tick(nowMs: number): void {
-    this.ports.coldStarts.review(this.directory.list(), nowMs);
+    this.ports.coldStarts.reportChanges(this.directory.list(), nowMs);
     for (const [service, queue] of this.waiting) {
       this.directory.reviewReach(service);
       const backends = this.directory.ofService(service);
       const gateways = this.ports.countGateways();
-      queue.limitSupply(this.ports.coldStarts.supplyPerMs(backends, gateways, nowMs));
+      queue.limitSupply(this.ports.coldStarts.expectedStartsPerMs(backends, gateways, nowMs));
       this.serve(service, nowMs);
     }
   }
@@ -375,7 +403,7 @@
     }
     agent.availability = availability;
     if (availability === 'open') {
-      known.health.forget();
+      known.health.reset();
     }
     this.directory.reviewReach(known.backend.service);
     this.ports.onAvailability(known.backend, availability);
@@ -384,21 +412,21 @@
   private useGrant(known: KnownBackend, grant: SlotGranted, nowMs: number): void {
     const backendId = known.backend.id;
     const queue = this.waitingInOrder(known.backend.service, nowMs);
-    const isStale = this.ports.coldStarts.isStale(known, grant.heardAtMs, nowMs);
+    const isStale = this.ports.coldStarts.isStaleGrant(known, grant.heardAtMs, nowMs);
     const isUsable =
       !isStale &&
       known.isReady &&
       known.availability !== 'closed' &&
       !known.health.isEjected(nowMs);
     const request = isUsable
-      ? this.chooser.chooseForGrant(queue, known, grant.homeOwner, nowMs)
+      ? this.picker.pickForGrant(queue, known, grant.homeOwner, nowMs)
       : undefined;
     if (request === undefined) {
       if (isStale) {
-        this.tellDemandAnew(known, nowMs);
-      } else if (!this.chooser.mayBeGranted(known, nowMs)) {
-        // The agent would grant the same again until it is told that nothing waits for it any more.
-        this.tellDemand(known.backend.service, nowMs);
+        this.resendDemand(known, nowMs);
+      } else if (!this.picker.mayUseGrants(known, nowMs)) {
+        // Without an updated demand the agent would issue the same grant again.
+        this.sendDemand(known.backend.service, nowMs);
       }
       this.sendToAgent(backendId, known, { kind: 'grant-returned' });
       return;
@@ -407,7 +435,7 @@
     this.remove(request);
     this.bind(request, known, nowMs, true);
     this.queueOf(request.service).settle(nowMs);
-    this.tellDemand(known.backend.service, nowMs);
+    this.sendDemand(known.backend.service, nowMs);
   }
 
   private serve(service: string, nowMs: number): void {
@@ -415,18 +443,18 @@
     if (queue.length === 0) {
       return;
     }
-    this.chooser.wantRights(service, queue, nowMs);
+    this.picker.requestSendRights(service, queue, nowMs);
     for (const request of queue) {
-      if (!this.chooser.hasAnyRoom(service, nowMs)) {
+      if (!this.picker.hasAnyCapacity(service, nowMs)) {
         break;
       }
-      const chosen = this.chooser.choose(request, nowMs);
+      const chosen = this.picker.pick(request, nowMs);
       if (chosen !== undefined && this.remove(request)) {
         this.bind(request, chosen, nowMs, false);
       }
     }
     this.queueOf(service).settle(nowMs);
-    this.tellDemand(service, nowMs);
+    this.sendDemand(service, nowMs);
   }
 
   private bind(
@@ -441,9 +469,9 @@
     known.path.noteSent(nowMs);
     known.pendingPromptTokens += request.promptTokens;
     if (!isGranted && known.agent !== undefined) {
-      const stated = statedHomes(request, known.agent);
-      this.sendToAgent(known.backend.id, known, { kind: 'taken', ...stated });
-      known.agent.takenUnseen.push(known.agent.messagesSent);
+      const homeFields = homeFieldsOf(request, known.agent);
+      this.sendToAgent(known.backend.id, known, { kind: 'taken', ...homeFields });
+      known.agent.unacknowledgedTakes.push(known.agent.messagesSent);
     }
     if (!isGranted) {
       this.ports.coldStarts.noteStart(known, nowMs);
@@ -466,37 +494,42 @@
     return this.waiting.get(service)?.inOrder(nowMs) ?? [];
   }
 
-  private mayCross(request: DispatchRequest, nowMs: number): boolean {
+  private mayUseRemoteRegion(request: DispatchRequest, nowMs: number): boolean {
     const { service, allowedRegions } = request;
-    const isFromElsewhere = allowedRegions?.has(this.directory.region) === false;
-    return isFromElsewhere || hasWaitedForNear(request, this.directory.reachOf(service), nowMs);
+    const isLocalRegionExcluded = allowedRegions?.has(this.directory.region) === false;
+    return (
+      isLocalRegionExcluded ||
+      hasWaitedForLocalRegion(request, this.directory.regionAvailability(service), nowMs)
+    );
   }
 
-  private tellDemand(service: string, nowMs: number): void {
+  private sendDemand(service: string, nowMs: number): void {
     const inputs = {
-      mayCross: (request: DispatchRequest) => this.mayCross(request, nowMs),
+      mayUseRemoteRegion: (request: DispatchRequest) => this.mayUseRemoteRegion(request, nowMs),
       waiting: this.waitingInOrder(service, nowMs),
       maxLength: this.options.demandLength,
-      isOpen: (known: KnownBackend) => this.chooser.mayBeGranted(known, nowMs),
-      fits: (request: DispatchRequest, known: KnownBackend) => this.chooser.fits(request, known),
+      isOpen: (known: KnownBackend) => this.picker.mayUseGrants(known, nowMs),
+      canUseGrant: (request: DispatchRequest, known: KnownBackend) =>
+        this.picker.canUseGrant(request, known),
     };
     for (const known of this.directory.ofService(service)) {
       const demand = nextDemand(known, inputs, nowMs);
       if (demand !== undefined) {
-        const note = this.ports.coldStarts.noteFor(known, nowMs);
-        this.sendToAgent(known.backend.id, known, { ...demand, ...note });
+        const coldStartInfo = this.ports.coldStarts.demandInfo(known, nowMs);
+        this.sendToAgent(known.backend.id, known, { ...demand, ...coldStartInfo });
       }
     }
   }
 
   /**
-   * The agent took the request for served that it granted a slot for, and nothing changed here: it is told again,
-   * before the slot is given back, so that it grants that on a word that is new.
+   * Sends the demand again after a stale grant. The agent considers the request of that grant
+   * served and nothing changed here, so `nextDemand` would skip it. Sent before the slot is
+   * returned, so that the next grant is based on a current demand.
    */
-  private tellDemandAnew(known: KnownBackend, nowMs: number): void {
+  private resendDemand(known: KnownBackend, nowMs: number): void {
     if (known.agent !== undefined) {
-      known.agent.lastDemand = UNTOLD_DEMAND;
-      this.tellDemand(known.backend.service, nowMs);
+      known.agent.lastDemandKey = UNSENT_DEMAND;
+      this.sendDemand(known.backend.service, nowMs);
     }
   }
 
@@ -508,7 +541,7 @@
   }
 }
 
-/** Whether an attempt shows that its back end failed; undefined where its end says nothing of that. */
+/** Returns whether an attempt shows a failure of its backend; undefined where it shows neither. */
 function failureOf(outcome: AttemptOutcome): boolean | undefined {
   if (outcome === 'answered') {
     return false;
--- a/src/gateway/dispatch/engine-speed.ts
+++ b/src/gateway/dispatch/engine-speed.ts
@@ -1,67 +1,74 @@
-/** Learned speed of one engine: how fast it reads prompts, and how far apart its events are. */
+/** Learned speed of one engine: prompt processing, and the interval between events. */
 import type { LearnedSpeed, PrefillSpeed } from '../../slot-agent/slot-messages.js';
-import { expectedFirstMs, PrefillEstimate } from './prefill-estimate.js';
+import { predictFirstEventMs, PrefillEstimate } from './prefill-estimate.js';
 
-/** Weight of a mean pause below what is known; other work at the engine only adds to pauses. */
-const FASTER_SMOOTHING = 0.3;
-/** Weight of a mean pause above what is known. */
-const SLOWER_SMOOTHING = 0.05;
-/** Tokens of a prompt that an engine reads between two steps of the others, at the most. */
-const CHUNK_TOKENS = 1_024;
+/**
+ * Smoothing weight of a sample below the estimate. Other load at the engine only lengthens pauses.
+ */
+const BELOW_SMOOTHING = 0.3;
+/** Smoothing weight of a sample above the estimate. */
+const ABOVE_SMOOTHING = 0.05;
+/**
+ * Maximum number of prompt tokens that an engine processes between two decode steps of other
+ * requests.
+ */
+const PREFILL_CHUNK_TOKENS = 1_024;
 
-/** Learned speed of one engine. */
+/** Estimates the speed of one engine. */
 export class EngineSpeed {
   private readonly prefillEstimate = new PrefillEstimate();
   private eventMs: number | undefined;
 
-  /** Learns from the time between a send and the first event. */
-  learnFirst(promptTokens: number, firstMs: number): void {
+  /** Updates the estimate from the time between a send and the first event. */
+  learnFirstEventTime(promptTokens: number, firstMs: number): void {
     this.prefillEstimate.learn(promptTokens, firstMs);
   }
 
-  /** Learns from the mean pause between the events of a stream. */
-  learnPause(pauseMs: number): void {
+  /** Updates the estimate from the mean interval between the events of a stream. */
+  learnEventInterval(pauseMs: number): void {
     if (this.eventMs === undefined) {
       this.eventMs = pauseMs;
       return;
     }
-    const smoothing = pauseMs < this.eventMs ? FASTER_SMOOTHING : SLOWER_SMOOTHING;
+    const smoothing = pauseMs < this.eventMs ? BELOW_SMOOTHING : ABOVE_SMOOTHING;
     this.eventMs += smoothing * (pauseMs - this.eventMs);
   }
 
-  /** Learned time to the first event; undefined while nothing was learned. */
+  /** Returns the learned time to the first event; undefined before the first sample. */
   get prefill(): PrefillSpeed | undefined {
     return this.prefillEstimate.learned;
   }
 
-  /** What was learned so far. */
   get learned(): LearnedSpeed {
     return { prefill: this.prefill, eventMs: this.eventMs };
   }
 
-  /** Takes over what others learned, where nothing was learned here. */
-  adopt(learned: LearnedSpeed): void {
+  /** Adopts the estimates of other gateways for values without a sample of its own. */
+  adoptLearned(learned: LearnedSpeed): void {
     this.prefillEstimate.adopt(learned.prefill);
     this.eventMs ??= learned.eventMs;
   }
 
-  /** Whether anything was learned of how it reads prompts. */
+  /** Whether the prompt speed is known. */
   get isKnown(): boolean {
     return this.prefill !== undefined;
   }
 
   /**
-   * Expected time to the first event behind `tokens` of prompts, in milliseconds;
-   * `usual` stands for what is not known yet.
+   * Returns the expected time to the first event for `tokens` of queued prompts, in milliseconds;
+   * `usual` is used while the engine's own speed is unknown.
    */
-  expectedFirstMs(tokens: number, usual?: PrefillSpeed): number {
-    const line = this.prefill ?? usual;
-    return line === undefined ? 0 : expectedFirstMs(line, tokens);
+  expectedFirstEventMs(tokens: number, usual?: PrefillSpeed): number {
+    const fit = this.prefill ?? usual;
+    return fit === undefined ? 0 : predictFirstEventMs(fit, tokens);
   }
 
-  /** Longest pause that reading a prompt is expected to cause in the streams beside it, in milliseconds. */
+  /**
+   * Returns the longest pause that processing a prompt is expected to cause in concurrent streams,
+   * in milliseconds.
+   */
   expectedPauseMs(promptTokens: number, tokensPerEvent: number): number {
-    const tokensBetweenEvents = Math.min(promptTokens, CHUNK_TOKENS * tokensPerEvent);
+    const tokensBetweenEvents = Math.min(promptTokens, PREFILL_CHUNK_TOKENS * tokensPerEvent);
     const msPerToken = this.prefill?.msPerToken ?? 0;
     return tokensBetweenEvents * msPerToken + (this.eventMs ?? 0);
   }
--- a/src/gateway/dispatch/engine-subset.ts
+++ b/src/gateway/dispatch/engine-subset.ts
@@ -1,46 +1,45 @@
 /**
- * Chooses the engines that a gateway works with.
+ * Deterministic subsetting: selects the engines that a gateway connects to.
  *
- * A link to every engine would cost each agent a message to every gateway for
- * each slot that changes hands. A gateway therefore keeps to the engines of its
- * own zone and a few of each other one; in a fleet over several regions to
- * those of its zone and its region, and a few of each other region for failures
- * and bursts. The choice is by rendezvous hashing: gateways choose apart from
- * each other, without a word between them, and one engine that comes or goes
- * changes one choice.
+ * With a connection to every engine, each agent would send a message to every gateway for each slot
+ * that is taken or freed. A gateway is therefore limited to the engines of its own zone and a few
+ * of each other zone; in a fleet over several regions to those of its zone and its region, and a
+ * few of each other region for failures and bursts. The selection uses rendezvous hashing: gateways
+ * select independently, without coordination, and adding or removing one engine changes one
+ * selection.
  */
 import { pairShare } from '../../pair-share.js';
 import type { Distance } from '../../routing/places.js';
 import { distanceFrom, regionNameOf } from '../../routing/standpoint.js';
 import type { Standpoint } from '../../routing/standpoint.js';
 
-/** What the choice looks at. */
+/** The fields of an engine that the selection uses. */
 export interface SubsetEngine {
   readonly id: string;
   readonly zone: string;
 }
 
-/** Sizes of a subset. */
+/** Size limits of a subset. */
 export interface EngineSubsetOptions {
-  /** Up to this many engines all are taken. Default 16. */
+  /** Minimum size of a subset; with up to this many engines all are selected. Default 16. */
   readonly minEngines: number;
-  /** Most engines of the gateway's own zone. Default 32. */
+  /** Maximum number of engines in the gateway's own zone. Default 32. */
   readonly maxInZone: number;
-  /** Engines of each other zone, where all are in one region. Default 2. */
+  /** Number of engines in each other zone of a single-region fleet. Default 2. */
   readonly perOtherZone: number;
   /**
-   * Most engines of the other zones of the gateway's region, where there are several regions. Default 16: as
-   * many as a small deployment is worked with whole.
+   * Maximum number of engines in the other zones of the gateway's region, in a fleet over several
+   * regions. Default 16, the size up to which a small deployment is used as a whole.
    */
   readonly maxInRegion: number;
   /**
-   * Engines of each other region. Default 2: one of them may be lost, and together the gateways of a region
-   * still reach nearly all of another one.
+   * Number of engines in each other region. Default 2: one of them may fail, and together the
+   * gateways of a region still reach nearly all engines of another one.
    */
   readonly perOtherRegion: number;
 }
 
-/** Defaults of a subset. */
+/** Default size limits of a subset. */
 export const DEFAULT_ENGINE_SUBSET_OPTIONS: EngineSubsetOptions = {
   minEngines: 16,
   maxInZone: 32,
@@ -49,37 +48,37 @@
   perOtherRegion: 2,
 };
 
-/** Who chooses, and from where. */
+/** The gateway that selects, and its zone. */
 export interface SubsetOwner extends Standpoint {
   readonly name: string;
 }
 
 interface RankedEngine {
   readonly id: string;
-  /** Engines of one group share a limit. */
+  /** Group of engines that share one limit. */
   readonly group: string;
   readonly limit: number;
   readonly distance: Distance;
   readonly weight: number;
 }
 
-const ORDER: Readonly<Record<Distance, number>> = {
+const DISTANCE_ORDER: Readonly<Record<Distance, number>> = {
   'same-zone': 0,
   'same-region': 1,
   'other-region': 2,
 };
 
 /**
- * Chooses among the engines of one service.
+ * Selects among the engines of one service.
  *
- * @returns the ids of the engines that `owner` works with
+ * @returns the ids of the selected engines
  */
-export function chooseEngines(
+export function selectSubset(
   engines: readonly SubsetEngine[],
   owner: SubsetOwner,
   options: EngineSubsetOptions = DEFAULT_ENGINE_SUBSET_OPTIONS,
 ): Set<string> {
-  const ranked = rank(engines, owner, options);
+  const ranked = rankEngines(engines, owner, options);
   const chosen = new Set<string>();
   const takenByGroup = new Map<string, number>();
   for (const { id, group, limit } of ranked) {
@@ -98,28 +97,35 @@
   return chosen;
 }
 
-/** In the order in which they are taken: by hash alone in one region, nearest first over several. */
-function rank(
+/**
+ * Returns the engines in order of selection: by hash alone within one region, by distance and then
+ * by hash over several.
+ */
+function rankEngines(
   engines: readonly SubsetEngine[],
   owner: SubsetOwner,
   options: EngineSubsetOptions,
 ): RankedEngine[] {
-  const areSeveral = engines.some(({ zone }) => distanceFrom(owner, zone) === 'other-region');
+  const hasSeveralRegions = engines.some(
+    ({ zone }) => distanceFrom(owner, zone) === 'other-region',
+  );
   const ranked = engines.map(({ id, zone }) => {
     const distance = distanceFrom(owner, zone);
     const weight = pairShare(owner.name, id);
-    const bounds = areSeveral
-      ? boundsOverRegions(zone, distance, owner, options)
-      : boundsInRegion(zone, distance, options);
-    return { id, distance, weight, ...bounds };
+    const groupLimit = hasSeveralRegions
+      ? limitAcrossRegions(zone, distance, owner, options)
+      : limitInSingleRegion(zone, distance, options);
+    return { id, distance, weight, ...groupLimit };
   });
   return ranked.sort((left, right) => {
-    const nearer = areSeveral ? ORDER[left.distance] - ORDER[right.distance] : 0;
-    return nearer || left.weight - right.weight;
+    const byDistance = hasSeveralRegions
+      ? DISTANCE_ORDER[left.distance] - DISTANCE_ORDER[right.distance]
+      : 0;
+    return byDistance || left.weight - right.weight;
   });
 }
 
-function boundsInRegion(
+function limitInSingleRegion(
   zone: string,
   distance: Distance,
   { maxInZone, perOtherZone }: EngineSubsetOptions,
@@ -127,7 +133,7 @@
   return { group: zone, limit: distance === 'same-zone' ? maxInZone : perOtherZone };
 }
 
-function boundsOverRegions(
+function limitAcrossRegions(
   zone: string,
   distance: Distance,
   owner: SubsetOwner,
--- a/src/gateway/dispatch/home-engines.ts
+++ b/src/gateway/dispatch/home-engines.ts
@@ -1,22 +1,23 @@
-/** Adds engines of the regions that a configuration names to those that a gateway works with. */
+/** Extends a gateway's engine subset with engines of the home regions in the configuration. */
 import { pairShare } from '../../pair-share.js';
 import type { SubsetEngine } from './engine-subset.js';
 
-/** Regions that a gateway needs engines of. */
+/** Home regions in which a gateway needs engines. */
 export interface HomeRegions {
-  /** Regions that some route or tenant names. */
+  /** Regions that are a home of some route or tenant. */
   readonly named: ReadonlySet<string>;
   regionOf(zone: string): string | undefined;
 }
 
 /**
- * Engines of each named region that a gateway works with at least, if there are as many: with two of them
- * down two are left, and with each one more every agent gains a link to every gateway.
+ * Minimum number of engines per home region in the subset, if there are as many: with two of them
+ * down, two are left. Each further one would add a connection from every gateway to every agent.
  */
-const ENGINES_PER_HOME = 4;
+const MIN_ENGINES_PER_HOME = 4;
 
 /**
- * Adds to `chosen` what named regions lack, first in the rank that the gateway gives all engines.
+ * Adds the missing engines of each home region to `chosen`, in rendezvous hash order of the
+ * gateway.
  *
  * @param engines - ready engines of one service
  */
@@ -29,11 +30,11 @@
   for (const region of named) {
     const inRegion = engines.filter(({ zone }) => regionOf(zone) === region);
     const others = inRegion.filter(({ id }) => !chosen.has(id));
-    const lacking = ENGINES_PER_HOME - (inRegion.length - others.length);
-    if (lacking > 0) {
+    const missingCount = MIN_ENGINES_PER_HOME - (inRegion.length - others.length);
+    if (missingCount > 0) {
       others
         .sort((left, right) => pairShare(gateway, left.id) - pairShare(gateway, right.id))
-        .slice(0, lacking)
+        .slice(0, missingCount)
         .forEach(({ id }) => chosen.add(id));
     }
   }
--- a/src/gateway/dispatch/known-backend.ts
+++ b/src/gateway/dispatch/known-backend.ts
@@ -1,4 +1,4 @@
-/** What a gateway knows of one back end: its announcement, its health, its speed and its slots. */
+/** State that a gateway tracks for one backend: its announcement, health, speed and slots. */
 import type { Backend } from '../../routing/backend.js';
 import type { EngineAvailability } from '../../slot-agent/engine-watch.js';
 import type { GrantsOnly } from '../../slot-agent/start-limiter.js';
@@ -14,172 +14,194 @@
 
 const SPEED_SMOOTHING = 0.15;
 /**
- * Time in which the connection to the agent of a new engine comes up, in milliseconds: a machine
- * without an agent refuses it in two, a busy gateway opens it within some tens. The time of its messages
- * on the way comes on top.
+ * Time allowed for the connection to the agent of a new engine, in milliseconds, in addition to the
+ * network round trips: a machine without an agent refuses it within two, a busy gateway opens it
+ * within some tens.
  */
-const AGENT_WAIT_MS = 150;
-/** Times there and back until the agent has told how things stand: its connection, and the hello. */
+const AGENT_CONNECT_MS = 150;
+/** Round trips until the agent's first state message: the connection setup and the hello. */
 const AGENT_ROUND_TRIPS = 2;
 
-/** The gateway's side of its connection to the agent beside a back end. */
+/** The gateway's side of the connection to a slot agent. */
 export interface SlotAgentLink {
-  /** Occupied slots as the agent told last. */
+  /** Number of occupied slots in the agent's last state message. */
   occupied: number;
-  /** Whether the agent said anything on this connection. */
-  hasSpoken: boolean;
-  /** Messages sent to the agent after the hello. */
+  /** Whether the agent has sent a state message on this connection. */
+  hasReportedState: boolean;
+  /** Number of messages sent to the agent after the hello. */
   messagesSent: number;
-  /** Numbers of the messages by which free slots were taken and that `occupied` does not reflect. */
-  takenUnseen: number[];
-  /** Grants received on this connection. */
+  /** Sequence numbers of `taken` messages that `occupied` does not include yet. */
+  unacknowledgedTakes: number[];
+  /** Number of grants received on this connection. */
   grantsSeen: number;
-  /** The demand that was sent last, as text. */
-  lastDemand: string;
-  /** Share of the requests of all gateways that failed there lately, as the agent told last. */
+  /** Key of the last demand sent; empty while no requests were listed. */
+  lastDemandKey: string;
+  /** Recent failure rate over the requests of all gateways, from the agent's last state message. */
   failureShare: number;
-  /** Whether the engine may be used, as the agent told last. */
+  /** Whether the engine may be used, from the agent's last state message. */
   availability: EngineAvailability;
-  /** What the agent knows of homes, as it told last; undefined while none are named. */
+  /**
+   * Region and configuration version from the agent's last state message; undefined while its
+   * configuration defines no homes.
+   */
   homes?: AgentHomes | undefined;
-  /** Why free slots are only granted, as the agent told last; undefined while they may be taken. Without meaning
-   * where the rate of starts has no bound. */
+  /**
+   * Why free slots are available by grant only, from the agent's last state message; undefined
+   * while they may be taken without one. Ignored for services without a start rate limit.
+   */
   grantsOnly: GrantsOnly | undefined;
 }
 
-/** One back end as a gateway knows it. */
+/** Tracks one backend. */
 export class KnownBackend {
   readonly health = new BackendHealth();
   readonly speed = new EngineSpeed();
-  /** What is known of its last start. */
+  /** Cold-start state since its last known start. */
   readonly cold = new ColdPeriod();
   readonly path = new PathState();
-  /** The way there and back, as it was measured. */
+  /** Measured network round-trip time. */
   readonly roundTrip: RoundTrip;
-  /** Tokens of prompts that this gateway sent and whose first event is due. */
+  /** Prompt tokens sent by this gateway whose first event is pending. */
   pendingPromptTokens = 0;
-  /** Requests of this gateway that are there now. */
+  /** Number of this gateway's requests that are active there. */
   outstanding = 0;
-  /** Whether this gateway works with it; others are used only when none of its own is left. */
+  /**
+   * Whether it is in this gateway's subset; others are used only when the whole subset is
+   * unavailable.
+   */
   isAssigned = true;
   /** Undefined while no agent is connected. */
   agent: SlotAgentLink | undefined;
-  /** When it left the list; undefined while it is listed. */
+  /** When it was removed from the list; undefined while it is listed. */
   unlistedAtMs: number | undefined;
-  /** Whether its record names no back end any more, so that it must not be used where none is left either. */
+  /**
+   * Whether its record describes no usable backend any more. It must then not be used even as a
+   * last resort.
+   */
   isWithdrawn = false;
   /** Whether another incarnation was found at its address. */
   hasEnded = false;
-  /** Whether it has ended, or another incarnation announced itself at its address later. */
+  /** Whether it has ended, or a later incarnation was announced at its address. */
   isReplaced = false;
   private learnedMsPerUnit: number | undefined;
-  private readonly ownFailures = new FailureEstimate();
+  private readonly ownFailureRate = new FailureEstimate();
 
-  /** Until when its agent is given time to be connected, in milliseconds. */
+  /** End of the time allowed for its agent to connect. */
   private agentAwaitedUntilMs = 0;
 
   constructor(
     public backend: Backend,
     learnedAtMs: number,
-    /** How far it is from this gateway. */
+    /** Network distance from this gateway. */
     readonly distance: Distance = 'same-zone',
-    /** What it says of itself. */
+    /** Statements of the backend: rate limit, leaving, rest period. */
     readonly condition = new BackendCondition(),
   ) {
     this.roundTrip = new RoundTrip(distance);
-    this.awaitAgent(learnedAtMs);
+    this.startAgentWait(learnedAtMs);
   }
 
-  /** Whether a connection to its agent may still come up for the first time. */
+  /** Whether the first connection to its agent may still be established. */
   isAgentAwaited(nowMs: number): boolean {
     return nowMs < this.agentAwaitedUntilMs;
   }
 
-  /** Its agent is given time to be connected. */
-  awaitAgent(nowMs: number): void {
-    this.agentAwaitedUntilMs = nowMs + AGENT_WAIT_MS + this.roundTrip.ms * AGENT_ROUND_TRIPS;
+  /** Starts the time allowed for its agent to connect. */
+  startAgentWait(nowMs: number): void {
+    this.agentAwaitedUntilMs = nowMs + AGENT_CONNECT_MS + this.roundTrip.ms * AGENT_ROUND_TRIPS;
   }
 
-  /** Its agent did not answer, or is gone. */
+  /** Ends the wait for its agent, which refused the connection or disconnected. */
   endAgentWait(): void {
     this.agentAwaitedUntilMs = 0;
   }
 
-  /** Whether it is listed and still the incarnation at its address. */
+  /** Whether it is listed and the latest incarnation at its address. */
   get isCurrent(): boolean {
     return this.unlistedAtMs === undefined && !this.isReplaced;
   }
 
   /**
-   * Whether it takes no new requests any more, by its announcement or by an answer: announcements stand still while
-   * the store is away.
+   * Whether it accepts no new requests, by its announcement or by a statement in an answer.
+   * Announcements are not updated while the store is unavailable.
    */
   get isLeaving(): boolean {
     return this.backend.state === 'draining' || this.condition.isLeaving;
   }
 
-  /** Whether it is listed as taking new requests. */
+  /** Whether it is listed as accepting new requests. */
   get isReady(): boolean {
     return this.isCurrent && !this.isLeaving;
   }
 
-  /** Whether it may be used, as its agent says; open where none does. */
+  /** Availability reported by its agent; `open` without one. */
   get availability(): EngineAvailability {
     return this.agent?.availability ?? 'open';
   }
 
-  /** Whether the next request there shows if it answers again: none that may run only once is risked. */
+  /**
+   * Whether the next request tests if it has recovered; only repeatable requests are risked while
+   * others are available.
+   */
   get isOnTrial(): boolean {
     return this.availability === 'trial' || this.health.isProbing;
   }
 
-  /** Whether its agent was told that requests wait. */
+  /** Whether the last demand sent to its agent listed waiting requests. */
   get hasDemand(): boolean {
-    return this.agent !== undefined && this.agent.lastDemand !== '';
+    return this.agent !== undefined && this.agent.lastDemandKey !== '';
   }
 
-  /** Learned time for a unit of work, in milliseconds; undefined before the first answer. */
+  /** Learned time per unit of work, in milliseconds; undefined before the first answer. */
   get msPerUnit(): number | undefined {
     return this.learnedMsPerUnit;
   }
 
-  /** A request of this gateway was answered there, or failed. */
+  /** Records that a request of this gateway succeeded or failed there. */
   noteOutcome(hasFailed: boolean, nowMs: number): void {
-    this.ownFailures.note(hasFailed, nowMs);
+    this.ownFailureRate.note(hasFailed, nowMs);
   }
 
-  /** Share of requests that failed there lately, as this gateway and, where an agent tells, others saw it. */
+  /**
+   * Returns the recent failure rate, the higher of this gateway's own and the one reported by the
+   * agent for all gateways.
+   */
   failureShare(nowMs: number): number {
-    return Math.max(this.ownFailures.share(nowMs), this.agent?.failureShare ?? 0);
+    return Math.max(this.ownFailureRate.share(nowMs), this.agent?.failureShare ?? 0);
   }
 
-  /** The part of a time between a send and something of its answer that is the back end's own. */
-  withoutWay(elapsedMs: number): number {
+  /** Returns an elapsed time without the network round trip. */
+  withoutRoundTrip(elapsedMs: number): number {
     return Math.max(0, elapsedMs - this.roundTrip.ms);
   }
 
-  /** Learns from a whole answer; the speed is the back end's own, whoever asks from wherever. */
+  /**
+   * Updates the speed estimate from a whole answer. Excludes the round trip, so that the estimate
+   * is the same for gateways at any distance.
+   */
   learnSpeed(units: number, elapsedMs: number): void {
-    const sample = this.withoutWay(elapsedMs) / Math.max(1, units);
+    const sample = this.withoutRoundTrip(elapsedMs) / Math.max(1, units);
     const known = this.learnedMsPerUnit ?? sample;
     this.learnedMsPerUnit = known + SPEED_SMOOTHING * (sample - known);
   }
 
-  /** What was learned of it so far. */
   get learned(): LearnedSpeed {
     return { ...this.speed.learned, msPerUnit: this.learnedMsPerUnit };
   }
 
-  /** Takes over what others learned, where nothing was learned here. */
+  /** Adopts the estimates of other gateways for values without a sample of its own. */
   adopt(learned: LearnedSpeed): void {
-    this.speed.adopt(learned);
+    this.speed.adoptLearned(learned);
     this.learnedMsPerUnit ??= learned.msPerUnit;
   }
 
-  /** Requests that are there, of this gateway and, where an agent tells, of others. */
+  /**
+   * Number of active requests: this gateway's own, or those of all gateways where the agent reports
+   * them.
+   */
   get occupied(): number {
     return this.agent === undefined
       ? this.outstanding
-      : Math.max(this.outstanding, this.agent.occupied + this.agent.takenUnseen.length);
+      : Math.max(this.outstanding, this.agent.occupied + this.agent.unacknowledgedTakes.length);
   }
 }
--- a/src/gateway/dispatch/near-first.ts
+++ b/src/gateway/dispatch/near-first.ts
@@ -1,53 +1,58 @@
 /**
- * Delay scheduling over regions: a request goes to an engine in another region only once waiting for one near
- * by has cost as much time as the way there and what its bytes are worth.
+ * Delay scheduling across regions: a request goes to an engine in another region only after it has
+ * waited for a local one for as long as the round trip there plus the cost of the transfer.
  *
- * Without the pause every request that finds the engines near by full for a moment would cross at once, and
- * a slot that is granted over the way there lies idle for as long as the grant and the request travel.
+ * Without the delay, every request that finds the local engines momentarily full would cross at
+ * once, and a slot granted across regions is idle while the grant and the request travel.
  */
 import type { DispatchRequest } from './dispatch-request.js';
 import type { KnownBackend } from './known-backend.js';
 
-/** How the engines of a service lie to a gateway. */
-export interface ServiceReach {
-  /** Whether its own region has none that may be waited for, while others have some. */
-  readonly isNearLost: boolean;
-  /** How long a request waits for one near by before others are used, in milliseconds. */
-  readonly farPatienceMs: number;
+/** Availability of a service's engines by region, relative to a gateway. */
+export interface RegionAvailability {
+  /** Whether the local region has no usable engine, while other regions have some. */
+  readonly isLocalRegionLost: boolean;
+  /** How long a request waits for a local engine before remote ones are used, in milliseconds. */
+  readonly remoteDelayMs: number;
 }
 
-/** Before anything is known of a service. */
-export const UNKNOWN_REACH: ServiceReach = { isNearLost: false, farPatienceMs: 0 };
+/** Default for a service without known engines. */
+export const DEFAULT_REGION_AVAILABILITY: RegionAvailability = {
+  isLocalRegionLost: false,
+  remoteDelayMs: 0,
+};
 
-/** Whether a back end is in another region. */
-export function isFar({ distance }: KnownBackend): boolean {
+/** Whether a backend is in another region. */
+export function isRemoteRegion({ distance }: KnownBackend): boolean {
   return distance === 'other-region';
 }
 
-/** Whether a back end near by may be waited for: one that is lost, or tries whether it answers, is not. */
-export function isWorthWaitingFor(known: KnownBackend): boolean {
-  return !isFar(known) && known.isReady && known.availability !== 'closed' && !known.isOnTrial;
+/** Whether a request may wait for the backend: it is local, not closed and not on trial. */
+export function isUsableLocally(known: KnownBackend): boolean {
+  return (
+    !isRemoteRegion(known) && known.isReady && known.availability !== 'closed' && !known.isOnTrial
+  );
 }
 
-/** Works out how the back ends of one service lie. */
-export function reachOf(backends: readonly KnownBackend[]): ServiceReach {
+/** Computes the availability by region from the backends of one service. */
+export function regionAvailabilityOf(backends: readonly KnownBackend[]): RegionAvailability {
   const ready = backends.filter(({ isReady }) => isReady);
-  const ways = ready.filter(isFar).map(({ roundTrip }) => roundTrip.costMs);
+  const ways = ready.filter(isRemoteRegion).map(({ roundTrip }) => roundTrip.costMs);
   if (ways.length === 0) {
-    return UNKNOWN_REACH;
+    return DEFAULT_REGION_AVAILABILITY;
   }
-  if (!ready.some(isWorthWaitingFor)) {
-    return { isNearLost: true, farPatienceMs: 0 };
+  if (!ready.some(isUsableLocally)) {
+    return { isLocalRegionLost: true, remoteDelayMs: 0 };
   }
   const sorted = ways.sort((left, right) => left - right);
-  return { isNearLost: false, farPatienceMs: sorted[Math.floor(sorted.length / 2)]! };
+  return { isLocalRegionLost: false, remoteDelayMs: sorted[Math.floor(sorted.length / 2)]! };
 }
 
-/** Whether a request has waited long enough for others than those near by. */
-export function hasWaitedForNear(
+/** Whether a request has waited long enough to use other regions. */
+export function hasWaitedForLocalRegion(
   { arrivedAtMs }: Pick<DispatchRequest, 'arrivedAtMs'>,
-  { farPatienceMs }: ServiceReach,
+  { remoteDelayMs }: RegionAvailability,
   nowMs: number,
 ): boolean {
-  return nowMs - arrivedAtMs >= farPatienceMs;
+  return nowMs - arrivedAtMs >= remoteDelayMs;
 }
--- a/src/gateway/dispatch/path-choice.ts
+++ b/src/gateway/dispatch/path-choice.ts
@@ -1,11 +1,11 @@
-/** Query: which back ends a request may be bound to by what is believed of the paths there. */
+/** Filters backends by whether the network path to them is suspect. */
 import type { KnownBackend } from './known-backend.js';
 
 /**
- * Those whose paths are trusted; for a request that may be repeated also those of which one request now and
- * then finds out whether the path is back. All of them where no path is trusted: none is worse than another.
+ * Returns the backends on trusted paths; for a repeatable request also suspect ones whose probe is
+ * due. Returns all of them where no path is trusted, since none is then preferable.
  */
-export function reachableOf(
+export function selectReachable(
   backends: readonly KnownBackend[],
   isRepeatable: boolean,
   nowMs: number,
@@ -15,11 +15,11 @@
     return backends;
   }
   return isRepeatable
-    ? backends.filter((known) => !known.path.isSuspect || isTrialDue(known, nowMs))
+    ? backends.filter((known) => !known.path.isSuspect || isProbeDue(known, nowMs))
     : trusted;
 }
 
-/** Requests at work there tell by their answers; only without any is one sent to find out. */
-function isTrialDue({ path, outstanding }: KnownBackend, nowMs: number): boolean {
-  return outstanding === 0 && path.isTrialDue(nowMs);
+/** Whether to probe a suspect path. Active requests there already act as probes. */
+function isProbeDue({ path, outstanding }: KnownBackend, nowMs: number): boolean {
+  return outstanding === 0 && path.isProbeDue(nowMs);
 }
--- a/src/gateway/dispatch/path-state.ts
+++ b/src/gateway/dispatch/path-state.ts
@@ -1,62 +1,67 @@
 /**
- * What a gateway believes of its own path to one back end, without I/O.
+ * State of a gateway's network path to one backend, without I/O.
  *
- * A path that is cut says nothing: what tells of it is that the other end, which speaks at short intervals,
- * is no longer heard. Anything that comes from the back end's machine ends the suspicion at once.
+ * A cut path causes no error; it shows only by missing messages from the agent, which sends them at
+ * short intervals. Any data from the backend's machine makes the path trusted again at once.
  */
 
-/** What made a path suspect. */
+/** Cause of a suspicion. */
 export type SuspicionCause =
-  /** The agent beside the back end fell silent. */
+  /** The connection to the backend's agent timed out. */
   | 'agent-silent'
-  /** A connection for a request hung while the agent was due to be heard. */
+  /** A connection for a request hung while a message of the agent was overdue. */
   | 'connection-hung'
-  /** Nothing was heard of the zone any more. */
+  /** No data was received from the backend's zone any more. */
   | 'zone-silent';
 
 /** A suspicion that has ended. */
 export interface EndedSuspicion {
-  /** For how long the path was suspect, in milliseconds. */
+  /** How long the path was suspect, in milliseconds. */
   readonly suspectMs: number;
 }
 
 /**
- * First and longest pause between two requests that try a suspect path, in milliseconds: each may cost a
- * caller the time in which a connection does not come up, and the agents' links look for the path as well.
+ * Shortest and longest interval between two requests that probe a suspect path, in milliseconds.
+ * Each may cost its caller a connect timeout, and the agent connections probe the path as well.
  */
-const FIRST_TRIAL_PAUSE_MS = 500;
-const MAX_TRIAL_PAUSE_MS = 4_000;
+const MIN_PROBE_INTERVAL_MS = 500;
+const MAX_PROBE_INTERVAL_MS = 4_000;
 
-/** A gateway's path to one back end. */
+/** Tracks a gateway's path to one backend. */
 export class PathState {
-  /** When the back end or its agent was heard last; undefined before. */
+  /** When data was last received from the backend or its agent; undefined before the first. */
   heardAtMs: number | undefined;
-  /** Whether the agent's link fell silent and nothing was heard since. */
+  /** Whether the agent connection timed out and no data was received since. */
   isAgentSilent: boolean = false;
-  /** Whether a connection for a request hung and nothing was heard since. */
+  /** Whether a connection for a request hung and no data was received since. */
   hasHungConnection = false;
   private suspicion: { readonly cause: SuspicionCause; readonly sinceMs: number } | undefined;
   private endedSuspicion: EndedSuspicion | undefined;
-  private trialPauseMs = FIRST_TRIAL_PAUSE_MS;
-  private nextTrialAtMs = 0;
-  private readonly watchers = new Set<() => void>();
+  private probeIntervalMs = MIN_PROBE_INTERVAL_MS;
+  private nextProbeAtMs = 0;
+  private readonly lostListeners = new Set<() => void>();
 
-  /** Whether it is believed to be cut. */
+  /** Whether the path is presumed cut. */
   get isSuspect(): boolean {
     return this.suspicion !== undefined;
   }
 
-  /** What made it suspect, and when; undefined while it is trusted. */
+  /** Cause and start of the suspicion; undefined while the path is trusted. */
   get suspected(): { readonly cause: SuspicionCause; readonly sinceMs: number } | undefined {
     return this.suspicion;
   }
 
-  /** Time since something was heard, in milliseconds; 0 where nothing ever was, so that it says nothing. */
+  /**
+   * Returns the time since data was last received, in milliseconds; 0 before the first, which
+   * allows no conclusion.
+   */
   silentMs(nowMs: number): number {
     return this.heardAtMs === undefined ? 0 : nowMs - this.heardAtMs;
   }
 
-  /** Something came from the back end's machine: a word of the agent, an answer, a refused connection. */
+  /**
+   * Records data from the backend's machine: an agent message, an answer, or a refused connection.
+   */
   noteHeard(nowMs: number): void {
     this.heardAtMs = nowMs;
     this.isAgentSilent = false;
@@ -64,12 +69,12 @@
     this.endSuspicion(nowMs);
   }
 
-  /** A connection for a request did not come up in time. */
+  /** Records a connect timeout of a request. */
   noteHungConnection(): void {
     this.hasHungConnection = true;
   }
 
-  /** The link to the agent fell silent. */
+  /** Records a timeout of the agent connection. */
   noteAgentSilent(): void {
     this.isAgentSilent = true;
   }
@@ -82,43 +87,45 @@
     }
   }
 
-  /** The suspicion that has ended since this was asked last. */
+  /** Returns the suspicion that ended since the last call, and clears it. */
   takeEndedSuspicion(): EndedSuspicion | undefined {
     const ended = this.endedSuspicion;
     this.endedSuspicion = undefined;
     return ended;
   }
 
-  /** The path is believed to be cut from now on; `tellLost` is to follow once all that are lost are marked. */
+  /** Marks the path as suspect. `tellLost` must follow once all lost paths are marked. */
   suspect(cause: SuspicionCause, nowMs: number): void {
     this.suspicion = { cause, sinceMs: nowMs };
-    this.trialPauseMs = FIRST_TRIAL_PAUSE_MS;
-    this.nextTrialAtMs = nowMs + FIRST_TRIAL_PAUSE_MS;
+    this.probeIntervalMs = MIN_PROBE_INTERVAL_MS;
+    this.nextProbeAtMs = nowMs + MIN_PROBE_INTERVAL_MS;
   }
 
-  /** Tells the requests at work there that the path is lost. */
+  /** Notifies the active requests on the path that it is lost. */
   tellLost(): void {
-    for (const onLost of [...this.watchers]) {
+    for (const onLost of [...this.lostListeners]) {
       onLost();
     }
   }
 
-  /** Whether a request that may be repeated is to try a suspect path. */
-  isTrialDue(nowMs: number): boolean {
-    return nowMs >= this.nextTrialAtMs;
+  /** Whether a repeatable request should probe the suspect path. */
+  isProbeDue(nowMs: number): boolean {
+    return nowMs >= this.nextProbeAtMs;
   }
 
-  /** A request is sent there. */
+  /** Records a request sent on the path. */
   noteSent(nowMs: number): void {
     if (this.isSuspect) {
-      this.trialPauseMs = Math.min(this.trialPauseMs * 2, MAX_TRIAL_PAUSE_MS);
-      this.nextTrialAtMs = nowMs + this.trialPauseMs;
+      this.probeIntervalMs = Math.min(this.probeIntervalMs * 2, MAX_PROBE_INTERVAL_MS);
+      this.nextProbeAtMs = nowMs + this.probeIntervalMs;
     }
   }
 
-  /** Calls back when the path becomes suspect, until the returned function is called. */
+  /**
+   * Registers a callback for when the path becomes suspect. Returns a function that unregisters it.
+   */
   watch(onLost: () => void): () => void {
-    this.watchers.add(onLost);
-    return () => void this.watchers.delete(onLost);
+    this.lostListeners.add(onLost);
+    return () => void this.lostListeners.delete(onLost);
   }
 }
--- a/src/gateway/dispatch/path-watch.ts
+++ b/src/gateway/dispatch/path-watch.ts
@@ -1,68 +1,81 @@
 /**
- * Decides which of a gateway's paths to back ends are believed to be cut, without I/O.
+ * Detects cut network paths from a gateway to backends, without I/O.
  *
- * The belief is this gateway's alone: others may reach what it does not. Silence counts only while other
- * machines are heard, since a gateway that stood still itself heard nobody.
+ * The result applies to this gateway only, since others may still reach the backend. Silence counts
+ * only while data from other machines arrives: a gateway whose own process was paused received
+ * nothing from any of them.
  */
 import type { BackendDirectory } from './backend-directory.js';
 import type { KnownBackend } from './known-backend.js';
 import type { EndedSuspicion, SuspicionCause } from './path-state.js';
 
-/** Who hears of changes. */
-export interface PathWatchPorts {
-  /** A path is believed to be cut. */
+/** Callbacks for state changes of paths. */
+export interface PathMonitorPorts {
+  /** Called when a path becomes suspect. */
   onSuspected(known: KnownBackend, cause: SuspicionCause, silentMs: number): void;
-  /** Something was heard on a path that was believed to be cut. */
+  /** Called when data was received on a suspect path. */
   onRegained(known: KnownBackend, ended: EndedSuspicion): void;
 }
 
 /**
- * Bounds of silence, in milliseconds. Agents look each 300 whether they have said anything in the last 300, so
- * that 600 may pass between two words on a sound path.
+ * Silence thresholds, in milliseconds. Each agent checks every 300 whether it has sent anything
+ * within the last 300, so up to 600 may pass between two messages on a healthy path.
  */
-export interface PathWatchOptions {
-  /** Silence after which the path to an agent that fell silent is suspect. Default 1,000: a word missed for certain. */
+export interface PathMonitorOptions {
+  /**
+   * Silence after which a path is suspect once its agent connection timed out. Default 1,000: at
+   * least one message is certainly missing.
+   */
   readonly silenceMs: number;
   /**
-   * Silence that is enough where an engine of the same zone has become suspect. Default 800: the longest
-   * pause on a sound path, and two ticks.
+   * Silence that suffices where an engine of the same zone has become suspect. Default 800: the
+   * longest interval on a healthy path, and two ticks.
    */
   readonly zoneSilenceMs: number;
-  /** Silence that is enough where a connection hung as well. Default 650: that pause, and its way. */
-  readonly hungSilenceMs: number;
-  /** Others count as heard up to this age of their last word. Default 650, as above. */
-  readonly othersHeardMs: number;
+  /**
+   * Silence that suffices where a connection has also hung. Default 650: that interval, and the
+   * network latency.
+   */
+  readonly hungConnectionSilenceMs: number;
+  /**
+   * Maximum silence of another path that counts as receiving data. Default 650, for the same
+   * reason.
+   */
+  readonly otherPathsMaxSilenceMs: number;
 }
 
-/** Defaults of silence. */
-export const DEFAULT_PATH_WATCH_OPTIONS: PathWatchOptions = {
+/** Default silence thresholds. */
+export const DEFAULT_PATH_MONITOR_OPTIONS: PathMonitorOptions = {
   silenceMs: 1_000,
   zoneSilenceMs: 800,
-  hungSilenceMs: 650,
-  othersHeardMs: 650,
+  hungConnectionSilenceMs: 650,
+  otherPathsMaxSilenceMs: 650,
 };
 
-/** Fewest engines of a zone whose silence speaks for the zone: a single one may be alone in its fault. */
-const MIN_ZONE_WITNESSES = 2;
+/**
+ * Minimum number of silent engines that makes a whole zone suspect: a single one may have a fault
+ * of its own.
+ */
+const MIN_ZONE_ENGINES = 2;
 
-/** What a gateway believes of its paths. */
+/** Monitors a gateway's paths to backends. */
 export class PathWatch {
   constructor(
     private readonly directory: BackendDirectory,
-    private readonly ports: PathWatchPorts,
-    private readonly options: PathWatchOptions = DEFAULT_PATH_WATCH_OPTIONS,
+    private readonly ports: PathMonitorPorts,
+    private readonly options: PathMonitorOptions = DEFAULT_PATH_MONITOR_OPTIONS,
   ) {}
 
-  /** Paths that are believed to be cut. */
+  /** Returns the number of suspect paths. */
   countSuspect(): number {
     return this.directory.list().filter(isSuspect).length;
   }
 
-  /** Looks at every path; to be called at short intervals. */
+  /** Evaluates every path. Must be called at short intervals. */
   review(nowMs: number): void {
     const all = this.directory.list().filter(({ isCurrent }) => isCurrent);
     const changedServices = new Set<string>();
-    this.noteRegained(all, changedServices, nowMs);
+    this.reportRecovered(all, changedServices, nowMs);
     const lost = this.findLost(all, nowMs);
     for (const [known, cause] of lost) {
       known.path.suspect(cause, nowMs);
@@ -72,13 +85,14 @@
     for (const service of changedServices) {
       this.directory.assign(service);
     }
-    // Only now: what moves on must not come to another path that is lost with this one.
+    // Notified only after all lost paths are marked, so that moved requests avoid every one of
+    // them.
     for (const known of lost.keys()) {
       known.path.tellLost();
     }
   }
 
-  private noteRegained(
+  private reportRecovered(
     all: readonly KnownBackend[],
     changedServices: Set<string>,
     nowMs: number,
@@ -86,8 +100,8 @@
     for (const known of all) {
       const { path, backend } = known;
       const { suspected } = path;
-      const isByZone = suspected !== undefined && !isExpectedToSpeak(known);
-      if (isByZone && isZoneHeardSince(all, backend.zone, suspected.sinceMs)) {
+      const isSuspectedByZone = suspected !== undefined && !isAgentTrafficExpected(known);
+      if (isSuspectedByZone && isZoneActiveSince(all, backend.zone, suspected.sinceMs)) {
         path.endSuspicion(nowMs);
       }
       const ended = path.takeEndedSuspicion();
@@ -105,12 +119,12 @@
     const lost = new Map<KnownBackend, SuspicionCause>();
     for (const known of all) {
       const cause = this.causeOf(known, nowMs);
-      if (cause !== undefined && this.areOthersHeard(all, known, nowMs)) {
+      if (cause !== undefined && this.areOtherPathsActive(all, known, nowMs)) {
         lost.set(known, cause);
       }
     }
     for (const zone of new Set([...lost.keys()].map(({ backend }) => backend.zone))) {
-      this.addSilentMates(
+      this.addSilentZoneMembers(
         all.filter(({ backend }) => backend.zone === zone),
         lost,
         nowMs,
@@ -128,34 +142,39 @@
     if (path.isAgentSilent && silentMs >= this.options.silenceMs) {
       return 'agent-silent';
     }
-    const hasHung = path.hasHungConnection && isExpectedToSpeak(known);
-    return hasHung && silentMs >= this.options.hungSilenceMs ? 'connection-hung' : undefined;
+    const hasHung = path.hasHungConnection && isAgentTrafficExpected(known);
+    return hasHung && silentMs >= this.options.hungConnectionSilenceMs
+      ? 'connection-hung'
+      : undefined;
   }
 
-  private areOthersHeard(all: readonly KnownBackend[], known: KnownBackend, nowMs: number) {
+  private areOtherPathsActive(all: readonly KnownBackend[], known: KnownBackend, nowMs: number) {
     return all.some(
       ({ path }) =>
         path !== known.path &&
         path.heardAtMs !== undefined &&
-        path.silentMs(nowMs) <= this.options.othersHeardMs,
+        path.silentMs(nowMs) <= this.options.otherPathsMaxSilenceMs,
     );
   }
 
-  /** The first engine of a zone that is found lost speaks for those of which nothing was heard since. */
-  private addSilentMates(
+  /**
+   * Once one engine of a zone is lost, adds those of the zone from which nothing was received
+   * either; if all with an agent are lost, adds those without an agent as well.
+   */
+  private addSilentZoneMembers(
     zone: readonly KnownBackend[],
     lost: Map<KnownBackend, SuspicionCause>,
     nowMs: number,
   ): void {
-    const witnesses = zone.filter(isExpectedToSpeak);
-    for (const known of witnesses) {
+    const withAgent = zone.filter(isAgentTrafficExpected);
+    for (const known of withAgent) {
       const isSilent = known.path.silentMs(nowMs) >= this.options.zoneSilenceMs;
       if (!known.path.isSuspect && !lost.has(known) && isSilent) {
         lost.set(known, 'zone-silent');
       }
     }
-    const isWholeZoneLost = witnesses.every((known) => known.path.isSuspect || lost.has(known));
-    if (witnesses.length < MIN_ZONE_WITNESSES || !isWholeZoneLost) {
+    const isWholeZoneLost = withAgent.every((known) => known.path.isSuspect || lost.has(known));
+    if (withAgent.length < MIN_ZONE_ENGINES || !isWholeZoneLost) {
       return;
     }
     for (const known of zone) {
@@ -166,8 +185,8 @@
   }
 }
 
-/** Whether its agent would be heard if the path stood. */
-function isExpectedToSpeak({ agent, path }: KnownBackend): boolean {
+/** Whether its agent would be sending messages if the path were up. */
+function isAgentTrafficExpected({ agent, path }: KnownBackend): boolean {
   return agent !== undefined || path.isAgentSilent;
 }
 
@@ -175,7 +194,7 @@
   return isCurrent && path.isSuspect;
 }
 
-function isZoneHeardSince(all: readonly KnownBackend[], zone: string, sinceMs: number): boolean {
+function isZoneActiveSince(all: readonly KnownBackend[], zone: string, sinceMs: number): boolean {
   return all.some(
     ({ backend, path }) => backend.zone === zone && (path.heardAtMs ?? -Infinity) > sinceMs,
   );
--- a/src/gateway/dispatch/service-queue.ts
+++ b/src/gateway/dispatch/service-queue.ts
@@ -1,26 +1,25 @@
-/** The requests that wait for one service, and how long each is expected to wait. */
+/** The queue of one service, with wait estimates. */
 import { isLate } from '../../slot-agent/waiting-order.js';
 import type { WaitingPlace } from '../../slot-agent/waiting-order.js';
 import type { DispatchRequest } from './dispatch-request.js';
 import { SlotSupply } from './slot-supply.js';
 import { WaitingQueue } from './waiting-queue.js';
 
-/** The queue of one service. */
+/** Queues the requests of one service and estimates their waits. */
 export class ServiceQueue {
   private readonly queue = new WaitingQueue();
   private readonly supply = new SlotSupply();
 
-  /** How many wait. */
   get length(): number {
     return this.queue.length;
   }
 
-  /** The requests, first in order first. */
+  /** Returns the requests in queue order. */
   inOrder(nowMs: number): readonly DispatchRequest[] {
     return this.queue.inOrder(nowMs);
   }
 
-  /** A request arrives; it may be bound at once. */
+  /** Adds a request, which may be bound at once. */
   add(request: DispatchRequest, nowMs: number): void {
     if (!isLate(request, nowMs)) {
       this.supply.noteArrival(request, nowMs);
@@ -28,48 +27,58 @@
     this.queue.add(request);
   }
 
-  /** Takes a request out; false if it does not wait. */
+  /** Removes a request; returns false if it is not queued. */
   remove(request: DispatchRequest): boolean {
     return this.queue.remove(request);
   }
 
-  /** No more slots than these can be had for now; undefined for no limit. */
+  /** Caps the estimated supply of slots; undefined for no cap. */
   limitSupply(slotsPerMs: number | undefined): void {
     this.supply.limitTo(slotsPerMs);
   }
 
-  /** A request of the service got a slot. */
+  /** Records that a request of the service got a slot. */
   noteBound(nowMs: number): void {
     this.supply.noteBound(nowMs);
   }
 
-  /** Of `before` slots of the service `after` are left, or came back. */
+  /** Scales the supply estimate after a change from `before` to `after` slots of the service. */
   scaleSupply(before: number, after: number): void {
-    // Without any there is no supply to reckon by; what was learned before then is kept.
+    // Without any slots there is no supply to scale; the previous estimate is retained.
     if (before > 0 && after > 0) {
       this.supply.scale(after / before);
     }
   }
 
-  /** What could be bound is bound; what is left waits. To be called after each change. */
+  /**
+   * Records whether requests are left waiting. Must be called after each change, once all possible
+   * requests are bound.
+   */
   settle(nowMs: number): void {
     this.supply.noteWaiting(this.queue.length > 0, nowMs);
   }
 
-  /** Expected time until a request is bound, in milliseconds; Infinity if others take every slot. */
+  /**
+   * Returns the expected time until a request is bound, in milliseconds; Infinity if more urgent
+   * requests take every slot.
+   */
   expectedWaitMs(request: WaitingPlace, nowMs: number): number {
     const ahead = this.queue.countBefore(request, nowMs);
     return this.supply.expectedWaitMs(request, ahead, isLate(request, nowMs), nowMs);
   }
 
-  /** The same for the time when it is late and stands behind those that are not. */
+  /**
+   * Like `expectedWaitMs`, for the time when the request is late and queued behind those that are
+   * not.
+   */
   expectedLateWaitMs(request: WaitingPlace, nowMs: number): number {
     return this.expectedWaitMs({ ...request, startByMs: -Infinity }, nowMs);
   }
 
   /**
-   * Expected time until the place that a refused request would get is free, in milliseconds. Where more
-   * urgent requests take every slot, the shortage is expected to last as long as it has lasted.
+   * Returns the expected time until a refused request could be served, in milliseconds. Where more
+   * urgent requests take every slot, the shortage is expected to last as long as it has lasted so
+   * far.
    */
   expectedRecoveryMs(request: WaitingPlace, nowMs: number): number {
     const waitMs = this.expectedLateWaitMs(request, nowMs);
--- a/src/gateway/dispatch/slot-demand.ts
+++ b/src/gateway/dispatch/slot-demand.ts
@@ -1,28 +1,34 @@
-/** Tells agents which requests wait that their engine would be right for. */
+/** Builds the demand messages that list waiting requests to slot agents. */
 import type { SlotDemand, WaitingRank } from '../../slot-agent/slot-messages.js';
-import { statedHomes } from './stated-homes.js';
+import { homeFieldsOf } from './stated-homes.js';
 import type { DispatchRequest } from './dispatch-request.js';
 import type { KnownBackend, SlotAgentLink } from './known-backend.js';
-import { isFar } from './near-first.js';
+import { isRemoteRegion } from './near-first.js';
 
-/** What a demand is made from. */
+/** Inputs of a demand. */
 export interface DemandInputs {
-  /** Requests that wait, in order. */
+  /** Waiting requests in queue order. */
   readonly waiting: readonly DispatchRequest[];
-  /** Whether a back end may be asked for slots at all: not in an evacuated zone, of a version on a small share or with a limit. */
+  /**
+   * Whether slots of the backend may be requested: its zone is not evacuated, its version has no
+   * limited rollout share, and it announces no rate limit and no rest period.
+   */
   isOpen(known: KnownBackend): boolean;
-  /** Whether the request could use a slot of the back end, which is open. */
-  fits(request: DispatchRequest, known: KnownBackend): boolean;
-  /** Whether agents in other regions are told of a request; those near by have the first chance. */
-  mayCross(request: DispatchRequest): boolean;
-  /** Most requests that a demand names. */
+  /** Whether the request could use a slot of the backend, which is open. */
+  canUseGrant(request: DispatchRequest, known: KnownBackend): boolean;
+  /** Whether the request may be listed to agents in other regions; local ones are asked first. */
+  mayUseRemoteRegion(request: DispatchRequest): boolean;
+  /** Maximum number of requests in a demand. */
   readonly maxLength: number;
 }
 
-/** Stands for a demand that the agent has to be told whatever it is; no demand's text is the same. */
-export const UNTOLD_DEMAND = '?';
+/**
+ * Value of `lastDemandKey` that differs from every demand's key, so that the next demand is always
+ * sent.
+ */
+export const UNSENT_DEMAND = '?';
 
-/** The demand to tell the agent of `known`; undefined if it was told the same before. */
+/** Returns the demand to send to the agent of `known`; undefined if it equals the last one sent. */
 export function nextDemand(
   known: KnownBackend,
   inputs: DemandInputs,
@@ -32,19 +38,22 @@
   if (agent === undefined || !known.isReady) {
     return undefined;
   }
-  // An agent that was told of requests before is told that none waits for it any more.
-  const first = inputs.isOpen(known) ? findDemand(known, inputs) : [];
-  const signature = signatureOf(first, agent);
-  if (agent.lastDemand === signature) {
+  // An empty demand replaces an earlier one that listed requests.
+  const listed = inputs.isOpen(known) ? findDemandedRequests(known, inputs) : [];
+  const demandKey = demandKeyOf(listed, agent);
+  if (agent.lastDemandKey === demandKey) {
     return undefined;
   }
-  agent.lastDemand = signature;
-  const ranks = first.map((request) => rankOf(request, agent, nowMs));
+  agent.lastDemandKey = demandKey;
+  const ranks = listed.map((request) => rankOf(request, agent, nowMs));
   return { kind: 'demand', ranks, grantsSeen: agent.grantsSeen };
 }
 
-/** Changes with whatever the agent has to be told anew, homes among it; empty where nothing waits. */
-function signatureOf(waiting: readonly DispatchRequest[], { homes }: SlotAgentLink): string {
+/**
+ * Returns a key that changes whenever the demand must be sent again, also after a change of homes;
+ * empty where no request waits.
+ */
+function demandKeyOf(waiting: readonly DispatchRequest[], { homes }: SlotAgentLink): string {
   const version = homes === undefined ? '' : `@${homes.configuration}`;
   return waiting
     .map(({ tier, arrivedAtMs, allowedRegions }) => {
@@ -61,22 +70,22 @@
     rankInTier,
     waitedMs: nowMs - arrivedAtMs,
     startInMs: startByMs - nowMs,
-    ...statedHomes(request, agent),
+    ...homeFieldsOf(request, agent),
   };
 }
 
-/** The first waiting requests that the engine would be right for once a slot is free. */
-function findDemand(
+/** Returns the first waiting requests that could use a slot of the engine. */
+function findDemandedRequests(
   known: KnownBackend,
-  { waiting, maxLength, fits, mayCross }: DemandInputs,
+  { waiting, maxLength, canUseGrant, mayUseRemoteRegion }: DemandInputs,
 ): DispatchRequest[] {
   const demand: DispatchRequest[] = [];
   for (const request of waiting) {
     if (demand.length >= maxLength) {
       break;
     }
-    const isOutOfReach = isFar(known) && !mayCross(request);
-    if (!isOutOfReach && fits(request, known)) {
+    const isRemoteTooEarly = isRemoteRegion(known) && !mayUseRemoteRegion(request);
+    if (!isRemoteTooEarly && canUseGrant(request, known)) {
       demand.push(request);
     }
   }
--- a/src/gateway/dispatch/slot-room.ts
+++ b/src/gateway/dispatch/slot-room.ts
@@ -1,37 +1,49 @@
-/** Query: whether a back end may be given another request. */
+/** Whether a backend has capacity for another request of this gateway. */
 import type { KnownBackend } from './known-backend.js';
 
-/** What decides how many requests a back end may be given. */
-export interface RoomInputs {
-  /** Whether the back end is an engine, which serves in batches. */
+/** Inputs of the capacity check. */
+export interface CapacityInputs {
+  /** Whether the backend is an engine, which processes requests in batches. */
   readonly isEngine: boolean;
-  /** Gateways that are known, this one included. */
+  /** Number of known gateways, including this one. */
   readonly gateways: number;
-  /** What all gateways together use of an engine while no agent tells, as a share of its slots. */
+  /**
+   * Slots of an engine that all gateways together use while its agent is not connected, as a
+   * fraction of its slots.
+   */
   readonly shareWithoutAgent: number;
-  /** This gateway's number in [0, 1) for the back end, by which the rest of a division is dealt out. */
-  readonly draw: number;
+  /**
+   * Hash in [0, 1) of this gateway and the backend, by which the remainder of the division is
+   * assigned.
+   */
+  readonly shareHash: number;
 }
 
-/** Whether `known` has room for another request of this gateway. */
-export function hasRoom(known: KnownBackend, inputs: RoomInputs, nowMs: number): boolean {
+/** Whether `known` has capacity for another request of this gateway. */
+export function hasFreeCapacity(
+  known: KnownBackend,
+  inputs: CapacityInputs,
+  nowMs: number,
+): boolean {
   if (known.availability === 'closed' || (known.isOnTrial && known.outstanding > 0)) {
     return false;
   }
   if (known.agent !== undefined || !inputs.isEngine) {
     return known.occupied < known.backend.slots;
   }
-  // Every gateway hears of a new engine at once: none rushes to it before its agent could be asked.
+  // All gateways discover a new engine at the same time: none sends to it before its agent had time
+  // to connect.
   return !known.isAgentAwaited(nowMs) && known.occupied < limitWithoutAgent(known, inputs);
 }
 
 /**
- * Requests that one gateway may have at an engine whose agent it does not hear. Where there are more
- * gateways than slots, most may have none: one each would be several times what the engine takes.
+ * Returns the maximum number of requests that one gateway may have at an engine whose agent is not
+ * connected. Where gateways outnumber slots, most get none: one each would be several times the
+ * engine's capacity.
  */
-function limitWithoutAgent({ backend }: KnownBackend, inputs: RoomInputs): number {
-  const { shareWithoutAgent, gateways, draw } = inputs;
-  const part = (backend.slots * shareWithoutAgent) / Math.max(1, gateways);
-  const rest = part - Math.floor(part);
-  return Math.min(backend.slots, Math.floor(part) + (draw < rest ? 1 : 0));
+function limitWithoutAgent({ backend }: KnownBackend, inputs: CapacityInputs): number {
+  const { shareWithoutAgent, gateways, shareHash } = inputs;
+  const share = (backend.slots * shareWithoutAgent) / Math.max(1, gateways);
+  const remainder = share - Math.floor(share);
+  return Math.min(backend.slots, Math.floor(share) + (shareHash < remainder ? 1 : 0));
 }
--- a/src/gateway/dispatch/slot-supply.ts
+++ b/src/gateway/dispatch/slot-supply.ts
@@ -1,60 +1,60 @@
 /**
- * Learns how fast a service gives slots to this gateway while requests wait, and how fast requests
- * arrive; from both follows how long a place in the order has to wait.
+ * Estimates the rate at which a service supplies slots to this gateway while requests wait, and the
+ * rate at which requests arrive; both determine the expected wait for a queue position.
  */
 import { rankOf } from '../../slot-agent/waiting-order.js';
 import type { WaitingPlace } from '../../slot-agent/waiting-order.js';
 import { DecayedSum } from '../../decayed-sum.js';
 
 /**
- * Memory of the rates, in milliseconds: long enough for some ten requests of a small gateway, short
- * enough to see a burst end.
+ * Decay time of the rates, in milliseconds: long enough for about ten requests of a small gateway,
+ * short enough to detect the end of a burst.
  */
-const MEMORY_MS = 3_000;
+const RATE_DECAY_MS = 3_000;
 /**
- * Requests wait for at least this time before the rate at which they are served says anything, in
- * milliseconds: some times the pause between two freed slots of a busy service.
+ * Minimum time with waiting requests before the supply rate is used, in milliseconds: several times
+ * the interval between two freed slots of a busy service.
  */
 const MIN_BUSY_MS = 50;
 /**
- * What is left of the supply beside more urgent arrivals counts as nothing below this share of it: both rates
- * come from some ten requests, so a smaller rest cannot be told from none.
+ * Fraction of the supply below which the rest left by more urgent arrivals counts as none. Both
+ * rates are based on about ten requests, so a smaller rest cannot be distinguished from zero.
  */
 const MIN_SPARE_SHARE = 0.05;
 
-/** Requests of one rank that could still be answered in time when they came. */
+/** Arrivals of one rank that could still be answered in time. */
 interface RankArrivals {
   readonly tier: number;
   readonly rankInTier: number;
   readonly count: DecayedSum;
 }
 
-/** Supply of slots of one service, and the demand for them. */
+/** Estimates the supply of slots of one service and the demand for them. */
 export class SlotSupply {
-  private readonly allBound = new DecayedSum(MEMORY_MS);
-  private readonly boundWhileBusy = new DecayedSum(MEMORY_MS);
-  private readonly busyMs = new DecayedSum(MEMORY_MS);
+  private readonly allBound = new DecayedSum(RATE_DECAY_MS);
+  private readonly boundWhileBusy = new DecayedSum(RATE_DECAY_MS);
+  private readonly busyMs = new DecayedSum(RATE_DECAY_MS);
   private readonly arrivals: RankArrivals[] = [];
   private busySinceMs: number | undefined;
   private countedToMs = 0;
-  private mostPerMs: number | undefined;
+  private maxPerMs: number | undefined;
 
-  /** A request that can be in time arrives. */
+  /** Records the arrival of a request that can be answered in time. */
   noteArrival({ tier, rankInTier }: WaitingPlace, nowMs: number): void {
     let rank = this.arrivals.find((one) => one.tier === tier && one.rankInTier === rankInTier);
     if (rank === undefined) {
-      rank = { tier, rankInTier, count: new DecayedSum(MEMORY_MS) };
+      rank = { tier, rankInTier, count: new DecayedSum(RATE_DECAY_MS) };
       this.arrivals.push(rank);
     }
     rank.count.add(1, nowMs);
   }
 
-  /** No more can be had for now, whatever was seen before; undefined for no limit. */
+  /** Caps the supply rate regardless of the estimate; undefined for no cap. */
   limitTo(slotsPerMs: number | undefined): void {
-    this.mostPerMs = slotsPerMs;
+    this.maxPerMs = slotsPerMs;
   }
 
-  /** Requests begin to wait, or none does any more. */
+  /** Records whether requests are waiting. */
   noteWaiting(isWaiting: boolean, nowMs: number): void {
     this.countBusyTime(nowMs);
     if (!isWaiting) {
@@ -65,7 +65,7 @@
     }
   }
 
-  /** A request is bound. */
+  /** Records that a request was bound. */
   noteBound(nowMs: number): void {
     this.allBound.add(1, nowMs);
     if (this.busySinceMs !== undefined) {
@@ -74,24 +74,25 @@
     }
   }
 
-  /** The service has `factor` times the slots that it had: what was learned of its rate is scaled at once. */
+  /** Scales the learned rate at once after the number of slots changed by `factor`. */
   scale(factor: number): void {
     this.allBound.scale(factor);
     this.boundWhileBusy.scale(factor);
   }
 
-  /** For how long requests have been waiting without a break, in milliseconds. */
+  /** Returns for how long requests have been waiting without interruption, in milliseconds. */
   busyForMs(nowMs: number): number {
     return this.busySinceMs === undefined ? 0 : nowMs - this.busySinceMs;
   }
 
   /**
-   * Slots in a millisecond while requests wait; undefined while nothing was learned. One slot more than
-   * were seen is assumed, so that a short wait without any says little, and never less than was used of late.
+   * Returns the slots per millisecond while requests wait; undefined before there is an estimate.
+   * Counts one slot more than were observed, so that a short wait without any has little effect,
+   * and never returns less than the recent rate of use.
    */
   slotsPerMs(nowMs: number): number | undefined {
     const learned = this.learnedPerMs(nowMs);
-    return this.mostPerMs === undefined ? learned : Math.min(learned ?? Infinity, this.mostPerMs);
+    return this.maxPerMs === undefined ? learned : Math.min(learned ?? Infinity, this.maxPerMs);
   }
 
   private learnedPerMs(nowMs: number): number | undefined {
@@ -101,21 +102,21 @@
       return undefined;
     }
     const whileBusy = (this.boundWhileBusy.at(nowMs) + 1) / busyMs;
-    return Math.max(whileBusy, this.allBound.at(nowMs) / MEMORY_MS);
+    return Math.max(whileBusy, this.allBound.at(nowMs) / RATE_DECAY_MS);
   }
 
-  /** Requests in a millisecond that go before `place`, now and as they come. */
+  /** Returns the rate per millisecond of arrivals that are ordered before `place`. */
   arrivalsPerMsBefore(place: WaitingPlace, isLate: boolean, nowMs: number): number {
     const rank = rankOf(place, isLate);
     const before = this.arrivals.filter(
       ({ tier, rankInTier }) => tier < place.tier || (tier === place.tier && rankInTier < rank),
     );
-    return before.reduce((sum, { count }) => sum + count.at(nowMs), 0) / MEMORY_MS;
+    return before.reduce((sum, { count }) => sum + count.at(nowMs), 0) / RATE_DECAY_MS;
   }
 
   /**
-   * Expected wait of a place behind `ahead` others, in milliseconds; 0 while nothing was learned,
-   * Infinity when what goes before it takes every slot.
+   * Returns the expected wait of a place behind `ahead` others, in milliseconds; 0 before there is
+   * an estimate, Infinity when requests ordered before it take every slot.
    */
   expectedWaitMs(place: WaitingPlace, ahead: number, isLate: boolean, nowMs: number): number {
     const slotsPerMs = this.slotsPerMs(nowMs);
--- a/src/gateway/dispatch/stated-homes.ts
+++ b/src/gateway/dispatch/stated-homes.ts
@@ -1,20 +1,22 @@
-/** Query: what an agent is told of where a request may be served. */
+/** The home fields of a request in messages to slot agents. */
 import type { StatedHomes } from '../../slot-agent/slot-messages.js';
 import type { DispatchRequest } from './dispatch-request.js';
 import type { SlotAgentLink } from './known-backend.js';
 
 /**
- * The homes of a request as a message states them; empty, and free of cost, where there are none.
+ * Returns the allowed regions and home owner of a request as message fields; empty where the
+ * request has none.
  *
- * An agent that knows of homes is told by whose names it finds them, also by a gateway that knows of none.
+ * The owner is sent to agents that report homes, also by a gateway whose own configuration has
+ * none, so that the agent can look up the regions itself.
  */
-export function statedHomes(
+export function homeFieldsOf(
   { allowedRegions, homeOwner }: DispatchRequest,
   agent: SlotAgentLink,
 ): StatedHomes {
-  const isOwnerTold = homeOwner !== undefined && agent.homes !== undefined;
+  const includesOwner = homeOwner !== undefined && agent.homes !== undefined;
   return {
     ...(allowedRegions === undefined ? {} : { allowedRegions: [...allowedRegions] }),
-    ...(isOwnerTold ? { homeOwner } : {}),
+    ...(includesOwner ? { homeOwner } : {}),
   };
 }
--- a/src/gateway/dispatch/usual-speed.ts
+++ b/src/gateway/dispatch/usual-speed.ts
@@ -1,42 +1,42 @@
-/** Query: what is assumed of a back end of which nothing was learned: the mean of those of its service. */
+/** Mean speed of a service's backends, assumed for a backend without samples of its own. */
 import type { PrefillSpeed } from '../../slot-agent/slot-messages.js';
 import type { KnownBackend } from './known-backend.js';
 
-/** What is assumed of a back end of which nothing was learned. */
-export interface UsualSpeed {
+/** Speed assumed for a backend without samples of its own. */
+export interface MeanSpeed {
   readonly msPerUnit: number;
-  /** Undefined while nothing was learned of any. */
+  /** Undefined before the first sample of any backend. */
   readonly prefill: PrefillSpeed | undefined;
 }
 
 /**
- * Time for which a mean is used again, in milliseconds. Reckoned anew for each waiting request the means took
- * a fifth of the time of a gateway in a burst (samples of 20 gateways before 30 engines, collection of garbage
- * left out), and learned speeds move by a few parts in a hundred with an answer.
+ * Lifetime of a cached mean, in milliseconds. Recomputing the means for each waiting request took a
+ * fifth of a gateway's time in a burst (20 gateways and 30 engines, garbage collection excluded),
+ * while learned speeds change by a few percent per answer.
  */
-const KEEP_MS = 100;
+const CACHE_MS = 100;
 
-/** The means of the services, each kept for a while. */
-export class UsualSpeeds {
+/** Caches the mean speed of each service. */
+export class MeanSpeedCache {
   private readonly byService = new Map<
     string,
-    { readonly usual: UsualSpeed; readonly atMs: number }
+    { readonly usual: MeanSpeed; readonly atMs: number }
   >();
 
-  /** The mean of what was learned of `backends`, which are those of `service`. */
-  of(service: string, backends: readonly KnownBackend[], nowMs: number): UsualSpeed {
-    const kept = this.byService.get(service);
-    if (kept !== undefined && nowMs - kept.atMs < KEEP_MS) {
-      return kept.usual;
+  /** Returns the mean speed of `backends`, which are those of `service`. */
+  of(service: string, backends: readonly KnownBackend[], nowMs: number): MeanSpeed {
+    const cached = this.byService.get(service);
+    if (cached !== undefined && nowMs - cached.atMs < CACHE_MS) {
+      return cached.usual;
     }
-    const usual = usualSpeed(backends);
+    const usual = computeMeanSpeed(backends);
     this.byService.set(service, { usual, atMs: nowMs });
     return usual;
   }
 }
 
-/** The means of what was learned of `backends`. */
-export function usualSpeed(backends: readonly KnownBackend[]): UsualSpeed {
+/** Returns the mean of the learned speeds of `backends`. */
+export function computeMeanSpeed(backends: readonly KnownBackend[]): MeanSpeed {
   const whole = new Mean();
   const base = new Mean();
   const perToken = new Mean();
@@ -57,7 +57,6 @@
   };
 }
 
-/** A mean of the values that were added. */
 class Mean {
   private sum = 0;
   private count = 0;
--- a/src/gateway/dispatch/waiting-queue.ts
+++ b/src/gateway/dispatch/waiting-queue.ts
@@ -1,23 +1,21 @@
-/** The requests of one service that wait for a back end. */
+/** The waiting requests of one service, in order. */
 import { compareWaiting } from '../../slot-agent/waiting-order.js';
 import type { WaitingPlace } from '../../slot-agent/waiting-order.js';
 import type { DispatchRequest } from './dispatch-request.js';
 
-/** Requests that wait for one service. */
+/** Queues the waiting requests of one service. */
 export class WaitingQueue {
   private requests: DispatchRequest[] = [];
 
-  /** How many wait. */
   get length(): number {
     return this.requests.length;
   }
 
-  /** Adds a request. */
   add(request: DispatchRequest): void {
     this.requests.push(request);
   }
 
-  /** Takes a request out; false if it does not wait. */
+  /** Removes a request; returns false if it is not queued. */
   remove(request: DispatchRequest): boolean {
     const index = this.requests.indexOf(request);
     if (index < 0) {
@@ -27,14 +25,14 @@
     return true;
   }
 
-  /** The requests, first in order first. */
+  /** Returns the requests in queue order. */
   inOrder(nowMs: number): readonly DispatchRequest[] {
-    // What was sorted last stays sorted but for the requests that became late or came since.
+    // The array is nearly sorted: only new requests and those that became late are out of place.
     this.requests.sort((left, right) => compareWaiting(left, right, nowMs));
     return [...this.requests];
   }
 
-  /** Requests that go before `place`. */
+  /** Returns the number of requests ordered before `place`. */
   countBefore(place: WaitingPlace, nowMs: number): number {
     return this.requests.filter((other) => compareWaiting(other, place, nowMs) < 0).length;
   }
--- a/test/dispatcher.test.ts
+++ b/test/dispatcher.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { pairShare } from '../src/pair-share.js';
 import { KnownBackend } from '../src/gateway/dispatch/known-backend.js';
-import { hasRoom } from '../src/gateway/dispatch/slot-room.js';
+import { hasFreeCapacity } from '../src/gateway/dispatch/slot-room.js';
 import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
 
 const SECOND = routeOf({ kind: 'unsafe', priority: 2, targetLatencyMs: 1_000 });
@@ -11,8 +11,8 @@
   return world.attempts.map(({ backend }) => backend.id);
 }
 
-/** A gateway before one engine whose agent is connected and tells that every slot is taken. */
-function worldWithFullEngine(): GatewayWorld {
+/** Creates a gateway with one engine whose connected agent reports that every slot is occupied. */
+function createWorldWithFullEngine(): GatewayWorld {
   const world = new GatewayWorld(backendOf('a'));
   world.engines = true;
   world.dispatcher.connectAgent('a', 0);
@@ -31,7 +31,7 @@
   return world;
 }
 
-test('requests go to the back end that does the work soonest', (t) => {
+test('requests go to the backend with the fastest expected answer', (t) => {
   const world = new GatewayWorld(backendOf('slow'), backendOf('fast'));
   world.dispatcher.learnSpeed('slow', 1, 50);
   world.dispatcher.learnSpeed('fast', 1, 10);
@@ -40,7 +40,7 @@
   t.deepEqual(usedBackends(world), ['fast', 'fast']);
 });
 
-test('a back end that drains or left the list gets nothing while others are ready', (t) => {
+test('a draining or unlisted backend gets no requests while others are ready', (t) => {
   const world = new GatewayWorld(backendOf('a'), backendOf('b'), backendOf('c'));
   world.dispatcher.updateBackend('a', backendOf('a', { state: 'draining' }), 0);
   world.dispatcher.updateBackend('b', undefined, 0);
@@ -49,7 +49,7 @@
   t.deepEqual(usedBackends(world), ['c', 'c']);
 });
 
-test('when every back end left the list at once they are used for a moment longer', async (t) => {
+test('when every backend is unlisted at once they stay usable for a grace period', async (t) => {
   const world = new GatewayWorld(backendOf('a'));
   world.dispatcher.updateBackend('a', undefined, 0);
   world.request();
@@ -59,14 +59,14 @@
   t.is(world.attempts.length, 1);
 });
 
-test('a draining back end that left the list is never used', (t) => {
+test('an unlisted backend that was draining is never used', (t) => {
   const world = new GatewayWorld(backendOf('a', { state: 'draining' }));
   world.dispatcher.updateBackend('a', undefined, 0);
   world.request();
   t.is(world.attempts.length, 0);
 });
 
-test('a freed slot goes to the highest tier that waits', (t) => {
+test('a freed slot goes to the waiting request of the highest tier', (t) => {
   const world = new GatewayWorld(backendOf('a', { slots: 1 }));
   world.request({ requestId: 'running' });
   world.request({ route: SECOND, path: '/second' });
@@ -75,8 +75,8 @@
   t.is(world.attempts[1]!.path, '/first');
 });
 
-test('a full engine is asked for a slot, and its grant serves the first that waits by then', (t) => {
-  const world = worldWithFullEngine();
+test('the grant of a full engine serves the request that is first in the queue by then', (t) => {
+  const world = createWorldWithFullEngine();
   world.request({ route: SECOND, path: '/second' });
   t.deepEqual(world.toAgents.at(-1)?.[1].kind, 'demand');
   world.request({ route: FIRST, path: '/first' });
@@ -87,13 +87,13 @@
   );
 });
 
-test('a grant that nobody waits for any more is given back', (t) => {
-  const world = worldWithFullEngine();
+test('a grant without a waiting request is returned', (t) => {
+  const world = createWorldWithFullEngine();
   world.dispatcher.receiveFromAgent('a', { kind: 'granted' }, 0);
   t.deepEqual(world.toAgents.at(-1), ['a', { kind: 'grant-returned' }]);
 });
 
-test('slots taken since an older count was sent are not taken twice', (t) => {
+test('slots taken after an agent counted its occupied slots are not taken twice', (t) => {
   const world = new GatewayWorld(backendOf('a'));
   world.engines = true;
   world.dispatcher.connectAgent('a', 0);
@@ -115,7 +115,7 @@
   t.is(world.attempts.length, 2);
 });
 
-test('without its agent an engine is given only a share of its slots by each gateway', async (t) => {
+test('without its agent an engine gets a share of its slots from each gateway', async (t) => {
   const world = new GatewayWorld(backendOf('a', { slots: 8 }));
   world.engines = true;
   world.gateways = 2;
@@ -127,17 +127,17 @@
   t.is(world.attempts.length, 5);
 });
 
-test('many gateways without an agent do not each send one request to an engine', (t) => {
+test('when gateways outnumber the slots of an engine without an agent, not all send', (t) => {
   const inputs = { isEngine: true, gateways: 27, shareWithoutAgent: 1.25 };
   const engine = new KnownBackend(backendOf('a', { slots: 10 }), 0);
   const names = Array.from({ length: 27 }, (_unused, index) => `gateway-${index}`);
   const allowed = names.filter((name) =>
-    hasRoom(engine, { ...inputs, draw: pairShare(name, 'a') }, 1_000),
+    hasFreeCapacity(engine, { ...inputs, shareHash: pairShare(name, 'a') }, 1_000),
   );
   t.true(allowed.length >= 8 && allowed.length <= 17, `${allowed.length}`);
 });
 
-test('a new engine gets nothing until its agent is connected, refuses, or had its time', (t) => {
+test('a new engine gets no requests until its agent connects, refuses or times out', (t) => {
   const world = new GatewayWorld(backendOf('a'), backendOf('b'), backendOf('c'));
   world.engines = true;
   for (let index = 0; index < 6; index += 1) {
@@ -153,7 +153,7 @@
   t.true(usedBackends(world).includes('c'));
 });
 
-test('a back end that keeps failing is left alone, but never the last one', (t) => {
+test('a backend that keeps failing gets no requests, unless all backends fail', (t) => {
   const world = new GatewayWorld(backendOf('bad', { slots: 9 }), backendOf('good', { slots: 9 }));
   for (let index = 0; index < 5; index += 1) {
     world.dispatcher.finish('bad', 'failed', 0);
@@ -177,7 +177,7 @@
   t.deepEqual(usedBackends(world), ['new', 'new']);
 });
 
-test('an incarnation that another answered for is never used again, however late its announcement', (t) => {
+test('an incarnation replaced at its address is not used, even if announced later', (t) => {
   const world = new GatewayWorld(
     backendOf('alive', { address: '10.0.0.1:80', revision: 5 }),
     backendOf('ended', { address: '10.0.0.1:80', revision: 8 }),
@@ -190,7 +190,7 @@
   t.deepEqual(usedBackends(world), ['ended', 'alive', 'alive']);
 });
 
-test('a prompt goes where others learned that it is read fast', (t) => {
+test('a prompt goes to the engine with the higher prompt speed learned by other gateways', (t) => {
   const world = new GatewayWorld(backendOf('slow'), backendOf('fast'));
   world.engines = true;
   for (const [id, msPerToken] of [
@@ -209,7 +209,7 @@
   t.deepEqual(usedBackends(world), ['fast']);
 });
 
-test('a long prompt is not sent where it would hold up the streams of others', async (t) => {
+test('a long prompt is not sent where it would pause other streams for too long', async (t) => {
   const world = new GatewayWorld(backendOf('a'));
   world.engines = true;
   const route = routeOf({ kind: 'stream', targetLatencyMs: 900, maxPauseMs: 200 });
@@ -228,7 +228,7 @@
   );
 });
 
-test('time in which nobody waited does not count as time to wait', async (t) => {
+test('time without waiting requests does not count towards the expected wait', async (t) => {
   const world = new GatewayWorld(backendOf('a', { slots: 1 }));
   for (let round = 0; round < 12; round += 1) {
     world.request({ route: SECOND });
@@ -259,30 +259,30 @@
   t.true(world.dispatcher.forecastOf('s').expectedWaitMs(waiting, world.clock.now()) < 20);
 });
 
-test('a request goes where none fails lately, though another engine is faster', (t) => {
+test('a request goes to an engine without recent failures, even if another is faster', (t) => {
   const world = new GatewayWorld(backendOf('fast'), backendOf('slow'));
   const state = { kind: 'state' as const, occupied: 0, messagesSeen: 0 };
   const speedOf = (msPerToken: number) => ({ prefill: { baseMs: 0, msPerToken }, msPerUnit: 0.01 });
   for (const id of ['fast', 'slow']) {
     world.dispatcher.connectAgent(id, 0);
   }
-  const tell = (id: string, msPerToken: number, failureShare: number) =>
+  const reportState = (id: string, msPerToken: number, failureShare: number) =>
     world.dispatcher.receiveFromAgent(
       id,
       { ...state, speed: speedOf(msPerToken), failureShare, availability: 'open' },
       0,
     );
   const route = routeOf({ kind: 'stream', targetLatencyMs: 1_000 });
-  tell('fast', 0.01, 0.05);
-  tell('slow', 0.1, 0);
+  reportState('fast', 0.01, 0.05);
+  reportState('slow', 0.1, 0);
   world.request({ route, promptTokens: 1_000 });
   t.is(world.attempts.at(-1)!.backend.id, 'fast');
-  tell('fast', 0.01, 0.3);
+  reportState('fast', 0.01, 0.3);
   world.request({ route, promptTokens: 1_000 });
   t.is(world.attempts.at(-1)!.backend.id, 'slow');
 });
 
-test('what failed here is remembered where no agent tells, and forgotten after some seconds', async (t) => {
+test('failures of a backend without an agent lower its rank and decay in seconds', async (t) => {
   const world = new GatewayWorld(backendOf('a', { slots: 8 }), backendOf('b', { slots: 8 }));
   const failing = world.directory.find('a')!;
   for (let index = 0; index < 4; index += 1) {
@@ -295,7 +295,7 @@
   t.true(failing.failureShare(12_000) < 0.05);
 });
 
-test('an engine whose agent says that it is gone gets nothing until it is back', (t) => {
+test('an engine that its agent reports as closed gets no requests until it is open again', (t) => {
   const world = new GatewayWorld(backendOf('a'));
   world.engines = true;
   world.dispatcher.connectAgent('a', 0);
@@ -313,7 +313,7 @@
   t.is(world.attempts.length, 1);
 });
 
-test('an engine on trial is tried by a request that may be run again elsewhere', (t) => {
+test('an engine on trial is probed with a repeatable request', (t) => {
   const world = new GatewayWorld(backendOf('failing'), backendOf('busy', { slots: 1 }));
   world.engines = true;
   const state = {
@@ -335,8 +335,8 @@
   t.is(world.attempts[0]!.path, '/repeatable');
 });
 
-test('a grant of an engine on trial goes to a repeatable request, or to the last in order', (t) => {
-  const world = worldWithFullEngine();
+test('a grant of an engine on trial goes to a repeatable request, else to the last', (t) => {
+  const world = createWorldWithFullEngine();
   const state = { kind: 'state', failureShare: 0, messagesSeen: 0, speed: {} } as const;
   world.dispatcher.receiveFromAgent('a', { ...state, occupied: 2, availability: 'trial' }, 0);
   world.request({ route: FIRST, path: '/first' });
--- a/test/engine-subset.test.ts
+++ b/test/engine-subset.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { chooseEngines } from '../src/gateway/dispatch/engine-subset.js';
+import { selectSubset } from '../src/gateway/dispatch/engine-subset.js';
 import type { SubsetEngine } from '../src/gateway/dispatch/engine-subset.js';
 import { pairShare } from '../src/pair-share.js';
 import { Places } from '../src/routing/places.js';
@@ -14,22 +14,22 @@
 
 const OWNER = { name: 'g1', zone: 'z0' };
 
-test('a small deployment is worked with whole', (t) => {
-  t.is(chooseEngines(enginesOf(3, 5), OWNER).size, 15);
+test('a small deployment is selected as a whole', (t) => {
+  t.is(selectSubset(enginesOf(3, 5), OWNER).size, 15);
 });
 
-test('a gateway works with the engines of its zone and two of each other one', (t) => {
+test('the subset holds the engines of the own zone and two of each other zone', (t) => {
   const engines = enginesOf(4, 20);
-  const chosen = engines.filter(({ id }) => chooseEngines(engines, OWNER).has(id));
+  const chosen = engines.filter(({ id }) => selectSubset(engines, OWNER).has(id));
   t.is(chosen.filter(({ zone }) => zone === 'z0').length, 20);
   t.is(chosen.length, 20 + 3 * 2);
 });
 
-test('a large zone is worked with in part, and each engine by about as many gateways', (t) => {
+test('of a large zone only a part is selected, evenly spread over the gateways', (t) => {
   const engines = enginesOf(1, 196);
   const counts = new Map<string, number>();
   for (let index = 0; index < 37; index += 1) {
-    const chosen = chooseEngines(engines, { name: `g${index}`, zone: 'z0' });
+    const chosen = selectSubset(engines, { name: `g${index}`, zone: 'z0' });
     t.is(chosen.size, 32);
     for (const id of chosen) {
       counts.set(id, (counts.get(id) ?? 0) + 1);
@@ -39,22 +39,22 @@
   t.true(Math.max(...counts.values()) <= 16);
 });
 
-test('a gateway whose zone has no engine works with enough of the others', (t) => {
-  t.is(chooseEngines(enginesOf(4, 20), { name: 'g', zone: 'elsewhere' }).size, 16);
+test('a gateway without engines in its zone selects the minimum number from other zones', (t) => {
+  t.is(selectSubset(enginesOf(4, 20), { name: 'g', zone: 'elsewhere' }).size, 16);
 });
 
-test('an engine that leaves changes one choice', (t) => {
+test('removing an engine changes one selection', (t) => {
   const engines = enginesOf(1, 100);
-  const before = chooseEngines(engines, OWNER);
-  const [left] = before;
-  const after = chooseEngines(
-    engines.filter(({ id }) => id !== left),
+  const before = selectSubset(engines, OWNER);
+  const [removed] = before;
+  const after = selectSubset(
+    engines.filter(({ id }) => id !== removed),
     OWNER,
   );
   t.is([...after].filter((id) => !before.has(id)).length, 1);
 });
 
-test('requests keep to the engines that the gateway works with, until none of these is left', async (t) => {
+test('requests go to the engines of the subset until none of them is left', async (t) => {
   const backends = Array.from({ length: 40 }, (_unused, index) =>
     backendOf(`b${index}`, { zone: index < 20 ? 'z' : 'far', slots: 1 }),
   );
@@ -77,7 +77,7 @@
   t.false(assigned.has(world.attempts.at(-1)!.backend.id));
 });
 
-/** Six zones in three regions, as z0 and z3 in one, z1 and z4, z2 and z5. */
+/** Six zones in three regions: z0 and z3, z1 and z4, z2 and z5. */
 const REGIONS = new Places(
   new Map(Array.from({ length: 6 }, (_unused, zone) => [`z${zone}`, `r${zone % 3}`])),
 );
@@ -88,10 +88,10 @@
     .map((engine) => REGIONS.distance(zone, engine.zone));
 }
 
-test('over several regions a gateway works with its own one, and a few of each other one', (t) => {
+test('over several regions the subset holds the own region and a few of each other', (t) => {
   const engines = enginesOf(6, 6);
   const distances = distancesOf(
-    chooseEngines(engines, { ...OWNER, places: REGIONS }),
+    selectSubset(engines, { ...OWNER, places: REGIONS }),
     engines,
     OWNER.zone,
   );
@@ -100,13 +100,13 @@
   t.is(distances.filter((distance) => distance === 'other-region').length, 4);
 });
 
-test('over several regions each engine is worked with by enough gateways', (t) => {
+test('over several regions each engine is in the subset of enough gateways', (t) => {
   const engines = enginesOf(6, 6);
   const near = new Map<string, number>();
   const far = new Map<string, number>();
   for (let index = 0; index < 29; index += 1) {
     const zone = `z${index % 6}`;
-    const chosen = chooseEngines(engines, { name: `g${index}`, zone, places: REGIONS });
+    const chosen = selectSubset(engines, { name: `g${index}`, zone, places: REGIONS });
     for (const engine of engines.filter(({ id }) => chosen.has(id))) {
       const isFar = REGIONS.distance(zone, engine.zone) === 'other-region';
       const counts = isFar ? far : near;
@@ -117,12 +117,12 @@
   t.true(engines.filter(({ id }) => far.has(id)).length >= 30);
 });
 
-test('a gateway whose region has no engine works with enough of the others', (t) => {
+test('a gateway without engines in its region selects the minimum number from others', (t) => {
   const engines = enginesOf(6, 6).filter(({ zone }) => REGIONS.regionOf(zone) !== 'r0');
-  t.is(chooseEngines(engines, { ...OWNER, places: REGIONS }).size, 16);
+  t.is(selectSubset(engines, { ...OWNER, places: REGIONS }).size, 16);
 });
 
-test('where all zones are of one region, or regions are not named, the choice is by zones and hash alone', (t) => {
+test('with one region, or without named regions, the selection is by zone and hash alone', (t) => {
   const engines = enginesOf(5, 20);
   const oneRegion = new Places(new Map(engines.map(({ zone }) => [zone, 'r'])));
   for (const places of [undefined, new Places(new Map()), oneRegion]) {
@@ -142,10 +142,7 @@
         ...expected.filter((engine) => !chosen.includes(engine)).slice(0, 16 - chosen.length),
       ];
       const wanted = chosen.length < 16 ? filled : chosen;
-      t.deepEqual(
-        new Set(wanted.map(({ id }) => id)),
-        chooseEngines(engines, { ...owner, places }),
-      );
+      t.deepEqual(new Set(wanted.map(({ id }) => id)), selectSubset(engines, { ...owner, places }));
     }
   }
 });
--- a/test/prefill-estimate.test.ts
+++ b/test/prefill-estimate.test.ts
@@ -1,8 +1,11 @@
 import test from 'ava';
-import { expectedFirstMs, PrefillEstimate } from '../src/gateway/dispatch/prefill-estimate.js';
+import { predictFirstEventMs, PrefillEstimate } from '../src/gateway/dispatch/prefill-estimate.js';
 import { SeededRandom } from '../src/random.js';
 
-/** Samples of prompts of 100 to 6,000 tokens; `queueMs` is the most that other work adds. */
+/**
+ * Returns an estimate from samples of prompts of 100 to 6,000 tokens; `queueMs` is the maximum time
+ * that other load adds.
+ */
 function learned(baseMs: number, msPerToken: number, queueMs: number): PrefillEstimate {
   const random = new SeededRandom(1);
   const estimate = new PrefillEstimate();
@@ -13,19 +16,19 @@
   return estimate;
 }
 
-test('the part that does not depend on the prompt is told from the time for each token', (t) => {
-  const { learned: line } = learned(100, 0.04, 0);
-  t.true(Math.abs(line!.baseMs - 100) < 10);
-  t.true(Math.abs(line!.msPerToken - 0.04) < 0.005);
+test('the constant part is separated from the time per prompt token', (t) => {
+  const { learned: fit } = learned(100, 0.04, 0);
+  t.true(Math.abs(fit!.baseMs - 100) < 10);
+  t.true(Math.abs(fit!.msPerToken - 0.04) < 0.005);
 });
 
-test('short prompts do not make long ones look slower than they are', (t) => {
-  const { learned: line } = learned(100, 0.04, 60);
-  const expected = expectedFirstMs(line!, 6_000);
+test('samples of short prompts do not raise the estimate for long ones', (t) => {
+  const { learned: fit } = learned(100, 0.04, 60);
+  const expected = predictFirstEventMs(fit!, 6_000);
   t.true(expected > 300 && expected < 420, `${expected}`);
 });
 
-test('what others learned is taken over only where nothing was learned here', (t) => {
+test('estimates of other gateways are adopted only without samples of its own', (t) => {
   const estimate = new PrefillEstimate();
   estimate.adopt({ baseMs: 5, msPerToken: 0.01 });
   t.deepEqual(estimate.learned, { baseMs: 5, msPerToken: 0.01 });
--- a/test/slot-supply.test.ts
+++ b/test/slot-supply.test.ts
@@ -5,7 +5,10 @@
 const PLACE = { tier: 1, rankInTier: 1, arrivedAtMs: 0, startByMs: 1_000 };
 const URGENT = { ...PLACE, tier: 0 };
 
-/** A supply that gave a slot each `slotMs` while requests waited, with urgent arrivals each `urgentMs`. */
+/**
+ * Returns a supply with a slot every `slotMs` while requests wait, and an urgent arrival every
+ * `urgentMs`.
+ */
 function busySupply(slotMs: number, urgentMs: number): SlotSupply {
   const supply = new SlotSupply();
   supply.noteWaiting(true, 0);
@@ -20,17 +23,17 @@
   return supply;
 }
 
-test('a sum forgets with time', (t) => {
+test('a decayed sum decays exponentially with time', (t) => {
   const sum = new DecayedSum(1_000);
   sum.add(1, 0);
   t.true(Math.abs(sum.at(1_000) - Math.exp(-1)) < 1e-9);
 });
 
-test('nothing is expected of a service where nobody waited', (t) => {
+test('the expected wait is zero for a service without waiting requests', (t) => {
   t.is(new SlotSupply().expectedWaitMs(PLACE, 3, false, 100), 0);
 });
 
-test('a place waits for those ahead and for the more urgent ones that come meanwhile', (t) => {
+test('the expected wait counts the requests ahead and later, more urgent arrivals', (t) => {
   const supply = busySupply(10, 20);
   const urgentMs = supply.expectedWaitMs(URGENT, 1, false, 10_000);
   const otherMs = supply.expectedWaitMs(PLACE, 1, false, 10_000);
@@ -38,17 +41,17 @@
   t.true(otherMs > 35 && otherMs < 45, `${otherMs}`);
 });
 
-test('a place that more urgent ones keep out waits without end', (t) => {
+test('the expected wait is infinite when more urgent requests take every slot', (t) => {
   t.is(busySupply(20, 10).expectedWaitMs(PLACE, 0, false, 10_000), Infinity);
 });
 
-test('a late place stands behind the arrivals of its own rank', (t) => {
+test('a late request is ordered behind the arrivals of its own rank', (t) => {
   const supply = busySupply(20, 10);
   t.is(supply.expectedWaitMs(URGENT, 0, true, 10_000), Infinity);
   t.true(Number.isFinite(supply.expectedWaitMs(URGENT, 0, false, 10_000)));
 });
 
-test('time in which nobody waits does not slow the supply down', (t) => {
+test('time without waiting requests does not lower the supply rate', (t) => {
   const supply = new SlotSupply();
   for (let round = 0; round < 5; round += 1) {
     const nowMs = round * 1_000;
