--- a/test/support/cold-fleet.ts
+++ b/test/support/cold-fleet.ts
@@ -1,4 +1,7 @@
-/** Gateways and an agent around one cold engine on the virtual clock, with links that are slow, stall and break. */
+/**
+ * Simulates gateways and an agent around one cold engine on a virtual clock, over connections that
+ * are slow, stall and break.
+ */
 import { BackendDirectory } from '../../src/gateway/dispatch/backend-directory.js';
 import { coldShare } from '../../src/gateway/dispatch/cold-share.js';
 import { ColdStarts } from '../../src/gateway/dispatch/cold-starts.js';
@@ -12,14 +15,14 @@
 import type { SlotAnswer, SlotMessage } from '../../src/slot-agent/slot-messages.js';
 import { backendOf } from './gateway.js';
 
-/** Faults put into the limits, which the check has to find. */
+/** Faults injected into the limiter, which the check must detect. */
 export interface ColdFleetFault {
-  /** Gateways take free slots of an engine that they know to be cold. */
-  readonly takesFreely?: boolean;
-  /** Gateways use grants however old they are. */
-  readonly usesOldGrants?: boolean;
-  /** Each gateway without a link uses the whole part of all of them. */
-  readonly ignoresOthers?: boolean;
+  /** Gateways take free slots of an engine that they consider cold. */
+  readonly takesSlotsUngranted?: boolean;
+  /** Gateways use grants of any age. */
+  readonly usesStaleGrants?: boolean;
+  /** Each gateway without a connection uses the shares of all of them. */
+  readonly ignoresPeers?: boolean;
 }
 
 const SERVICE = { coldStartMs: 30_000, coldRequestsPerS: 14, isEngine: true };
@@ -27,10 +30,13 @@
 const ENGINE = backendOf('e', { slots: 60, remainingColdMs: 20_000 });
 const TICK_MS = 100;
 const SILENCE_MS = 1_000;
-/** What the engine may be sent in any one second. */
+/** Maximum number of requests sent to the engine within any one second. */
 export const COLD_BOUND = coldStartBound(SERVICE, LIMITS)!;
 
-/** A connection; each way keeps its order, and what is under way when it is closed still arrives. */
+/**
+ * A connection. Each direction preserves the message order, and messages in flight when it is
+ * closed still arrive.
+ */
 class Link {
   isOpen = true;
   heardAtMs: number;
@@ -45,7 +51,7 @@
     this.heardAtMs = fleet.clock.now();
   }
 
-  /** Nothing arrives for a while, either way. */
+  /** Delays all messages in both directions. */
   stall(forMs: number): void {
     this.stalledUntilMs = this.fleet.clock.now() + forMs;
   }
@@ -70,7 +76,7 @@
   isOff = false;
   private readonly directory: BackendDirectory;
   private readonly dispatcher: Dispatcher;
-  private lastSpokeAtMs = 0;
+  private lastSentToAgentAtMs = 0;
 
   constructor(
     readonly name: string,
@@ -87,7 +93,7 @@
     };
     this.directory = new BackendDirectory({ name, zone: 'z' }, { isEngine: () => true, ...orders });
     this.dispatcher = new Dispatcher(this.directory, {
-      sendToAgent: (_id, message) => this.say(message),
+      sendToAgent: (_id, message) => this.send(message),
       onEjected: () => undefined,
       onAvailability: () => undefined,
       ...orders,
@@ -96,17 +102,17 @@
       isEngine: () => true,
       countGateways: () => 1,
       tokensPerEvent: () => 1,
-      coldStarts: this.createLimits(),
+      coldStarts: this.createLimiter(),
     });
     const backend = knowsRecord ? ENGINE : { ...ENGINE, remainingColdMs: 0 };
     this.dispatcher.updateBackend('e', backend, clock.now());
     this.directory.find('e')!.endAgentWait();
   }
 
-  /** Callers begin. */
-  begin(): void {
+  /** Starts the periodic ticks and the load. */
+  start(): void {
     this.tick();
-    this.press();
+    this.generateLoad();
   }
 
   connect(): void {
@@ -119,7 +125,7 @@
     const { coldStartMs, coldRequestsPerS } = SERVICE;
     const coldStart = { coldStartMs, coldRequestsPerS };
     const hello = { kind: 'hello', gateway: this.name, peersAddress: '', held } as const;
-    this.say({ ...hello, slots: ENGINE.slots, coldStart });
+    this.send({ ...hello, slots: ENGINE.slots, coldStart });
     this.dispatcher.connectAgent('e', this.fleet.clock.now());
   }
 
@@ -134,29 +140,29 @@
     }
   }
 
-  hear(link: Link, message: SlotAnswer): void {
+  receive(link: Link, message: SlotAnswer): void {
     if (link === this.link && !this.isOff) {
       link.heardAtMs = this.fleet.clock.now();
       this.dispatcher.receiveFromAgent('e', message, link.heardAtMs);
     }
   }
 
-  private createLimits(): ColdStarts {
+  private createLimiter(): ColdStarts {
     const { fault } = this.fleet;
-    const limits = new ColdStarts({
+    const limiter = new ColdStarts({
       boundOf: () => COLD_BOUND,
       returnedAtMs: () => undefined,
-      share: (id, total, nowMs) => (fault.ignoresOthers ? total : this.share(id, total, nowMs)),
+      share: (id, total, nowMs) => (fault.ignoresPeers ? total : this.share(id, total, nowMs)),
       onHeld: () => undefined,
       onChange: () => undefined,
     });
-    if (fault.takesFreely) {
-      limits.mayStart = () => this.link !== undefined;
+    if (fault.takesSlotsUngranted) {
+      limiter.mayStart = () => this.link !== undefined;
     }
-    if (fault.usesOldGrants) {
-      limits.isStale = () => false;
+    if (fault.usesStaleGrants) {
+      limiter.isStaleGrant = () => false;
     }
-    return limits;
+    return limiter;
   }
 
   private share(backendId: string, total: number, nowMs: number): number {
@@ -164,15 +170,15 @@
     return coldShare({ self, others, startedAtMs, hasHeardPeers: true }, backendId, total, nowMs);
   }
 
-  private say(message: SlotMessage): void {
+  private send(message: SlotMessage): void {
     const { link } = this;
     if (link !== undefined) {
-      this.lastSpokeAtMs = this.fleet.clock.now();
-      link.deliver('agent', () => this.fleet.hear(link, message));
+      this.lastSentToAgentAtMs = this.fleet.clock.now();
+      link.deliver('agent', () => this.fleet.receive(link, message));
     }
   }
 
-  /** As the gateway's role does each tick; a process that stalls does nothing. */
+  /** Runs one tick of the gateway; a stalled process does nothing. */
   private tick(): void {
     const { clock } = this.fleet;
     const nowMs = clock.now();
@@ -184,15 +190,15 @@
       if (this.link !== undefined && nowMs - this.link.heardAtMs > SILENCE_MS) {
         this.disconnect();
       }
-      if (nowMs - this.lastSpokeAtMs >= 150) {
-        this.say({ kind: 'alive', atMs: nowMs });
+      if (nowMs - this.lastSentToAgentAtMs >= 150) {
+        this.send({ kind: 'alive', atMs: nowMs });
       }
     }
     clock.setTimeout(() => this.tick(), TICK_MS);
   }
 
-  /** Callers send more than the engine may get. */
-  private press(): void {
+  /** Submits requests at a higher rate than the engine may get. */
+  private generateLoad(): void {
     const { clock, random } = this.fleet;
     const nowMs = clock.now();
     if (this.isOff) {
@@ -203,7 +209,7 @@
       this.dispatcher.submit(request, nowMs);
       clock.setTimeout(() => this.dispatcher.withdraw(request, clock.now()), 300);
     }
-    clock.setTimeout(() => this.press(), randomInteger(random, 20, 400));
+    clock.setTimeout(() => this.generateLoad(), randomInteger(random, 20, 400));
   }
 
   private requestAt(nowMs: number): DispatchRequest {
@@ -237,11 +243,14 @@
   }
 }
 
-/** The fleet. */
+/** A simulated fleet. */
 export class ColdFleet {
   readonly clock = new VirtualClock();
   readonly random: SeededRandom;
-  /** When each request was sent to the engine, in milliseconds, and whether by a gateway with a link to the agent. */
+  /**
+   * When each request was sent to the engine, in milliseconds, and whether by a gateway connected
+   * to the agent.
+   */
   readonly starts: Array<{ readonly atMs: number; readonly isLinked: boolean }> = [];
   private readonly gateways: FleetGateway[] = [];
   private readonly names: readonly string[];
@@ -262,7 +271,7 @@
     this.names.forEach((name, index) => (this.gateways[index] = this.create(name, -10_000)));
     this.repeat(300, () => this.ledger.beat(300, this.clock.now()));
     this.repeat(50, () => this.endSilent());
-    this.repeat(250, () => this.strike());
+    this.repeat(250, () => this.injectFault());
   }
 
   openLink(gateway: FleetGateway): Link {
@@ -272,7 +281,7 @@
     return link;
   }
 
-  hear(link: Link, message: SlotMessage): void {
+  receive(link: Link, message: SlotMessage): void {
     if (!this.links.has(link.number)) {
       return;
     }
@@ -286,13 +295,13 @@
   }
 
   closeFromGateway(link: Link): void {
-    link.deliver('agent', () => this.drop(link));
+    link.deliver('agent', () => this.removeLink(link));
   }
 
-  /** Most requests that were sent within any one second. */
-  get most(): { readonly all: number; readonly linked: number; readonly unlinked: number } {
+  /** Returns the maximum number of requests sent within any one second. */
+  get peakStarts(): { readonly all: number; readonly linked: number; readonly unlinked: number } {
     const times = (kind: (isLinked: boolean) => boolean) =>
-      mostInASecond(this.starts.filter(({ isLinked }) => kind(isLinked)).map(({ atMs }) => atMs));
+      peakPerSecondOf(this.starts.filter(({ isLinked }) => kind(isLinked)).map(({ atMs }) => atMs));
     return {
       all: times(() => true),
       linked: times((isLinked) => isLinked),
@@ -300,7 +309,7 @@
     };
   }
 
-  private drop(link: Link): void {
+  private removeLink(link: Link): void {
     if (this.links.delete(link.number)) {
       this.ledger.disconnect(link.number, this.clock.now());
     }
@@ -340,7 +349,7 @@
 
   private send(connection: number, message: SlotAnswer): void {
     const link = this.links.get(connection);
-    link?.deliver('gateway', () => link.gateway.hear(link, message));
+    link?.deliver('gateway', () => link.gateway.receive(link, message));
   }
 
   private endSilent(): void {
@@ -350,13 +359,13 @@
   }
 
   private endFromAgent(link: Link): void {
-    this.drop(link);
+    this.removeLink(link);
     link.deliver('gateway', () => link === link.gateway.link && link.gateway.disconnect());
   }
 
   /**
-   * Each gateway's view holds all others, and some that are gone. One that has not read that the engine is
-   * cold hears its agent first.
+   * Creates a gateway whose peer view holds all others and some that have ended. A gateway without
+   * the record of the cold engine first learns of it from the agent.
    */
   private create(name: string, startedAtMs: number): FleetGateway {
     const gone = Array.from({ length: randomInteger(this.random, 0, 4) }, (_none, i) => `x${i}`);
@@ -367,12 +376,12 @@
     if (isLinked) {
       gateway.connect();
     }
-    gateway.begin();
+    gateway.start();
     return gateway;
   }
 
-  /** One thing goes wrong, or is mended. */
-  private strike(): void {
+  /** Injects or repairs one random fault. */
+  private injectFault(): void {
     const { random, clock } = this;
     const index = randomInteger(random, 0, this.names.length - 1);
     const gateway = this.gateways[index]!;
@@ -417,7 +426,7 @@
   }
 }
 
-function mostInASecond(timesMs: readonly number[]): number {
+function peakPerSecondOf(timesMs: readonly number[]): number {
   let from = 0;
   let most = 0;
   timesMs.forEach((atMs, index) => {
--- a/test/waiting-queue.test.ts
+++ b/test/waiting-queue.test.ts
@@ -21,7 +21,7 @@
   };
 }
 
-test('a request that became late goes behind the next rank of its tier, and before the one after', (t) => {
+test('a late request is ordered behind the next rank of its tier and before the one after', (t) => {
   const queue = new WaitingQueue();
   const urgent = requestOf({ startByMs: 50 });
   const next = requestOf({ rankInTier: 1, arrivedAtMs: 20 });
@@ -32,7 +32,7 @@
   t.deepEqual(queue.inOrder(60), [next, urgent, last, lowerTier]);
 });
 
-test('only what goes before a request counts as before it', (t) => {
+test('only requests ordered before a place count as ahead of it', (t) => {
   const queue = new WaitingQueue();
   const first = requestOf({});
   const second = requestOf({ arrivedAtMs: 1 });
