--- a/src/gateway/admission/caller-departure.ts
+++ b/src/gateway/admission/caller-departure.ts
@@ -1,29 +1,30 @@
 /**
- * Tells the requests on a caller's connection that their caller has left.
+ * Notifies the requests on a connection that their caller has disconnected.
  *
- * The connection itself is watched: the end of an answer is told by its own events only while it is the one
- * that is being written, and a caller that does not read may end its side long before the connection closes.
+ * The socket itself is watched, since a response emits its own events only while it is the one
+ * being written, and a caller that does not read may end its side long before the connection
+ * closes.
  */
 import type { Socket } from 'node:net';
 
-/** The requests of one connection whose answers have not ended. */
-export class CallerDeparture {
-  private readonly pending = new Set<() => void>();
+/** Tracks the requests of one connection whose responses have not ended. */
+export class CallerDisconnectWatcher {
+  private readonly callbacks = new Set<() => void>();
 
   constructor(socket: Socket) {
-    socket.on('end', () => this.leave());
-    socket.on('close', () => this.leave());
+    socket.on('end', () => this.notifyDisconnect());
+    socket.on('close', () => this.notifyDisconnect());
   }
 
-  /** Calls back once if the caller leaves before the returned function is called. */
-  onLeave(callback: () => void): () => void {
-    this.pending.add(callback);
-    return () => void this.pending.delete(callback);
+  /** Calls `callback` once if the caller disconnects before the returned function is called. */
+  onDisconnect(callback: () => void): () => void {
+    this.callbacks.add(callback);
+    return () => void this.callbacks.delete(callback);
   }
 
-  private leave(): void {
-    const left = [...this.pending];
-    this.pending.clear();
-    left.forEach((callback) => callback());
+  private notifyDisconnect(): void {
+    const notified = [...this.callbacks];
+    this.callbacks.clear();
+    notified.forEach((callback) => callback());
   }
 }
--- a/src/gateway/admission/caller-listener.ts
+++ b/src/gateway/admission/caller-listener.ts
@@ -1,13 +1,13 @@
-/** The listener for callers: reads requests whole and hands them over. */
+/** HTTP server for callers: reads complete requests and passes them to a handler. */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 import type { CallerLimits } from '../../routing/configuration.js';
 import type { CallerReply } from '../attempt/attempt.js';
-import { CallerDeparture } from './caller-departure.js';
+import { CallerDisconnectWatcher } from './caller-departure.js';
 import type { RawHeaders } from './caller-protocol.js';
 
-/** A request whose head was read. */
+/** The head of a received request. */
 export interface ReceivedHead {
   readonly method: string;
   readonly path: string;
@@ -16,32 +16,32 @@
   readonly headers: IncomingMessage['headers'];
 }
 
-/** A request that waits for its body. */
+/** Callbacks for a request whose body is being read. */
 export interface PendingBody {
-  /** The body is whole. */
+  /** The body is complete. */
   onBody(body: Buffer): void;
   /** The body is longer than allowed. */
   onTooLong(): void;
-  /** The caller closed its connection, before or after the body was whole. */
+  /** The caller disconnected, before or after the body was complete. */
   onCallerLeft(): void;
 }
 
-/** Takes requests. */
-export type RequestTaker = (head: ReceivedHead, reply: CallerReply) => PendingBody;
+/** Handles a request head and returns the callbacks for its body. */
+export type RequestHandler = (head: ReceivedHead, reply: CallerReply) => PendingBody;
 
-/** Above this the listener's own parser refuses; the configured limit lies below. */
+/** Limit at which the HTTP parser rejects headers; the configured limit is lower. */
 const PARSER_HEADER_BYTES = 128 * 1024;
 const CONNECTION_CHECK_MS = 500;
-const MAX_UNREAD_ANSWER_BYTES = 4 * 1024 * 1024;
+const MAX_UNREAD_RESPONSE_BYTES = 4 * 1024 * 1024;
 
-/** The listener for callers. */
+/** HTTP server that accepts the connections of callers. */
 export class CallerListener {
   readonly server: Server;
-  private readonly sockets = new Map<Socket, CallerDeparture>();
+  private readonly disconnectWatchers = new Map<Socket, CallerDisconnectWatcher>();
   private isClosing = false;
 
   constructor(
-    private readonly take: RequestTaker,
+    private readonly handleRequest: RequestHandler,
     private readonly maxBodyBytes: () => number,
   ) {
     this.server = createServer(
@@ -54,28 +54,28 @@
     );
     this.server.requestTimeout = 0;
     this.server.on('connection', (socket: Socket) => {
-      this.sockets.set(socket, new CallerDeparture(socket));
-      socket.on('close', () => this.sockets.delete(socket));
+      this.disconnectWatchers.set(socket, new CallerDisconnectWatcher(socket));
+      socket.on('close', () => this.disconnectWatchers.delete(socket));
     });
   }
 
-  /** Puts the configured limits in force for what arrives from now on. */
+  /** Applies the configured limits to requests that arrive from now on. */
   applyLimits(limits: CallerLimits): void {
     this.server.headersTimeout = limits.headerTimeoutMs;
     this.server.keepAliveTimeout = limits.idleTimeoutMs;
   }
 
-  /** Open connections. */
+  /** Number of open connections. */
   get connections(): number {
-    return this.sockets.size;
+    return this.disconnectWatchers.size;
   }
 
-  /** From now on every answer asks the caller to use another connection. */
+  /** Adds `Connection: close` to every response from now on. */
   announceClose(): void {
     this.isClosing = true;
   }
 
-  /** Takes no new connections and closes those that rest. */
+  /** Stops accepting connections and closes idle ones. */
   stopListening(): void {
     this.server.close();
     this.server.closeIdleConnections();
@@ -90,28 +90,28 @@
       rawHeaders: request.rawHeaders,
       headers: request.headers,
     };
-    const pending = this.take(head, reply);
-    let hasLeft = false;
-    const leave = () => {
-      hasLeft = true;
+    const handlers = this.handleRequest(head, reply);
+    let hasDisconnected = false;
+    const disconnect = () => {
+      hasDisconnected = true;
       if (!response.writableFinished) {
-        pending.onCallerLeft();
+        handlers.onCallerLeft();
       }
       if (!response.writableEnded) {
         response.destroy();
       }
     };
-    const stopWatching = this.sockets.get(request.socket)?.onLeave(leave);
+    const stopWatching = this.disconnectWatchers.get(request.socket)?.onDisconnect(disconnect);
     response.on('finish', () => stopWatching?.());
     response.on('close', () => {
       stopWatching?.();
-      leave();
+      disconnect();
     });
     this.readBody(request, {
-      onTooLong: () => pending.onTooLong(),
+      onTooLong: () => handlers.onTooLong(),
       onBody: (body) => {
-        if (!hasLeft) {
-          pending.onBody(body);
+        if (!hasDisconnected) {
+          handlers.onBody(body);
         }
       },
     });
@@ -119,7 +119,7 @@
 
   private readBody(
     request: IncomingMessage,
-    pending: Pick<PendingBody, 'onBody' | 'onTooLong'>,
+    handlers: Pick<PendingBody, 'onBody' | 'onTooLong'>,
   ): void {
     const chunks: Buffer[] = [];
     let length = 0;
@@ -132,21 +132,21 @@
       if (length > this.maxBodyBytes()) {
         isTooLong = true;
         chunks.length = 0;
-        pending.onTooLong();
+        handlers.onTooLong();
         return;
       }
       chunks.push(bytes);
     });
     request.on('end', () => {
       if (!isTooLong) {
-        pending.onBody(chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks));
+        handlers.onBody(chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks));
       }
     });
     request.on('error', () => undefined);
   }
 }
 
-/** The answer to one request of a caller. */
+/** Writes the response to one request. */
 class HttpReply implements CallerReply {
   constructor(
     private readonly request: IncomingMessage,
@@ -159,19 +159,19 @@
       return;
     }
     const isBodyUnread = !this.request.complete;
-    const closing = this.isClosing() || isBodyUnread ? ['Connection', 'close'] : [];
-    this.response.writeHead(status, [...headers, ...closing]);
+    const closeHeader = this.isClosing() || isBodyUnread ? ['Connection', 'close'] : [];
+    this.response.writeHead(status, [...headers, ...closeHeader]);
   }
 
   write(bytes: Buffer): boolean {
     if (this.response.destroyed) {
       return true;
     }
-    const isFlowing = this.response.write(bytes);
-    if (this.response.writableLength > MAX_UNREAD_ANSWER_BYTES) {
+    const hasNoBackpressure = this.response.write(bytes);
+    if (this.response.writableLength > MAX_UNREAD_RESPONSE_BYTES) {
       this.abort();
     }
-    return isFlowing;
+    return hasNoBackpressure;
   }
 
   end(bytes?: Buffer): void {
--- a/src/gateway/admission/request-admission.ts
+++ b/src/gateway/admission/request-admission.ts
@@ -1,4 +1,4 @@
-/** Decides whether a request is taken, and describes it: route, key, what it costs, and what is left of its time. */
+/** Admits or refuses requests and determines their route, tenant, cost and deadline. */
 import type { RandomSource } from '../../random.js';
 import { err, ok } from '../../result.js';
 import type { Result } from '../../result.js';
@@ -13,9 +13,9 @@
 import { DEFAULT_REQUEST_OPTIONS } from '../attempt/request-model.js';
 import type { AcceptedRequest } from '../attempt/accepted-request.js';
 import type { FingerprintedRequest } from '../crashes/request-fingerprint.js';
-import { UsualDeadlines } from './usual-deadline.js';
+import { FirstAttemptDeadlines } from './usual-deadline.js';
 
-/** A request whose body was read whole. */
+/** A received request with its complete body. */
 export interface ReceivedRequest {
   readonly head: ReceivedHead;
   readonly caller: CallerRequestHead;
@@ -23,38 +23,43 @@
   readonly arrivedAtMs: number;
 }
 
-/** Work of one generated token, in prompt tokens: decoding is that much slower than prefill. */
-const OUTPUT_TOKEN_UNITS = 150;
-/** Bytes between a header's name and value, and behind it. */
+/**
+ * Work of one generated token, in prompt tokens: decoding is slower than prefill by this factor.
+ */
+const WORK_UNITS_PER_OUTPUT_TOKEN = 150;
+/** Bytes that separate a header name from its value, and bytes of the line end after it. */
 const HEADER_SEPARATOR_BYTES = 2;
 
-/** What is asked of the back ends before a service is picked for a request. */
-export interface ServicePlacement {
-  /** Whether a back end of the service may serve a request in these regions. */
+/** Availability of services, checked before a service is picked for a request. */
+export interface ServiceAvailability {
+  /** Whether a backend of the service in the allowed regions can serve a request. */
   canServe(service: string, allowedRegions: AllowedRegions): boolean;
 }
 
-const ANY_SERVICE: ServicePlacement = { canServe: () => true };
+const ALL_AVAILABLE: ServiceAvailability = { canServe: () => true };
 
-/** What is asked before a request is charged to its tenant. */
-export interface CrashRefusals {
-  /** The refusal of a request that is to be kept from back ends, since it crashes them. */
+/** Lookup of requests refused for crashes, made before a request is charged to its tenant. */
+export interface CrashRefusalLookup {
+  /** Returns the refusal of a request that crashes backends; undefined for any other. */
   refusalOf(request: FingerprintedRequest): GatewayRefusal | undefined;
 }
 
-const NO_REFUSALS: CrashRefusals = { refusalOf: () => undefined };
+const NO_CRASH_REFUSALS: CrashRefusalLookup = { refusalOf: () => undefined };
 
-/** Decides whether requests are taken. */
+/** Admits or refuses requests. */
 export class RequestAdmission {
-  private readonly deadlines = new UsualDeadlines();
+  private readonly firstAttemptDeadlines = new FirstAttemptDeadlines();
 
   constructor(
     private readonly random: RandomSource,
-    private readonly placement = ANY_SERVICE,
-    private readonly crashes = NO_REFUSALS,
+    private readonly availability = ALL_AVAILABLE,
+    private readonly crashes = NO_CRASH_REFUSALS,
   ) {}
 
-  /** Checks a request under the configuration in force; what is taken is then charged to its tenant. */
+  /**
+   * Checks a request against the configuration in force; the quota of the tenant is charged
+   * afterwards.
+   */
   admit(
     received: ReceivedRequest,
     table: RoutingTable | undefined,
@@ -79,10 +84,12 @@
     const { body } = received;
     const request = { tenant: tenant?.name, method, route, path, body };
     const refusal = this.crashes.refusalOf(request);
-    return refusal === undefined ? ok(this.describe(received, route, tenant)) : err(refusal);
+    return refusal === undefined
+      ? ok(this.toAcceptedRequest(received, route, tenant))
+      : err(refusal);
   }
 
-  private describe(
+  private toAcceptedRequest(
     received: ReceivedRequest,
     route: Route,
     tenant: Tenant | undefined,
@@ -90,10 +97,11 @@
     const { head, caller, body, arrivedAtMs } = received;
     const { tokens } = caller;
     const allowedRegions = commonRegions(route.allowedRegions, tenant?.allowedRegions);
-    const services = this.servicesAtHome(route, allowedRegions);
+    const services = this.servicesInRegions(route, allowedRegions);
     const service = pickService(services, this.random.next()) ?? '';
-    const units = tokens === undefined ? 1 : tokens.prompt + tokens.output * OUTPUT_TOKEN_UNITS;
-    const longestMs = Math.min(route.timeoutMs, caller.deadlineMs ?? route.timeoutMs);
+    const units =
+      tokens === undefined ? 1 : tokens.prompt + tokens.output * WORK_UNITS_PER_OUTPUT_TOKEN;
+    const timeLimitMs = Math.min(route.timeoutMs, caller.deadlineMs ?? route.timeoutMs);
     return {
       requestId: caller.requestId ?? '',
       route,
@@ -103,11 +111,11 @@
       rankInTier: route.priority,
       allowedRegions,
       arrivedAtMs,
-      firstTriedAtMs: arrivedAtMs - this.triedForMs(route, caller),
-      endsAtMs: arrivedAtMs + longestMs,
+      firstTriedAtMs: arrivedAtMs - this.timeSinceFirstAttemptMs(route, caller),
+      endsAtMs: arrivedAtMs + timeLimitMs,
       units,
       promptTokens: tokens?.prompt ?? 0,
-      quotaCost: tenant?.quota === undefined ? 0 : costOf(caller, tenant.quota),
+      quotaCost: tenant?.quota === undefined ? 0 : quotaCostOf(caller, tenant.quota),
       method: head.method,
       path: head.path,
       headers: head.rawHeaders,
@@ -116,28 +124,33 @@
     };
   }
 
-  /** Of a route's services those that have a back end where the request has to stay; all if none has. */
-  private servicesAtHome(
+  /**
+   * Returns the services of a route that have a backend in the allowed regions; all services if
+   * none has.
+   */
+  private servicesInRegions(
     { services }: Route,
     allowedRegions: AllowedRegions,
   ): readonly WeightedService[] {
     if (allowedRegions === undefined || services.length === 1) {
       return services;
     }
-    const atHome = services.filter(
-      ({ service, weight }) => weight > 0 && this.placement.canServe(service, allowedRegions),
+    const available = services.filter(
+      ({ service, weight }) => weight > 0 && this.availability.canServe(service, allowedRegions),
     );
-    return atHome.length > 0 ? atHome : services;
+    return available.length > 0 ? available : services;
   }
 
-  /** How long ago the caller's first try was, which its time left shows. */
-  private triedForMs(route: Route, { deadlineMs }: CallerRequestHead): number {
-    return deadlineMs === undefined ? 0 : this.deadlines.triedForMs(route.name, deadlineMs);
+  /** Returns the time since the caller's first attempt, estimated from its remaining deadline. */
+  private timeSinceFirstAttemptMs(route: Route, { deadlineMs }: CallerRequestHead): number {
+    return deadlineMs === undefined
+      ? 0
+      : this.firstAttemptDeadlines.timeSinceFirstAttemptMs(route.name, deadlineMs);
   }
 }
 
-/** What a request takes of its tenant's quota. */
-function costOf({ tokens }: CallerRequestHead, quota: TenantQuota): number {
+/** Returns the quota cost of a request. */
+function quotaCostOf({ tokens }: CallerRequestHead, quota: TenantQuota): number {
   if (quota.unit === 'requests') {
     return 1;
   }
--- a/src/gateway/admission/retry-budget.ts
+++ b/src/gateway/admission/retry-budget.ts
@@ -1,97 +1,103 @@
 /**
- * Limits sends beyond the first of each request, for each service.
+ * Retry budget per service: limits the attempts beyond the first of each request.
  *
- * The bound holds for the sum over all gateways, so each keeps to its own
- * requests and to an equal share of the fixed part.
+ * The limit applies to the sum over all gateways, so each gateway counts only its own requests and
+ * uses an equal share of the fixed allowance.
  */
 
-/** Bounds of the budget. */
+/** Limits of the budget. */
 export interface RetryBudgetOptions {
-  /** Repeats allowed for each request. */
+  /** Retries allowed per request. */
   readonly ratio: number;
   /** Sliding window, in milliseconds. */
   readonly windowMs: number;
-  /** Repeats allowed in a window beside the ratio, over all gateways. */
+  /** Retries allowed per window in addition to the ratio, over all gateways. */
   readonly slack: number;
 }
 
-interface Moment {
+interface BudgetEntry {
   readonly atMs: number;
-  readonly isRepeat: boolean;
+  readonly isRetry: boolean;
 }
 
-/** Share of the bound that is spent, which leaves room for what no gateway can see. */
-const SAFETY_SHARE = 0.7;
+/** Share of the limit that may be spent; the rest covers retries that no gateway can see. */
+const SPENDABLE_SHARE = 0.7;
 
-/** Repeats of requests to one service. */
+/** Requests and retries of one service in the sliding window. */
 class ServiceBudget {
-  private readonly moments: Moment[] = [];
-  private first = 0;
+  private readonly entries: BudgetEntry[] = [];
+  private firstInWindow = 0;
   private requests = 0;
-  private repeats = 0;
+  private retries = 0;
 
-  add(moment: Moment): void {
-    this.moments.push(moment);
-    this.requests += moment.isRepeat ? 0 : 1;
-    this.repeats += moment.isRepeat ? 1 : 0;
+  add(entry: BudgetEntry): void {
+    this.entries.push(entry);
+    this.requests += entry.isRetry ? 0 : 1;
+    this.retries += entry.isRetry ? 1 : 0;
   }
 
-  count(sinceMs: number): { requests: number; repeats: number } {
-    while (this.first < this.moments.length && this.moments[this.first]!.atMs < sinceMs) {
-      const { isRepeat } = this.moments[this.first]!;
-      this.requests -= isRepeat ? 0 : 1;
-      this.repeats -= isRepeat ? 1 : 0;
-      this.first += 1;
+  count(sinceMs: number): { requests: number; retries: number } {
+    while (
+      this.firstInWindow < this.entries.length &&
+      this.entries[this.firstInWindow]!.atMs < sinceMs
+    ) {
+      const { isRetry } = this.entries[this.firstInWindow]!;
+      this.requests -= isRetry ? 0 : 1;
+      this.retries -= isRetry ? 1 : 0;
+      this.firstInWindow += 1;
     }
-    if (this.first > 1_000) {
-      this.moments.splice(0, this.first);
-      this.first = 0;
+    if (this.firstInWindow > 1_000) {
+      this.entries.splice(0, this.firstInWindow);
+      this.firstInWindow = 0;
     }
-    return { requests: this.requests, repeats: this.repeats };
+    return { requests: this.requests, retries: this.retries };
   }
 }
 
-/** Repeats of requests, by service. */
+/** Retry budgets by service. */
 export class RetryBudget {
   private readonly services = new Map<string, ServiceBudget>();
 
   constructor(private readonly options: RetryBudgetOptions) {}
 
-  /** Counts a request that is sent for the first time. */
+  /** Counts the first attempt of a request. */
   countRequest(service: string, nowMs: number): void {
-    this.budgetOf(service).add({ atMs: nowMs, isRepeat: false });
+    this.budgetOf(service).add({ atMs: nowMs, isRetry: false });
   }
 
-  /** Repeats that the budget of `gateways` gateways still allows, by service. */
+  /** Returns the retries left by service, if `gateways` gateways share the budget. */
   repeatsLeft(gateways: number, nowMs: number): Map<string, number> {
     const left = new Map<string, number>();
     for (const [service, budget] of this.services) {
       const counted = budget.count(nowMs - this.options.windowMs);
-      left.set(service, this.allowed(counted.requests, gateways) - counted.repeats);
+      left.set(service, this.allowedRetries(counted.requests, gateways) - counted.retries);
     }
     return left;
   }
 
-  /** Takes one repeat if the budget of `gateways` gateways allows it. */
+  /**
+   * Takes one retry if the budget, shared by `gateways` gateways, allows it; returns whether it
+   * did.
+   */
   takeRepeat(service: string, gateways: number, nowMs: number): boolean {
     const budget = this.budgetOf(service);
-    const { requests, repeats } = budget.count(nowMs - this.options.windowMs);
-    if (repeats + 1 > this.allowed(requests, gateways)) {
+    const { requests, retries } = budget.count(nowMs - this.options.windowMs);
+    if (retries + 1 > this.allowedRetries(requests, gateways)) {
       return false;
     }
-    budget.add({ atMs: nowMs, isRepeat: true });
+    budget.add({ atMs: nowMs, isRetry: true });
     return true;
   }
 
-  private allowed(requests: number, gateways: number): number {
+  private allowedRetries(requests: number, gateways: number): number {
     const { ratio, slack } = this.options;
-    return (ratio * requests + slack / Math.max(1, gateways)) * SAFETY_SHARE;
+    return (ratio * requests + slack / Math.max(1, gateways)) * SPENDABLE_SHARE;
   }
 
   private budgetOf(service: string): ServiceBudget {
-    const known = this.services.get(service);
-    if (known !== undefined) {
-      return known;
+    const existing = this.services.get(service);
+    if (existing !== undefined) {
+      return existing;
     }
     const created = new ServiceBudget();
     this.services.set(service, created);
--- a/src/gateway/admission/unconfirmed-refusals.ts
+++ b/src/gateway/admission/unconfirmed-refusals.ts
@@ -1,87 +1,87 @@
 /**
- * Requests that would be refused for want of a route or a key wait a moment while what this gateway knows is old: the
- * newest configuration may hold both. Learning it is left to those who follow the store, so that requests for
- * what never existed cause no calls.
+ * Delays requests without a matching route or key while the gateway's configuration may be stale:
+ * the newest configuration may contain both. The store watchers update it independently, so that
+ * requests for routes or keys that never existed cause no store calls.
  */
 import type { Clock, TimerHandle } from '../../clock.js';
 
-/** What is asked of the surroundings. */
-export interface UnconfirmedRefusalsPorts {
-  /** Whether there may be a newer configuration that this gateway should know by now. */
+/** Dependencies of the queue. */
+export interface ConfirmationQueuePorts {
+  /** Whether a newer configuration may exist that this gateway should have received by now. */
   isKnowledgeOld(): boolean;
 }
 
-/** Limits of the wait. */
-export interface UnconfirmedRefusalsOptions {
-  /** Longest wait, in milliseconds. Default 500. */
+/** Limits of the queue. */
+export interface ConfirmationQueueOptions {
+  /** Maximum wait, in milliseconds. Default 500. */
   readonly waitMs: number;
-  /** Pause between two looks, in milliseconds. Default 25. */
-  readonly lookMs: number;
-  /** Requests that may wait; further ones are refused at once. Default 200. */
+  /** Interval of the checks, in milliseconds. Default 25. */
+  readonly checkIntervalMs: number;
+  /** Maximum waiting requests; further ones are refused at once. Default 200. */
   readonly maxWaiting: number;
 }
 
-/** Defaults of the wait. */
-export const DEFAULT_UNCONFIRMED_REFUSALS_OPTIONS: UnconfirmedRefusalsOptions = {
+/** Default limits of the queue. */
+export const DEFAULT_CONFIRMATION_QUEUE_OPTIONS: ConfirmationQueueOptions = {
   waitMs: 500,
-  lookMs: 25,
+  checkIntervalMs: 25,
   maxWaiting: 200,
 };
 
-/** Called once: whether the knowledge was confirmed in time. */
+/** Called once with whether the configuration was confirmed as current in time. */
 export type OnConfirmation = (isConfirmed: boolean) => void;
 
 interface WaitingRequest {
-  readonly endsAtMs: number;
+  readonly expiresAtMs: number;
   readonly onConfirmation: OnConfirmation;
 }
 
-/** Requests that wait for a confirmation of what this gateway knows. */
+/** Queues requests until the gateway's configuration is confirmed as current, or a timeout. */
 export class UnconfirmedRefusals {
   private readonly waiting = new Set<WaitingRequest>();
   private timer: TimerHandle | undefined;
 
   constructor(
-    private readonly ports: UnconfirmedRefusalsPorts,
+    private readonly ports: ConfirmationQueuePorts,
     private readonly clock: Clock,
-    private readonly options: UnconfirmedRefusalsOptions = DEFAULT_UNCONFIRMED_REFUSALS_OPTIONS,
+    private readonly options: ConfirmationQueueOptions = DEFAULT_CONFIRMATION_QUEUE_OPTIONS,
   ) {}
 
-  /** Requests that wait. */
+  /** Number of waiting requests. */
   get count(): number {
     return this.waiting.size;
   }
 
-  /** Waits for a confirmation; returns how to give up. */
+  /** Waits for a confirmation; the returned function cancels the wait. */
   wait(onConfirmation: OnConfirmation): () => void {
     if (this.waiting.size >= this.options.maxWaiting) {
       onConfirmation(false);
       return () => undefined;
     }
-    const request = { endsAtMs: this.clock.now() + this.options.waitMs, onConfirmation };
+    const request = { expiresAtMs: this.clock.now() + this.options.waitMs, onConfirmation };
     this.waiting.add(request);
-    this.lookLater();
+    this.scheduleCheck();
     return () => this.waiting.delete(request);
   }
 
-  private lookLater(): void {
+  private scheduleCheck(): void {
     this.timer ??= this.clock.setTimeout(() => {
       this.timer = undefined;
-      this.look();
-    }, this.options.lookMs);
+      this.check();
+    }, this.options.checkIntervalMs);
   }
 
-  private look(): void {
+  private check(): void {
     const isConfirmed = !this.ports.isKnowledgeOld();
     const nowMs = this.clock.now();
     for (const request of [...this.waiting]) {
-      if (isConfirmed || nowMs >= request.endsAtMs) {
+      if (isConfirmed || nowMs >= request.expiresAtMs) {
         this.waiting.delete(request);
         request.onConfirmation(isConfirmed);
       }
     }
     if (this.waiting.size > 0) {
-      this.lookLater();
+      this.scheduleCheck();
     }
   }
 }
--- a/src/gateway/admission/usual-deadline.ts
+++ b/src/gateway/admission/usual-deadline.ts
@@ -1,56 +1,56 @@
 /**
- * Learns which deadlines the first tries of a route carry, by which requests that come back are told.
+ * Learns the deadlines of first attempts per route, in order to recognize retries by callers.
  *
- * A caller that comes back has less time left than at its first try. Some callers always name the same
- * deadline, others a little more or less each time; so what counts as less is learned from the deadlines
- * of the route's latest requests. Most of those are first tries, of which each deadline between the
- * lowest and the longest is taken to be equally likely: then their lowest lies as far below the median
- * as the longest lies above it. Returning requests, being fewer, move the median little.
+ * A caller that retries has less time left than at its first attempt. Some callers always send the
+ * same deadline, others vary it, so the range of first attempts is learned from the deadlines of
+ * the route's most recent requests. Most of these are first attempts, whose deadlines are assumed
+ * to be uniformly distributed: their lowest value is then as far below the median as the longest is
+ * above it. Retries are fewer and shift the median little.
  */
 
-/** Deadlines that are remembered of each route: some ten seconds of a busy gateway. */
-const SAMPLES = 64;
-/** Deadlines after which the range is reckoned anew; it moves slowly. */
+/** Deadlines stored per route: about ten seconds of a busy gateway. */
+const SAMPLES_PER_ROUTE = 64;
+/** Deadlines between two updates of the range, which changes slowly. */
 const SAMPLES_BETWEEN_UPDATES = 8;
-/** Share of the longest deadline down to which a request is a first try while little was learned. */
-const UNKNOWN_LOWEST_SHARE = 0.8;
-/** Share of the longest deadline that is lost on the way of a first try. */
+/** Lowest deadline of a first attempt, as a share of the longest, until a range is learned. */
+const INITIAL_LOWEST_SHARE = 0.8;
+/** Share of the longest deadline that may elapse in transit of a first attempt. */
 const TOLERANCE_SHARE = 0.02;
 
-/** Deadlines of first tries of one route, in milliseconds. */
+/** Range of the deadlines of first attempts of one route, in milliseconds. */
 interface DeadlineRange {
   readonly lowestMs: number;
   readonly longestMs: number;
 }
 
-/** The deadlines that the latest requests of one route named. */
+/** Deadlines of the most recent requests of one route. */
 class RecentDeadlines {
   private readonly samples: number[] = [];
   private count = 0;
-  private known: DeadlineRange | undefined;
+  private learnedRange: DeadlineRange | undefined;
 
-  /** Takes in a deadline; returns those of first tries as they were learned so far. */
+  /** Adds a deadline; returns the current range of first attempts. */
   add(deadlineMs: number): DeadlineRange {
-    this.samples[this.count % SAMPLES] = deadlineMs;
+    this.samples[this.count % SAMPLES_PER_ROUTE] = deadlineMs;
     this.count += 1;
     if (this.count % SAMPLES_BETWEEN_UPDATES === 0) {
-      this.known = rangeOf(this.samples);
+      this.learnedRange = deadlineRangeOf(this.samples);
     }
-    const longestMs = Math.max(this.known?.longestMs ?? 0, ...this.samples);
-    return this.known ?? { lowestMs: longestMs * UNKNOWN_LOWEST_SHARE, longestMs };
+    const longestMs = Math.max(this.learnedRange?.longestMs ?? 0, ...this.samples);
+    return this.learnedRange ?? { lowestMs: longestMs * INITIAL_LOWEST_SHARE, longestMs };
   }
 }
 
-/** Which deadlines first tries carry, by route. */
-export class UsualDeadlines {
+/** Deadlines of first attempts, by route. */
+export class FirstAttemptDeadlines {
   private readonly routes = new Map<string, RecentDeadlines>();
 
   /**
-   * Takes in the deadline of a request.
+   * Adds the deadline of a request and estimates how long ago the caller made its first attempt.
    *
-   * @returns how long ago its caller first tried, in milliseconds; 0 for a first try
+   * @returns the time since the first attempt, in milliseconds; 0 for a first attempt
    */
-  triedForMs(route: string, deadlineMs: number): number {
+  timeSinceFirstAttemptMs(route: string, deadlineMs: number): number {
     const recent = this.routes.get(route) ?? new RecentDeadlines();
     this.routes.set(route, recent);
     const { lowestMs, longestMs } = recent.add(deadlineMs);
@@ -61,7 +61,7 @@
   }
 }
 
-function rangeOf(samples: readonly number[]): DeadlineRange {
+function deadlineRangeOf(samples: readonly number[]): DeadlineRange {
   const sorted = [...samples].sort((left, right) => left - right);
   const longestMs = sorted.at(-1)!;
   const medianMs = sorted[Math.floor(sorted.length / 2)]!;
--- a/src/gateway/attempt/accepted-request.ts
+++ b/src/gateway/attempt/accepted-request.ts
@@ -1,10 +1,10 @@
-/** A request that a gateway has taken from its caller. */
+/** The request model after admission. */
 import type { AllowedRegions } from '../../routing/backend-restriction.js';
 import type { Route } from '../../routing/configuration.js';
 import type { HomeOwner } from '../../routing/named-homes.js';
 import type { RawHeaders } from '../admission/caller-protocol.js';
 
-/** A request as the front of a gateway hands it over, its body read whole. */
+/** A request that passed admission, with its complete body. */
 export interface AcceptedRequest {
   readonly requestId: string;
   readonly route: Route;
@@ -12,24 +12,31 @@
   readonly tenant: string | undefined;
   readonly tier: number;
   readonly rankInTier: number;
-  /** Regions in which it may be served, as the configuration in force says when asked; undefined for any. */
+  /**
+   * Regions allowed by the configuration in force at the time of the read; undefined allows any.
+   */
   readonly allowedRegions: AllowedRegions;
-  /** Who may name these regions; told to agents that know of homes. */
+  /**
+   * Route and tenant whose settings restrict the regions; sent to agents that support home regions.
+   */
   readonly homeOwner?: HomeOwner | undefined;
   readonly arrivedAtMs: number;
-  /** When the caller first tried, as far as its time left shows; `arrivedAtMs` for a first try. */
+  /** Estimated time of the caller's first attempt; `arrivedAtMs` unless this is a retry. */
   readonly firstTriedAtMs: number;
-  /** When the caller's deadline or the route's time-out ends it, whichever comes first. */
+  /** The caller's deadline or the route's timeout, whichever comes first. */
   readonly endsAtMs: number;
   readonly units: number;
-  /** Tokens of the prompt; 0 for a request that names none. */
+  /** Prompt tokens; 0 if the request states none. */
   readonly promptTokens: number;
-  /** What each run of it takes of its tenant's quota: tokens, or one; 0 for a tenant without a limit. */
+  /**
+   * Quota charged to the tenant for each run, in tokens or requests; 0 for a tenant without a
+   * quota.
+   */
   readonly quotaCost: number;
   readonly method: string;
   readonly path: string;
   readonly headers: RawHeaders;
   readonly body: Buffer;
-  /** Id of the last event that the caller has, where it continues a stream. */
+  /** Id of the last event that the caller received, if it resumes a stream. */
   readonly lastEventId: string | undefined;
 }
--- a/src/gateway/attempt/answer-relay.ts
+++ b/src/gateway/attempt/answer-relay.ts
@@ -1,46 +1,49 @@
 /**
- * Passes the answers of a request's attempts on to its caller as one answer, without I/O.
+ * Forwards the responses of a request's attempts to its caller as a single response, without I/O.
  *
- * A plain answer is held back until it is whole, or too long to hold. Of a stream
- * only whole events are passed on, so that another attempt can continue it after
- * the last one.
+ * A response that is not a stream is buffered until it is complete or exceeds the buffer limit. Of
+ * an event stream only complete events are forwarded, so that another attempt can resume after the
+ * last one.
  */
 import { endToEndHeaders } from '../admission/caller-protocol.js';
-import type { AnswerHead, AttemptHandle, CallerReply } from './attempt.js';
-import { EventSplitter } from './event-stream.js';
+import type { ResponseHead, AttemptHandle, CallerReply } from './attempt.js';
+import { EventStreamParser } from './event-stream.js';
 
-const MAX_BUFFERED_ANSWER_BYTES = 256 * 1024;
-const HTTP_ERROR = 400;
+const MAX_BUFFERED_RESPONSE_BYTES = 256 * 1024;
+const MIN_HTTP_ERROR_STATUS = 400;
 const FRAMING_HEADERS = new Set(['content-length']);
 const NO_HEADERS = new Set<string>();
 
-/** A whole answer that was held back. */
-export interface HeldAnswer {
-  readonly head: AnswerHead;
+/** A complete buffered response. */
+export interface BufferedResponse {
+  readonly head: ResponseHead;
   readonly body: Buffer;
 }
 
-/** What a relay must know of its request. */
+/** The properties of a request that determine how its response is forwarded. */
 export interface RelayedRequest {
   readonly method: string;
   readonly isStream: boolean;
-  /** Id of the last event that the caller has from before. */
+  /** Id of the last event that the caller received before this request. */
   readonly lastEventId: string | undefined;
 }
 
-/** What became of received bytes. */
+/**
+ * Result of received bytes: `held` if they were only buffered, `passed-on` if bytes were forwarded,
+ * `overlong-event` if an event exceeds the size limit.
+ */
 export type RelayResult = 'held' | 'passed-on' | 'overlong-event';
 
-/** The caller's answer. */
-export class AnswerRelay {
-  private head: AnswerHead | undefined;
-  /** The head that the caller was sent; undefined until its answer has begun. */
-  private sentHead: AnswerHead | undefined;
-  private held: Buffer[] = [];
-  private heldBytes = 0;
-  private splitter = new EventSplitter();
+/** Builds the caller's response from the responses of successive attempts. */
+export class ResponseRelay {
+  private responseHead: ResponseHead | undefined;
+  /** The response head sent to the caller; undefined until the response has started. */
+  private sentHead: ResponseHead | undefined;
+  private bufferedChunks: Buffer[] = [];
+  private bufferedBytes = 0;
+  private parser = new EventStreamParser();
   private lastId: string | undefined;
-  private events = 0;
+  private lastCompletedEvents = 0;
 
   constructor(
     private readonly reply: CallerReply,
@@ -49,100 +52,106 @@
     this.lastId = request.lastEventId;
   }
 
-  /** Whether the caller has a part of its answer. */
+  /** Whether a part of the response was sent to the caller. */
   get hasStarted(): boolean {
     return this.sentHead !== undefined;
   }
 
-  /** Id of the last event that the caller has. */
+  /** Id of the last event sent to the caller. */
   get lastEventId(): string | undefined {
     return this.lastId;
   }
 
-  /** Whole events that the last bytes completed. */
+  /** Number of events completed by the most recent bytes. */
   get completedEvents(): number {
-    return this.events;
+    return this.lastCompletedEvents;
   }
 
-  /** Whether the current attempt's answer ends inside an event so far. */
+  /** Whether the bytes received from the current attempt end inside an event. */
   get isInsideEvent(): boolean {
-    return this.isEventStream && this.splitter.hasPartialEvent;
+    return this.isEventStream && this.parser.hasPartialEvent;
   }
 
-  /** The whole answer of the current attempt, if its head was taken. */
-  get heldAnswer(): HeldAnswer | undefined {
-    return this.head === undefined
+  /** The current attempt's response as buffered so far; undefined if no head was accepted. */
+  get bufferedResponse(): BufferedResponse | undefined {
+    return this.responseHead === undefined
       ? undefined
-      : { head: this.head, body: Buffer.concat(this.held) };
+      : { head: this.responseHead, body: Buffer.concat(this.bufferedChunks) };
   }
 
   private get isEventStream(): boolean {
-    return this.request.isStream && this.head !== undefined && this.head.status < HTTP_ERROR;
+    return (
+      this.request.isStream &&
+      this.responseHead !== undefined &&
+      this.responseHead.status < MIN_HTTP_ERROR_STATUS
+    );
   }
 
-  /** A new attempt begins; what the last one left unfinished is dropped. */
+  /** Starts a new attempt and discards the unfinished data of the previous one. */
   beginAttempt(): void {
-    this.head = undefined;
-    this.held = [];
-    this.heldBytes = 0;
-    this.splitter = new EventSplitter();
+    this.responseHead = undefined;
+    this.bufferedChunks = [];
+    this.bufferedBytes = 0;
+    this.parser = new EventStreamParser();
   }
 
-  /** Takes the head of an answer; false if it cannot continue the answer that has begun. */
-  takeHead(head: AnswerHead): boolean {
+  /** Accepts a response head; returns false if it cannot continue the response already started. */
+  acceptHead(head: ResponseHead): boolean {
     const { sentHead } = this;
-    const isFitting =
+    const isCompatible =
       sentHead === undefined ||
       (head.status === sentHead.status &&
         head.headers['content-type'] === sentHead.headers['content-type']);
-    if (isFitting) {
-      this.head = head;
+    if (isCompatible) {
+      this.responseHead = head;
     }
-    return isFitting;
+    return isCompatible;
   }
 
-  /** Takes bytes of the body; `attempt` is paused while the caller reads too slowly. */
-  takeData(bytes: Buffer, attempt: AttemptHandle | undefined): RelayResult {
-    if (this.head === undefined) {
+  /** Accepts body bytes; pauses `attempt` while the caller applies backpressure. */
+  acceptData(bytes: Buffer, attempt: AttemptHandle | undefined): RelayResult {
+    if (this.responseHead === undefined) {
       return 'held';
     }
     if (this.isEventStream) {
-      return this.takeStreamData(bytes, attempt);
+      return this.acceptStreamData(bytes, attempt);
     }
     if (this.hasStarted) {
       this.forward(bytes, attempt);
       return 'passed-on';
     }
-    this.held.push(bytes);
-    this.heldBytes += bytes.length;
-    if (this.heldBytes <= MAX_BUFFERED_ANSWER_BYTES) {
+    this.bufferedChunks.push(bytes);
+    this.bufferedBytes += bytes.length;
+    if (this.bufferedBytes <= MAX_BUFFERED_RESPONSE_BYTES) {
       return 'held';
     }
     this.start();
-    this.forward(Buffer.concat(this.held), attempt);
-    this.held = [];
+    this.forward(Buffer.concat(this.bufferedChunks), attempt);
+    this.bufferedChunks = [];
     return 'passed-on';
   }
 
-  /** Ends the caller's answer as whole. */
-  end({ head, body }: HeldAnswer): void {
+  /** Completes the caller's response. */
+  end({ head, body }: BufferedResponse): void {
     if (this.hasStarted) {
       this.reply.end();
       return;
     }
-    this.reply.start(head.status, this.wholeAnswerHeaders(head, body));
+    this.reply.start(head.status, this.completeResponseHeaders(head, body));
     this.reply.end(body);
   }
 
-  /** Breaks the caller's answer off visibly. */
+  /**
+   * Aborts the caller's response by closing its connection, so that it is not treated as complete.
+   */
   abort(): void {
     this.reply.abort();
   }
 
-  private takeStreamData(bytes: Buffer, attempt: AttemptHandle | undefined): RelayResult {
-    const events = this.splitter.push(bytes);
-    this.events = events.length;
-    if (this.splitter.isOverlong) {
+  private acceptStreamData(bytes: Buffer, attempt: AttemptHandle | undefined): RelayResult {
+    const events = this.parser.push(bytes);
+    this.lastCompletedEvents = events.length;
+    if (this.parser.hasOversizedEvent) {
       return 'overlong-event';
     }
     if (events.length === 0) {
@@ -160,9 +169,12 @@
     if (this.hasStarted) {
       return;
     }
-    this.sentHead = this.head!;
-    const dropped = this.request.isStream ? FRAMING_HEADERS : NO_HEADERS;
-    this.reply.start(this.sentHead.status, endToEndHeaders(this.sentHead.rawHeaders, dropped));
+    this.sentHead = this.responseHead!;
+    const droppedHeaders = this.request.isStream ? FRAMING_HEADERS : NO_HEADERS;
+    this.reply.start(
+      this.sentHead.status,
+      endToEndHeaders(this.sentHead.rawHeaders, droppedHeaders),
+    );
   }
 
   private forward(bytes: Buffer, attempt: AttemptHandle | undefined): void {
@@ -173,10 +185,10 @@
     this.reply.onceDrained(() => attempt?.resume());
   }
 
-  private wholeAnswerHeaders(head: AnswerHead, body: Buffer): string[] {
-    const kept = endToEndHeaders(head.rawHeaders, FRAMING_HEADERS);
+  private completeResponseHeaders(head: ResponseHead, body: Buffer): string[] {
+    const headers = endToEndHeaders(head.rawHeaders, FRAMING_HEADERS);
     const isHead = this.request.method === 'HEAD';
     const length = isHead ? head.headers['content-length'] : `${body.length}`;
-    return typeof length === 'string' ? [...kept, 'Content-Length', length] : kept;
+    return typeof length === 'string' ? [...headers, 'Content-Length', length] : headers;
   }
 }
--- a/src/gateway/attempt/attempt-progress.ts
+++ b/src/gateway/attempt/attempt-progress.ts
@@ -1,16 +1,16 @@
-/** How far the answer to one attempt has come, and what that says of its back end. */
+/** Tracks the response of one attempt and reports the observed latencies of its backend. */
 import type { Dispatcher } from '../dispatch/dispatcher.js';
 
-/** Progress of one attempt. */
+/** Response progress of one attempt. */
 export class AttemptProgress {
-  private events = 0;
-  private firstAtMs = 0;
-  private isPromptRead = false;
-  private longestMs = 0;
+  private eventCount = 0;
+  private firstEventAtMs = 0;
+  private isPrefillReported = false;
+  private maxPauseMs = 0;
 
   /**
-   * `lastEventAtMs` is when the caller was sent an event of an earlier attempt;
-   * undefined if it never was.
+   * `lastEventAtMs` is the time of the last event sent to the caller by an earlier attempt;
+   * undefined if there was none.
    */
   constructor(
     private readonly dispatcher: Dispatcher,
@@ -18,55 +18,55 @@
     private readonly promptTokens: number,
     private readonly startedAtMs: number,
     public lastEventAtMs: number | undefined,
-    /** Whether the back end was cold when the request was sent: its times say nothing of it warm. */
+    /** Whether the backend was cold at the send; its latencies are then not representative. */
     readonly isColdStart: boolean,
   ) {}
 
   /** Longest pause between two events of the stream, in milliseconds. */
   get longestPauseMs(): number {
-    return this.longestMs;
+    return this.maxPauseMs;
   }
 
-  /** Time from the send to the first event, in milliseconds; undefined before it. */
+  /** Time from the send to the first event, in milliseconds; undefined before the first event. */
   get firstEventMs(): number | undefined {
-    return this.events === 0 ? undefined : this.firstAtMs - this.startedAtMs;
+    return this.eventCount === 0 ? undefined : this.firstEventAtMs - this.startedAtMs;
   }
 
-  /** Whole events arrived. */
-  noteEvents(count: number, nowMs: number): void {
-    if (this.events === 0) {
-      this.firstAtMs = nowMs;
-      this.notePromptRead();
+  /** Records `count` complete events received at `nowMs`. */
+  recordEvents(count: number, nowMs: number): void {
+    if (this.eventCount === 0) {
+      this.firstEventAtMs = nowMs;
+      this.reportPrefillDone();
       this.dispatcher.noteFirst(this.backendId);
-      this.learnFirst(nowMs);
+      this.reportFirstEventLatency(nowMs);
     }
-    this.events += count;
-    this.longestMs = Math.max(this.longestMs, nowMs - (this.lastEventAtMs ?? nowMs));
+    this.eventCount += count;
+    this.maxPauseMs = Math.max(this.maxPauseMs, nowMs - (this.lastEventAtMs ?? nowMs));
     this.lastEventAtMs = nowMs;
   }
 
-  /** The answer is whole. */
-  noteWhole(nowMs: number): void {
-    const pauses = this.events - 1;
+  /** Records that the response is complete. */
+  recordCompletion(nowMs: number): void {
+    const pauses = this.eventCount - 1;
     if (pauses > 0 && !this.isColdStart) {
-      this.dispatcher.learnPause(this.backendId, (nowMs - this.firstAtMs) / pauses);
+      this.dispatcher.learnPause(this.backendId, (nowMs - this.firstEventAtMs) / pauses);
     }
   }
 
-  /** The attempt is over, in whatever way. */
-  noteOver(): void {
-    this.notePromptRead();
+  /** Records the end of the attempt, whatever its outcome. */
+  recordEnd(): void {
+    this.reportPrefillDone();
   }
 
-  private learnFirst(nowMs: number): void {
+  private reportFirstEventLatency(nowMs: number): void {
     if (!this.isColdStart) {
       this.dispatcher.learnFirst(this.backendId, this.promptTokens, nowMs - this.startedAtMs);
     }
   }
 
-  private notePromptRead(): void {
-    if (!this.isPromptRead) {
-      this.isPromptRead = true;
+  private reportPrefillDone(): void {
+    if (!this.isPrefillReported) {
+      this.isPrefillReported = true;
       this.dispatcher.notePromptRead(this.backendId, this.promptTokens);
     }
   }
--- a/src/gateway/attempt/attempt.ts
+++ b/src/gateway/attempt/attempt.ts
@@ -1,11 +1,14 @@
-/** One send of a request to one back end, as the gateway's core sees it. */
+/**
+ * Interfaces between the gateway core and the transport for one attempt to send a request to a
+ * backend.
+ */
 import type { Backend } from '../../routing/backend.js';
 import type { RawHeaders } from '../admission/caller-protocol.js';
 
-/** What is sent. */
+/** An attempt to be sent. */
 export interface OutgoingAttempt {
   readonly backend: Backend;
-  /** Time of a message there and back, in milliseconds; missing where it is next to nothing. */
+  /** Round-trip time to the backend, in milliseconds; omitted if negligible. */
   readonly roundTripMs?: number;
   readonly method: string;
   /** Path and query, unchanged. */
@@ -14,60 +17,66 @@
   readonly body: Buffer;
 }
 
-/** Why an attempt brought no whole answer. */
+/** Why an attempt ended without a complete response. */
 export interface AttemptFailure {
-  /** False only when no byte can have reached the back end. */
+  /** False only if no byte can have reached the backend. */
   readonly mayHaveRun: boolean;
-  /** Whether the machine answered that nothing listens at the back end's address. */
+  /** Whether the host refused the connection because nothing listens on the backend's address. */
   readonly isPortClosed: boolean;
-  /** Whether the network said nothing: no connection came up in time, or one was given up for its silence. */
+  /**
+   * Whether the network did not respond: the connect timed out, or the connection was reported
+   * unreachable.
+   */
   readonly isSilent?: boolean;
   readonly detail: string;
 }
 
-/** The head of a back end's answer. */
-export interface AnswerHead {
+/** Status and headers of a backend's response. */
+export interface ResponseHead {
   readonly status: number;
   readonly rawHeaders: RawHeaders;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
 }
 
-/** Who hears of an attempt; after `onEnd` or `onFailure` nothing follows. */
+/** Callbacks of an attempt; none is called after `onEnd` or `onFailure`. */
 export interface AttemptHandlers {
-  /** A new connection came up, after so many milliseconds. */
+  /** A new connection was established after `elapsedMs`. */
   onConnected?(elapsedMs: number): void;
-  onHead(head: AnswerHead): void;
+  onHead(head: ResponseHead): void;
   onData(bytes: Buffer): void;
-  /** The answer is whole. */
+  /** The response is complete. */
   onEnd(): void;
   onFailure(failure: AttemptFailure): void;
 }
 
-/** An attempt under way. */
+/** Controls an attempt in progress. */
 export interface AttemptHandle {
-  /** Closes the connection; no handler is called any more. */
+  /** Closes the connection; no handler is called afterwards. */
   cancel(): void;
-  /** The same if nothing was sent yet, for want of a connection; says whether. */
+  /**
+   * Cancels the attempt if nothing was sent yet because no connection is established; returns
+   * whether it did.
+   */
   withdraw(): boolean;
   pause(): void;
   resume(): void;
 }
 
-/** Sends requests to back ends. */
+/** Sends requests to backends. */
 export interface BackendSender {
   send(attempt: OutgoingAttempt, handlers: AttemptHandlers): AttemptHandle;
 }
 
-/** The caller's side of a request. */
+/** The response stream to the caller. */
 export interface CallerReply {
-  /** Sends the head of the answer; without a length it goes out in chunks. */
+  /** Sends the response head; without a Content-Length the body uses chunked transfer encoding. */
   start(status: number, headers: RawHeaders): void;
-  /** Sends a part; false when the caller reads too slowly. */
+  /** Sends a part of the body; returns false if the caller applies backpressure. */
   write(bytes: Buffer): boolean;
-  /** Ends the answer as complete. */
+  /** Completes the response. */
   end(bytes?: Buffer): void;
-  /** Closes the connection, so that the answer is seen to be broken. */
+  /** Closes the connection, so that the caller detects an incomplete response. */
   abort(): void;
-  /** Calls back once the caller has read what was written. */
+  /** Calls `callback` once the written data has drained. */
   onceDrained(callback: () => void): void;
 }
--- a/src/gateway/attempt/connection-causes.ts
+++ b/src/gateway/attempt/connection-causes.ts
@@ -1,79 +1,82 @@
 /**
- * Tells why connections to back ends are opened: each new one makes up for one that was lost, or is one more
- * than there were.
+ * Attributes each new backend connection to a reason: it either replaces a closed connection or
+ * adds one to those already open.
  */
 import type { Socket } from 'node:net';
 
-/** Why a connection to a back end was lost. */
-export type ConnectionLoss =
-  /** It had rested for as long as it may. */
+/** Why a connection to a backend was closed. */
+export type ConnectionCloseReason =
+  /** The idle timeout expired. */
   | 'rest-over'
-  /** The back end ended it, or said that it would. */
+  /** The backend closed it or announced `Connection: close`. */
   | 'closed-by-back-end'
-  /** It ended in a fault, or could not be trusted any more. */
+  /** It failed, or was closed as no longer reliable. */
   | 'reset'
-  /** The request on it was broken off here. */
+  /** The gateway cancelled the request on it. */
   | 'broken-off';
 
-/** Why a connection to a back end is opened. */
-export type ConnectionReason =
-  | ConnectionLoss
-  /** The first one to that back end. */
+/** Why a connection to a backend is opened. */
+export type ConnectionOpenReason =
+  | ConnectionCloseReason
+  /** The first connection to this backend. */
   | 'first'
-  /** All others are in use. */
+  /** All open connections are in use. */
   | 'none-idle';
 
-/** Most lost connections that are remembered of one back end. */
-const MAX_REMEMBERED = 64;
+/** Maximum closed connections tracked for one backend until they are replaced. */
+const MAX_UNREPLACED_PER_ADDRESS = 64;
 /**
- * Most back ends whose lost connections are remembered; beyond, the one whose last connection was opened longest
- * ago is taken for new again. Some times what one gateway works with: addresses change over months.
+ * Maximum backends tracked; the one that opened a connection least recently is evicted and later
+ * counts as new. The limit is several times the backends of one gateway, since addresses change
+ * over months.
  */
-const MAX_ADDRESSES = 1_024;
+const MAX_TRACKED_ADDRESSES = 1_024;
 
-/** Connections to back ends, by what they were opened for. */
-export class ConnectionCauses {
-  private readonly losses = new Map<string, ConnectionLoss[]>();
-  private readonly lossOf = new WeakMap<Socket, ConnectionLoss>();
-  private readonly counts = new Map<ConnectionReason, number>();
+/** Counts opened backend connections by reason. */
+export class ConnectionReasonTracker {
+  private readonly unreplacedCloses = new Map<string, ConnectionCloseReason[]>();
+  private readonly closeReasonOf = new WeakMap<Socket, ConnectionCloseReason>();
+  private readonly openCounts = new Map<ConnectionOpenReason, number>();
 
-  constructor(private readonly onOpened: (reason: ConnectionReason) => void) {}
+  constructor(private readonly onOpened: (reason: ConnectionOpenReason) => void) {}
 
-  /** How many were opened, by reason. */
-  get opened(): ReadonlyMap<ConnectionReason, number> {
-    return this.counts;
+  /** Number of connections opened, by reason. */
+  get opened(): ReadonlyMap<ConnectionOpenReason, number> {
+    return this.openCounts;
   }
 
-  /** A connection to `address` is opened. */
-  noteOpened(address: string, socket: Socket): void {
-    const lost = this.losses.get(address);
-    const reason = lost === undefined ? 'first' : (lost.shift() ?? 'none-idle');
-    this.remember(address, lost ?? []);
-    this.counts.set(reason, (this.counts.get(reason) ?? 0) + 1);
+  /** Records that a connection to `address` is opened. */
+  recordOpened(address: string, socket: Socket): void {
+    const closes = this.unreplacedCloses.get(address);
+    const reason = closes === undefined ? 'first' : (closes.shift() ?? 'none-idle');
+    this.storeCloses(address, closes ?? []);
+    this.openCounts.set(reason, (this.openCounts.get(reason) ?? 0) + 1);
     this.onOpened(reason);
-    socket.once('close', () => this.noteLost(address, this.lossOf.get(socket) ?? 'reset'));
+    socket.once('close', () =>
+      this.recordClosed(address, this.closeReasonOf.get(socket) ?? 'reset'),
+    );
   }
 
-  /** Says why a connection ends; the first word counts. */
-  noteEnding(socket: Socket, loss: ConnectionLoss): void {
-    if (!this.lossOf.has(socket)) {
-      this.lossOf.set(socket, loss);
+  /** Sets why a connection closes; only the first reason set is used. */
+  setCloseReason(socket: Socket, reason: ConnectionCloseReason): void {
+    if (!this.closeReasonOf.has(socket)) {
+      this.closeReasonOf.set(socket, reason);
     }
   }
 
-  private remember(address: string, lost: ConnectionLoss[]): void {
-    this.losses.delete(address);
-    this.losses.set(address, lost);
-    const [oldest] = this.losses.keys();
-    if (this.losses.size > MAX_ADDRESSES && oldest !== undefined) {
-      this.losses.delete(oldest);
+  private storeCloses(address: string, closes: ConnectionCloseReason[]): void {
+    this.unreplacedCloses.delete(address);
+    this.unreplacedCloses.set(address, closes);
+    const [oldest] = this.unreplacedCloses.keys();
+    if (this.unreplacedCloses.size > MAX_TRACKED_ADDRESSES && oldest !== undefined) {
+      this.unreplacedCloses.delete(oldest);
     }
   }
 
-  private noteLost(address: string, loss: ConnectionLoss): void {
-    const lost = this.losses.get(address);
-    if (lost !== undefined && lost.length < MAX_REMEMBERED) {
-      lost.push(loss);
+  private recordClosed(address: string, reason: ConnectionCloseReason): void {
+    const closes = this.unreplacedCloses.get(address);
+    if (closes !== undefined && closes.length < MAX_UNREPLACED_PER_ADDRESS) {
+      closes.push(reason);
     }
   }
 }
--- a/src/gateway/attempt/event-stream.ts
+++ b/src/gateway/attempt/event-stream.ts
@@ -1,34 +1,36 @@
-/** Splits a stream of server-sent events into whole events, so that none is passed on in part. */
+/**
+ * Splits a server-sent event stream into complete events, so that no event is forwarded in part.
+ */
 
 const EVENT_END = '\n\n';
 const ID_LINE = /^id: ?(.*)$/m;
 const MAX_EVENT_BYTES = 1024 * 1024;
 
-/** One whole event as it was received, its closing blank line included. */
-export interface WholeEvent {
+/** A complete event as received, including its terminating blank line. */
+export interface CompleteEvent {
   readonly bytes: Buffer;
-  /** Undefined for an event without an id. */
+  /** Undefined if the event has no id. */
   readonly id: string | undefined;
 }
 
-/** Splits the bytes of one answer. */
-export class EventSplitter {
+/** Parses the body of one response. */
+export class EventStreamParser {
   private pending: Buffer = Buffer.alloc(0);
 
-  /** Whether the bytes so far end inside an event. */
+  /** Whether the received bytes end inside an event. */
   get hasPartialEvent(): boolean {
     return this.pending.length > 0;
   }
 
-  /** Whether an event is longer than any that is accepted. */
-  get isOverlong(): boolean {
+  /** Whether the current event exceeds the size limit. */
+  get hasOversizedEvent(): boolean {
     return this.pending.length > MAX_EVENT_BYTES;
   }
 
-  /** Takes received bytes and returns the events that they complete. */
-  push(bytes: Buffer): WholeEvent[] {
+  /** Appends received bytes and returns the events they complete. */
+  push(bytes: Buffer): CompleteEvent[] {
     this.pending = this.pending.length === 0 ? bytes : Buffer.concat([this.pending, bytes]);
-    const events: WholeEvent[] = [];
+    const events: CompleteEvent[] = [];
     let end = this.pending.indexOf(EVENT_END);
     while (end >= 0) {
       const event = this.pending.subarray(0, end + EVENT_END.length);
--- a/src/gateway/attempt/granted-rest.ts
+++ b/src/gateway/attempt/granted-rest.ts
@@ -1,24 +1,30 @@
-/** Query: how long a connection may rest, as the back end's answer grants it. */
+/** Derives the idle timeout of a connection from the backend's `Keep-Alive` header. */
 
-/** `timeout` of a `Keep-Alive` header, in whole seconds. */
+/** Matches the `timeout` parameter of a `Keep-Alive` header, in whole seconds. */
 const TIMEOUT_PATTERN = /(?:^|[\s,;])timeout\s*=\s*(\d+)/i;
 const MS_PER_S = 1_000;
-/** Back ends round to whole seconds, up or down: what they grant may be over so much earlier, in milliseconds. */
+/**
+ * Backends round the timeout to whole seconds, up or down, so the actual one may be this many
+ * milliseconds shorter.
+ */
 const ROUNDING_MS = 1_000;
-/** Share of what is granted that is used at the least: a back end that grants one second seldom means none. */
-const MIN_SHARE = 0.5;
+/**
+ * Minimum share of the advertised timeout that is used: one second rarely means an actual timeout
+ * of zero.
+ */
+const MIN_USED_SHARE = 0.5;
 
 /**
- * The rest that a `Keep-Alive` header grants, less what the back end may have rounded, so that it does not
- * close first.
+ * Returns the timeout advertised by a `Keep-Alive` header, reduced by the possible rounding error,
+ * so that the gateway closes the connection before the backend does.
  *
- * @returns milliseconds; Infinity where the header grants no bound
+ * @returns milliseconds; Infinity if the header states no timeout
  */
-export function grantedRestMs(header: string | undefined): number {
+export function keepAliveTimeoutMs(header: string | undefined): number {
   const seconds = TIMEOUT_PATTERN.exec(header ?? '')?.[1];
   if (seconds === undefined) {
     return Infinity;
   }
-  const grantedMs = Number(seconds) * MS_PER_S;
-  return Math.max(grantedMs - ROUNDING_MS, grantedMs * MIN_SHARE);
+  const advertisedMs = Number(seconds) * MS_PER_S;
+  return Math.max(advertisedMs - ROUNDING_MS, advertisedMs * MIN_USED_SHARE);
 }
--- a/src/gateway/attempt/guarded-agent.ts
+++ b/src/gateway/attempt/guarded-agent.ts
@@ -1,113 +1,123 @@
-/** Connections to back ends between two requests. */
+/** HTTP agent that manages idle keep-alive connections to backends. */
 import { Agent } from 'node:http';
 import type { ClientRequest } from 'node:http';
 import type { Socket } from 'node:net';
 import type { Duplex } from 'node:stream';
 import type { HostAndPort } from '../../address.js';
-import { ConnectionCauses } from './connection-causes.js';
-import type { ConnectionReason } from './connection-causes.js';
-import { DEFAULT_REST_LIMIT_OPTIONS, RestLimit } from './rest-limit.js';
+import { ConnectionReasonTracker } from './connection-causes.js';
+import type { ConnectionOpenReason } from './connection-causes.js';
+import { DEFAULT_ADAPTIVE_IDLE_TIMEOUT_OPTIONS, AdaptiveIdleTimeout } from './rest-limit.js';
 
-/** Limits of resting connections. */
-export interface RestingConnectionLimits {
-  /** Longest rest of a connection, in milliseconds, where the back end names none. */
+/** Limits of idle connections. */
+export interface IdleConnectionLimits {
+  /** Idle timeout of a connection whose backend advertises none, in milliseconds. */
   readonly idleMs: number;
-  /** Most resting connections to one back end. */
+  /** Maximum idle connections to one backend. */
   readonly maxIdlePerBackend: number;
 }
 
-/** Share of the longest rest that is used, so that a back end that names none does not close first. */
-const IDLE_SHARE = 0.6;
-/** Shortest rest after which a reset says that connections are forgotten, in milliseconds. */
-const MIN_FORGOTTEN_REST_MS = 150;
+/**
+ * Share of the idle timeout that is used, so that a backend that advertises none does not close
+ * first.
+ */
+const IDLE_TIMEOUT_SHARE = 0.6;
+/** Minimum idle time after which a reset counts as a sign of stale connections, in milliseconds. */
+const MIN_STALE_IDLE_MS = 150;
 
 /**
- * Keeps resting connections, but none on which anything arrives while no
- * request is under way: such bytes belong to no request.
+ * Reuses idle connections, but closes one on which data arrives while no request is in progress:
+ * such bytes belong to no request.
  */
-export class GuardedAgent extends Agent {
-  readonly causes: ConnectionCauses;
-  private readonly longestRestMs: number;
-  private readonly restLimit: RestLimit;
-  private readonly restingSinceMs = new WeakMap<Socket, number>();
-  private readonly watched = new WeakSet<Socket>();
-  /** How long each connection may rest, as its back end granted last. */
-  private readonly grantedMs = new WeakMap<Socket, number>();
-  /** How long a connection that is in use again had rested. */
-  private readonly lastRestMs = new WeakMap<Socket, number>();
+export class KeepAliveAgent extends Agent {
+  readonly connectionReasons: ConnectionReasonTracker;
+  private readonly maxIdleMs: number;
+  private readonly adaptiveTimeout: AdaptiveIdleTimeout;
+  private readonly idleSinceMs = new WeakMap<Socket, number>();
+  private readonly observedSockets = new WeakSet<Socket>();
+  /** Idle timeout of each connection, as last advertised by its backend. */
+  private readonly advertisedTimeoutMs = new WeakMap<Socket, number>();
+  /** How long each reused connection had been idle. */
+  private readonly lastIdleMs = new WeakMap<Socket, number>();
 
-  constructor(limits: RestingConnectionLimits, onOpened: (reason: ConnectionReason) => void) {
+  constructor(limits: IdleConnectionLimits, onOpened: (reason: ConnectionOpenReason) => void) {
     super({
       keepAlive: true,
       maxFreeSockets: limits.maxIdlePerBackend,
       timeout: limits.idleMs,
       scheduling: 'lifo',
     });
-    this.longestRestMs = limits.idleMs * IDLE_SHARE;
-    this.causes = new ConnectionCauses(onOpened);
-    this.restLimit = new RestLimit({ ...DEFAULT_REST_LIMIT_OPTIONS, maxMs: limits.idleMs });
+    this.maxIdleMs = limits.idleMs * IDLE_TIMEOUT_SHARE;
+    this.connectionReasons = new ConnectionReasonTracker(onOpened);
+    this.adaptiveTimeout = new AdaptiveIdleTimeout({
+      ...DEFAULT_ADAPTIVE_IDLE_TIMEOUT_OPTIONS,
+      maxMs: limits.idleMs,
+    });
   }
 
-  /** The back end said how long the connection may rest after the answer that begins. */
-  noteGranted(socket: Socket, restMs: number): void {
-    this.grantedMs.set(socket, restMs);
+  /** Sets the idle timeout that the backend advertised in the head of the current response. */
+  setAdvertisedTimeout(socket: Socket, timeoutMs: number): void {
+    this.advertisedTimeoutMs.set(socket, timeoutMs);
   }
 
-  /** A request on a connection that was used again got no answer but a reset. */
-  noteForgotten(socket: Socket): void {
-    const restedMs = this.lastRestMs.get(socket);
-    if (restedMs === undefined || restedMs < MIN_FORGOTTEN_REST_MS) {
+  /**
+   * Handles the reset of a reused connection before any response: lowers the timeout and closes
+   * idle ones above it.
+   */
+  recordStaleReset(socket: Socket): void {
+    const idleMs = this.lastIdleMs.get(socket);
+    if (idleMs === undefined || idleMs < MIN_STALE_IDLE_MS) {
       return;
     }
     const nowMs = performance.now();
-    this.restLimit.noteForgotten(restedMs, nowMs);
-    const limitMs = this.restLimit.current(nowMs);
-    for (const resting of Object.values(this.freeSockets).flat()) {
-      const sinceMs = resting === undefined ? undefined : this.restingSinceMs.get(resting);
-      if (sinceMs !== undefined && nowMs - sinceMs > limitMs) {
-        resting!.destroy();
+    this.adaptiveTimeout.recordStaleReset(idleMs, nowMs);
+    const limitMs = this.adaptiveTimeout.current(nowMs);
+    for (const idleSocket of Object.values(this.freeSockets).flat()) {
+      const idleSinceMs = idleSocket === undefined ? undefined : this.idleSinceMs.get(idleSocket);
+      if (idleSinceMs !== undefined && nowMs - idleSinceMs > limitMs) {
+        idleSocket!.destroy();
       }
     }
   }
 
-  /** Ends the resting connections to one address. */
+  /** Closes the idle connections to one address. */
   endResting({ host, port }: HostAndPort): void {
-    for (const resting of this.freeSockets[this.getName({ host, port })] ?? []) {
-      resting.destroy();
+    for (const idleSocket of this.freeSockets[this.getName({ host, port })] ?? []) {
+      idleSocket.destroy();
     }
   }
 
   override keepSocketAlive(stream: Duplex): boolean {
     const socket = stream as Socket;
-    const restMs = this.grantedMs.get(socket) ?? Infinity;
-    if (restMs <= 0 || socket.readableLength > 0) {
+    const timeoutMs = this.advertisedTimeoutMs.get(socket) ?? Infinity;
+    if (timeoutMs <= 0 || socket.readableLength > 0) {
       return false;
     }
-    // The base class keeps no connection for which a whole second is granted; its answer is left aside.
+    // The result is ignored: the base class rejects connections with an advertised timeout of one
+    // second.
     super.keepSocketAlive(stream);
     const nowMs = performance.now();
-    socket.setTimeout(Math.min(restMs, this.longestRestMs, this.restLimit.current(nowMs)));
+    socket.setTimeout(Math.min(timeoutMs, this.maxIdleMs, this.adaptiveTimeout.current(nowMs)));
     socket.on('data', destroySocket);
-    this.watchResting(socket);
-    this.restingSinceMs.set(socket, nowMs);
+    this.observeIdleClose(socket);
+    this.idleSinceMs.set(socket, nowMs);
     return true;
   }
 
-  /** Learns why the connection ends, if it does while it rests. */
-  private watchResting(socket: Socket): void {
-    if (this.watched.has(socket)) {
+  /** Records the reason if the connection closes while idle. */
+  private observeIdleClose(socket: Socket): void {
+    if (this.observedSockets.has(socket)) {
       return;
     }
-    this.watched.add(socket);
-    socket.on('timeout', () => this.causes.noteEnding(socket, 'rest-over'));
-    socket.on('end', () => this.causes.noteEnding(socket, 'closed-by-back-end'));
+    this.observedSockets.add(socket);
+    socket.on('timeout', () => this.connectionReasons.setCloseReason(socket, 'rest-over'));
+    socket.on('end', () => this.connectionReasons.setCloseReason(socket, 'closed-by-back-end'));
   }
 
   override reuseSocket(stream: Duplex, request: ClientRequest): void {
     stream.removeListener('data', destroySocket);
-    const sinceMs = this.restingSinceMs.get(stream as Socket);
-    if (sinceMs !== undefined) {
-      this.lastRestMs.set(stream as Socket, performance.now() - sinceMs);
+    const idleSinceMs = this.idleSinceMs.get(stream as Socket);
+    if (idleSinceMs !== undefined) {
+      this.lastIdleMs.set(stream as Socket, performance.now() - idleSinceMs);
     }
     super.reuseSocket(stream, request);
   }
--- a/src/gateway/attempt/http-backend-sender.ts
+++ b/src/gateway/attempt/http-backend-sender.ts
@@ -1,4 +1,4 @@
-/** Sends requests to back ends over HTTP and keeps their connections. */
+/** Sends requests to backends over HTTP with pooled keep-alive connections. */
 import { request as httpRequest } from 'node:http';
 import type { ClientRequest, IncomingMessage } from 'node:http';
 import type { Socket } from 'node:net';
@@ -12,80 +12,95 @@
 import { splitAddress } from '../../address.js';
 import type { HostAndPort } from '../../address.js';
 import { SYSTEM_CLOCK } from '../../clock.js';
-import type { ConnectionLoss, ConnectionReason } from './connection-causes.js';
-import { withLength } from './body-length.js';
-import { grantedRestMs } from './granted-rest.js';
-import { GuardedAgent } from './guarded-agent.js';
-import { StandstillWatch } from './standstill-watch.js';
+import type { ConnectionCloseReason, ConnectionOpenReason } from './connection-causes.js';
+import { withContentLength } from './body-length.js';
+import { keepAliveTimeoutMs } from './granted-rest.js';
+import { KeepAliveAgent } from './guarded-agent.js';
+import { StallDetector } from './standstill-watch.js';
 
-/** Limits of the connections to back ends. */
+/** Limits of the connections to backends. */
 export interface BackendSenderOptions {
-  /** Longest time for a connection to come up beside the way there and back, in milliseconds. Default 200. */
+  /** Connect timeout in addition to the round-trip time, in milliseconds. Default 200. */
   readonly connectTimeoutMs: number;
-  /** Longest rest of a connection, in milliseconds, where the back end names none. Default 20,000. */
+  /**
+   * Idle timeout of a connection whose backend advertises none, in milliseconds. Default 20,000.
+   */
   readonly idleMs: number;
-  /** Most resting connections to one back end. Default 32. */
+  /** Maximum idle connections to one backend. Default 32. */
   readonly maxIdlePerBackend: number;
 }
 
-/** Defaults of the connections to back ends. */
+/** Default limits of the connections to backends. */
 export const DEFAULT_BACKEND_SENDER_OPTIONS: BackendSenderOptions = {
   connectTimeoutMs: 200,
   idleMs: 20_000,
   maxIdlePerBackend: 32,
 };
 
-/** Longest time from a send to the reset by which a forgotten connection shows, beside the way, in milliseconds. */
-const FORGOTTEN_RESET_MS = 25;
+/**
+ * Maximum time from a send to a reset that indicates a stale connection, beyond the round trip, in
+ * milliseconds.
+ */
+const STALE_RESET_MS = 25;
 
 /**
- * Time without an answer from which on a connection that was used again may have fallen silent for good, in
- * milliseconds: longer than callers take that leave early, shorter than the patience of the others.
+ * Time without a response after which a cancelled request on a reused connection indicates a dead
+ * connection, in milliseconds. It is longer than callers wait that disconnect early, and shorter
+ * than the others wait.
  */
-const SILENT_MS = 500;
+const SILENT_CONNECTION_MS = 500;
 
-/** Errors by which the system says that nothing comes back on the way to the back end. */
-const SILENCE_CODES: ReadonlySet<string> = new Set(['ETIMEDOUT', 'EHOSTUNREACH', 'ENETUNREACH']);
+/** System errors that report an unreachable backend. */
+const UNREACHABLE_ERROR_CODES: ReadonlySet<string> = new Set([
+  'ETIMEDOUT',
+  'EHOSTUNREACH',
+  'ENETUNREACH',
+]);
 
-/** Sends requests to back ends over HTTP. */
+/** Sends requests to backends over HTTP. */
 export class HttpBackendSender implements BackendSender {
-  private readonly agent: GuardedAgent;
-  private readonly standstill = new StandstillWatch(SYSTEM_CLOCK);
+  private readonly agent: KeepAliveAgent;
+  private readonly stallDetector = new StallDetector(SYSTEM_CLOCK);
 
   constructor(
     private readonly options = DEFAULT_BACKEND_SENDER_OPTIONS,
-    /** A connection is opened. */
-    onConnection: (reason: ConnectionReason) => void = () => undefined,
+    /** Called when a connection is opened. */
+    onConnection: (reason: ConnectionOpenReason) => void = () => undefined,
   ) {
-    this.agent = new GuardedAgent(options, onConnection);
+    this.agent = new KeepAliveAgent(options, onConnection);
   }
 
-  /** Closes resting connections. */
+  /** Closes idle connections and stops the stall detector. */
   close(): void {
-    this.standstill.close();
+    this.stallDetector.close();
     this.agent.destroy();
   }
 
-  /** Ends the resting connections to a back end that is gone. */
+  /** Closes the idle connections to a backend that has ended. */
   endResting(address: string): void {
     this.agent.endResting(splitAddress(address));
   }
 
-  /** Connections that were opened, by reason. */
-  get connectionsOpened(): ReadonlyMap<ConnectionReason, number> {
-    return this.agent.causes.opened;
+  /** Number of connections opened, by reason. */
+  get connectionsOpened(): ReadonlyMap<ConnectionOpenReason, number> {
+    return this.agent.connectionReasons.opened;
   }
 
   send(attempt: OutgoingAttempt, handlers: AttemptHandlers): AttemptHandle {
-    const begun = new HttpAttempt(attempt, handlers, this.agent, this.options.connectTimeoutMs);
-    this.standstill.whenCaughtUp(() => begun.begin());
-    return begun;
+    const httpAttempt = new HttpAttempt(
+      attempt,
+      handlers,
+      this.agent,
+      this.options.connectTimeoutMs,
+    );
+    this.stallDetector.afterPendingInput(() => httpAttempt.begin());
+    return httpAttempt;
   }
 }
 
-/** One request under way. */
+/** One HTTP request in progress. */
 class HttpAttempt implements AttemptHandle {
-  /** Undefined until it is sent. */
+  /** Undefined until the request is sent. */
   private request: ClientRequest | undefined;
   private response: IncomingMessage | undefined;
   private readonly startedAtMs = performance.now();
@@ -99,21 +114,21 @@
   constructor(
     private readonly attempt: OutgoingAttempt,
     private readonly handlers: AttemptHandlers,
-    private readonly agent: GuardedAgent,
+    private readonly agent: KeepAliveAgent,
     private readonly connectTimeoutMs: number,
   ) {
     this.address = splitAddress(attempt.backend.address);
     this.roundTripMs = attempt.roundTripMs ?? 0;
   }
 
-  /** Sends the request, unless it was cancelled before. */
+  /** Sends the request unless it was cancelled. */
   begin(): void {
     if (this.isOver) {
       return;
     }
     const { address, agent, connectTimeoutMs } = this;
     const { method, path, body } = this.attempt;
-    const headers = withLength(this.attempt.headers, method, body);
+    const headers = withContentLength(this.attempt.headers, method, body);
     const request = httpRequest({ ...address, method, path, headers, agent, setHost: false });
     request.on('socket', (socket) => this.onSocket(socket, connectTimeoutMs));
     request.on('response', (response) => this.onResponse(response));
@@ -125,23 +140,27 @@
   cancel(): void {
     this.isOver = true;
     clearTimeout(this.connectTimer);
-    if (this.isUnanswered && performance.now() - this.startedAtMs > SILENT_MS) {
+    if (
+      this.isReusedWithoutResponse &&
+      performance.now() - this.startedAtMs > SILENT_CONNECTION_MS
+    ) {
       this.agent.endResting(this.address);
     }
-    this.noteEnding('broken-off');
-    this.breakOff();
+    this.setCloseReason('broken-off');
+    this.abortRequest();
   }
 
   /**
-   * What was sent and has not arrived yet must not arrive any more: the system would go on sending it after
-   * an ordinary close, also once a path that was cut is back. An answer that has begun shows that all arrived.
+   * Resets the connection, so that sent data that has not arrived yet is discarded: after an
+   * ordinary close the system would keep retransmitting it, even once a partitioned path recovers.
+   * A response that has started shows that the whole request arrived, so no reset is needed.
    */
-  private breakOff(): void {
+  private abortRequest(): void {
     const socket = this.request?.socket;
-    const isUnderWay =
+    const isAwaitingResponse =
       this.response === undefined && this.isConnected && socket?.destroyed === false;
-    // A request of which this process itself still holds a part is not whole at the back end either way.
-    if (isUnderWay && socket.writableLength === 0) {
+    // With unsent data in this process the request is incomplete at the backend in any case.
+    if (isAwaitingResponse && socket.writableLength === 0) {
       socket.on('error', () => undefined);
       socket.resetAndDestroy();
     } else {
@@ -172,9 +191,9 @@
       return;
     }
     const { host, port } = this.address;
-    this.agent.causes.noteOpened(`${host}:${port}`, socket);
+    this.agent.connectionReasons.recordOpened(`${host}:${port}`, socket);
     this.connectTimer = setTimeout(
-      () => this.endLateConnection(socket),
+      () => this.abortLateConnection(socket),
       connectTimeoutMs + this.roundTripMs,
     );
     socket.once('connect', () => {
@@ -185,10 +204,11 @@
   }
 
   /**
-   * After a busy turn of the loop timers run before connections that came up in
-   * it are seen; those are given the rest of the turn.
+   * Aborts a connect that timed out. After a blocked event loop, timers run before the connections
+   * that were established meanwhile are reported, so the check waits for the rest of the loop
+   * iteration.
    */
-  private endLateConnection(socket: Socket): void {
+  private abortLateConnection(socket: Socket): void {
     setImmediate(() => {
       if (socket.connecting) {
         this.hasTimedOut = true;
@@ -200,22 +220,22 @@
   private onResponse(response: IncomingMessage): void {
     this.response = response;
     const { socket, headers } = response;
-    this.agent.noteGranted(socket, grantedRestMs(headers['keep-alive']?.toString()));
+    this.agent.setAdvertisedTimeout(socket, keepAliveTimeoutMs(headers['keep-alive']?.toString()));
     if (headers.connection?.toLowerCase() === 'close') {
-      this.agent.causes.noteEnding(socket, 'closed-by-back-end');
+      this.agent.connectionReasons.setCloseReason(socket, 'closed-by-back-end');
     }
     const isFramed = headers['content-length'] ?? headers['transfer-encoding'];
     if (isFramed === undefined) {
-      socket.prependOnceListener('end', () => this.checkReset(socket));
+      socket.prependOnceListener('end', () => this.detectReset(socket));
     }
     response.on('data', (bytes: Buffer) => {
       if (!this.isOver) {
         this.handlers.onData(bytes);
       }
     });
-    response.on('end', () => this.endAnswer(response));
+    response.on('end', () => this.completeResponse(response));
     response.on('error', (error) => this.fail(error.message));
-    response.on('close', () => this.fail('the connection closed inside the answer'));
+    response.on('close', () => this.fail('connection closed before the response was complete'));
     if (!this.isOver) {
       this.handlers.onHead({
         status: response.statusCode ?? 0,
@@ -226,59 +246,60 @@
   }
 
   /**
-   * A reset that arrives together with the last bytes is reported as an
-   * ordinary end of input (libuv reads no further once the poll says that the
-   * peer hung up). The peer's name tells them apart: a reset connection has none.
+   * Fails the attempt if the end of input is a reset. A reset that arrives together with the last
+   * bytes is reported as an ordinary end of input, since libuv stops reading once poll reports a
+   * hang-up. A reset connection has no remote address any more.
    */
-  private checkReset(socket: Socket): void {
+  private detectReset(socket: Socket): void {
     if (socket.remoteAddress === undefined) {
-      this.fail('the connection was reset inside the answer');
+      this.fail('connection reset before the response was complete');
     }
   }
 
-  private endAnswer(response: IncomingMessage): void {
+  private completeResponse(response: IncomingMessage): void {
     if (this.isOver) {
       return;
     }
     if (!response.complete) {
-      this.fail('the answer is not complete');
+      this.fail('incomplete response');
       return;
     }
     this.isOver = true;
     if (this.request?.writableFinished === false) {
-      // The back end answered before it had read the whole body: its connection is of no more use.
+      // The backend responded before it had read the whole body: the connection cannot be reused.
       this.request.destroy();
     }
     this.handlers.onEnd();
   }
 
-  private noteEnding(loss: ConnectionLoss): void {
+  private setCloseReason(loss: ConnectionCloseReason): void {
     const socket = this.request?.socket;
     if (socket) {
-      this.agent.causes.noteEnding(socket, loss);
+      this.agent.connectionReasons.setCloseReason(socket, loss);
     }
   }
 
-  /** Whether nothing came back on a connection that was used again. */
-  private get isUnanswered(): boolean {
+  /** Whether the connection was reused and returned no response. */
+  private get isReusedWithoutResponse(): boolean {
     return this.request?.reusedSocket === true && this.response === undefined;
   }
 
   /**
-   * A connection that was used again brought no answer. The back end may be gone: what is sent on another
-   * resting connection could be lost too, and nobody could tell whether it ran, while a new connection is
-   * refused before anything is sent. A failure right after the send shows that the connection was gone
-   * before it; later ones show a failed run.
+   * Closes the idle connections to the address if a reused connection returned no response. The
+   * backend may have ended: a request sent on another idle connection could be lost too, with no
+   * way to tell whether it was executed, while a new connection is refused before anything is sent.
+   * A failure right after the send indicates a connection that was already stale; a later one
+   * indicates a failed execution.
    */
-  private noteUnanswered(): void {
+  private closeIdleAfterNoResponse(): void {
     const { request, startedAtMs } = this;
-    if (!this.isUnanswered) {
+    if (!this.isReusedWithoutResponse) {
       return;
     }
     this.agent.endResting(this.address);
-    const isAtOnce = performance.now() - startedAtMs <= FORGOTTEN_RESET_MS + this.roundTripMs;
-    if (isAtOnce && request?.socket) {
-      this.agent.noteForgotten(request.socket);
+    const isStaleReset = performance.now() - startedAtMs <= STALE_RESET_MS + this.roundTripMs;
+    if (isStaleReset && request?.socket) {
+      this.agent.recordStaleReset(request.socket);
     }
   }
 
@@ -288,12 +309,12 @@
     }
     this.isOver = true;
     clearTimeout(this.connectTimer);
-    this.noteUnanswered();
+    this.closeIdleAfterNoResponse();
     this.request?.destroy();
     const failure: AttemptFailure = {
       mayHaveRun: this.isConnected,
       isPortClosed: error?.code === 'ECONNREFUSED',
-      isSilent: this.hasTimedOut || SILENCE_CODES.has(error?.code ?? ''),
+      isSilent: this.hasTimedOut || UNREACHABLE_ERROR_CODES.has(error?.code ?? ''),
       detail: this.hasTimedOut ? 'no connection in time' : detail,
     };
     this.handlers.onFailure(failure);
--- a/src/gateway/attempt/one-shot-timer.ts
+++ b/src/gateway/attempt/one-shot-timer.ts
@@ -1,18 +1,18 @@
-/** A timer that runs once at a time. */
+/** A restartable timer with at most one pending callback. */
 import type { Clock, TimerHandle } from '../../clock.js';
 
-/** A timer that runs once at a time: what is started takes the place of what runs. */
+/** A timer with at most one pending callback; starting it replaces the pending one. */
 export class OneShotTimer {
   private handle: TimerHandle | undefined;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Whether its time is still to come. */
+  /** Whether a callback is pending. */
   get isRunning(): boolean {
     return this.handle !== undefined;
   }
 
-  /** Calls `callback` once after `delayMs`, at once for a delay below 0. */
+  /** Calls `callback` once after `delayMs`; a negative delay is treated as 0. */
   start(delayMs: number, callback: () => void): void {
     this.clear();
     this.handle = this.clock.setTimeout(
@@ -24,7 +24,7 @@
     );
   }
 
-  /** Prevents a call that has not happened yet. */
+  /** Cancels the pending callback, if any. */
   clear(): void {
     if (this.handle !== undefined) {
       this.clock.clearTimeout(this.handle);
--- a/src/gateway/attempt/outgoing-request.ts
+++ b/src/gateway/attempt/outgoing-request.ts
@@ -1,28 +1,30 @@
-/** Query: a request as it goes out to a back end. */
+/** Builds the request that is sent to a backend. */
 import { endToEndHeaders } from '../admission/caller-protocol.js';
 import type { CallerProtocol } from '../admission/caller-protocol.js';
 import type { Backend } from '../../routing/backend.js';
 import type { AcceptedRequest } from './accepted-request.js';
 import type { OutgoingAttempt } from './attempt.js';
 
-/** What a send is reckoned from beside the request. */
-export interface SendMoment {
+/** Per-attempt values that an outgoing request depends on. */
+export interface AttemptContext {
   readonly backend: Backend;
-  /** Time of a message there and back, in milliseconds. */
+  /** Round-trip time to the backend, in milliseconds. */
   readonly roundTripMs: number;
-  /** Id of the last event that the caller has got, where the send continues a stream. */
+  /** Id of the last event sent to the caller, if the attempt resumes a stream. */
   readonly lastEventId: string | undefined;
   readonly nowMs: number;
 }
 
 const NO_HEADERS = new Set<string>();
-/** A back end that is told of no time at all might not begin. */
+/**
+ * Lower bound of the remaining time sent; a backend might not start a request that has none left.
+ */
 const MIN_REMAINING_MS = 1;
 
-/** The request with the headers that the gateway sets. */
+/** Returns the outgoing request with the gateway's headers added. */
 export function outgoingRequest(
   request: AcceptedRequest,
-  { backend, roundTripMs, lastEventId, nowMs }: SendMoment,
+  { backend, roundTripMs, lastEventId, nowMs }: AttemptContext,
   protocol: CallerProtocol,
 ): OutgoingAttempt {
   const { requestId, tenant, method, path, body } = request;
--- a/src/gateway/attempt/refusal-pause.ts
+++ b/src/gateway/attempt/refusal-pause.ts
@@ -1,29 +1,32 @@
-/** Query: when the caller of a request that was not run is told to come back. */
+/** Computes the Retry-After of a request that was not executed. */
 import type { GatewayRefusal } from '../admission/gateway-refusal.js';
 import { isHomeRefusal } from '../homes/home-refusal.js';
 import type { RequestOptions } from './request-model.js';
 
-/** What the pause is reckoned from. */
-export interface RefusedWait {
+/** Inputs of the Retry-After computation. */
+export interface RetryAfterInputs {
   readonly options: RequestOptions;
-  /** The pause by the queue that the request waited in; undefined if it never waited. */
-  readonly queuePauseMs: (() => number) | undefined;
-  /** What the caller has left, in milliseconds. */
-  readonly leftMs: number;
+  /**
+   * Computes the Retry-After from the queue in which the request waited; undefined if it never
+   * waited.
+   */
+  readonly queueRetryAfterMs: (() => number) | undefined;
+  /** Time left until the deadline of the request, in milliseconds. */
+  readonly remainingMs: number;
 }
 
-/** The pause, in milliseconds. */
-export function refusalPauseMs(
+/** Returns the Retry-After, in milliseconds. */
+export function refusalRetryAfterMs(
   reason: GatewayRefusal['reason'],
-  { options, queuePauseMs, leftMs }: RefusedWait,
+  { options, queueRetryAfterMs, remainingMs }: RetryAfterInputs,
 ): number {
-  const isForQueueToTell = reason === 'overloaded' || reason === 'zone-evacuated';
-  if (isForQueueToTell && queuePauseMs !== undefined) {
-    return queuePauseMs();
+  const dependsOnQueue = reason === 'overloaded' || reason === 'zone-evacuated';
+  if (dependsOnQueue && queueRetryAfterMs !== undefined) {
+    return queueRetryAfterMs();
   }
   if (isHomeRefusal(reason)) {
-    // Only operators can help, which takes them longer than any pause that callers heed.
-    return Math.min(options.overloadRetryMaxMs, leftMs * options.maxRetryShare);
+    // Only operators can resolve this, which takes longer than any Retry-After that callers honor.
+    return Math.min(options.overloadRetryMaxMs, remainingMs * options.maxRetryShare);
   }
   return options.retryAfterMs;
 }
--- a/src/gateway/attempt/request-model.ts
+++ b/src/gateway/attempt/request-model.ts
@@ -1,4 +1,4 @@
-/** A request in a gateway: what it is, what it needs, and how it may end. */
+/** Ports, options and result records of a request in a gateway. */
 import type { Clock } from '../../clock.js';
 import type { RandomSource } from '../../random.js';
 import type { Backend } from '../../routing/backend.js';
@@ -14,55 +14,63 @@
 import type { HeardStatement } from '../statements/backend-condition.js';
 import type { BackendStatement } from '../statements/backend-statement.js';
 
-/** One back end that was asked, for the log. */
-export interface RequestTry {
+/** Log record of one attempt; the field names are part of the log format. */
+export interface AttemptRecord {
   readonly backend: string;
   /** Time from the request's arrival to the send, in milliseconds. */
   readonly afterMs: number;
-  /** Slots that were believed to be occupied at the choice, and how many there are. */
+  /**
+   * Estimated number of occupied slots at the time of the choice, and the total number of slots.
+   */
   readonly occupied: number;
   readonly slots: number;
-  /** Share of requests that failed there lately, as it was believed at the choice. */
+  /** Estimated share of recent requests that failed there, at the time of the choice. */
   readonly failureShare: number;
-  /** How far the back end is. */
+  /** Network distance to the backend. */
   readonly distance: Distance;
-  /** Bytes of the request's body and of the answer's that passed, in either way. */
+  /** Body bytes sent and received. */
   bytes: number;
   outcome: AttemptOutcome | 'under-way';
   detail: string;
-  /** What the back end said of itself in the head of its answer; missing where that is nothing. */
+  /** Status that the backend reported in its response headers; omitted if it reported none. */
   stated?: Pick<BackendStatement, 'limitPerS' | 'isLeaving' | 'restMs'>;
 }
 
-/** How a request ended, for counters and the log. */
+/** How a request ended, for metrics and the log. */
 export interface RequestEnd {
-  /** Status of the answer; 0 when the caller left before one. */
+  /**
+   * HTTP status of the response; 0 if the caller disconnected before one, or the response was
+   * aborted.
+   */
   readonly status: number;
   readonly reason: string;
   readonly attempts: number;
-  readonly tries: readonly RequestTry[];
+  readonly tries: readonly AttemptRecord[];
   readonly waitedMs: number;
   readonly firstByteMs: number | undefined;
   readonly totalMs: number;
-  /** Longest pause between two parts of the answer, in milliseconds; 0 for a single part. */
+  /** Longest pause between two parts of the response, in milliseconds; 0 for a single part. */
   readonly longestPauseMs: number;
 }
 
-/** How one send of a request ended, for the judgement of its back end's version. */
-export interface TryOver {
+/** How one attempt ended, for the evaluation of its backend's version. */
+export interface EndedAttempt {
   readonly backend: Backend;
   readonly route: Route;
-  /** Whether it failed or was late by the back end's doing; undefined where its end says nothing. */
+  /**
+   * Whether it failed or was late through the fault of the backend; undefined if its outcome does
+   * not show that.
+   */
   readonly isBad: boolean | undefined;
 }
 
-/** The head of an answer came from a back end. */
+/** The status report in a response head received from a backend. */
 export interface HeardAnswer extends HeardStatement {
   readonly backend: Backend;
   readonly requestId: string;
 }
 
-/** What a request needs from its surroundings. */
+/** Dependencies of a request. */
 export interface RequestPorts {
   readonly clock: Clock;
   readonly directory: BackendDirectory;
@@ -71,48 +79,62 @@
   readonly protocol: CallerProtocol;
   readonly random: RandomSource;
   readonly crashes: RunCrashes;
-  /** Takes one repeat from the budget of a service. */
+  /** Takes one retry from the budget of a service; returns false if none is left. */
   takeRepeat(service: string): boolean;
-  /** Charges a request that may have run once more to its tenant; `onResult` may be called before this returns. */
+  /**
+   * Charges a retry of a request that may have been executed to its tenant; `onResult` may be
+   * called synchronously.
+   */
   chargeAgain(request: AcceptedRequest, onResult: (isGranted: boolean) => void): void;
-  /** Called with each head of an answer that is the back end's own. */
+  /** Called with the status report of each response head that is from the intended backend. */
   onStatement(heard: HeardAnswer): void;
-  /** Called once for each send. */
-  onTryOver(over: TryOver): void;
-  /** Called once. */
+  /** Called once at the end of each attempt. */
+  onTryOver(over: EndedAttempt): void;
+  /** Called once at the end of the request. */
   onEnd(request: AcceptedRequest, end: RequestEnd): void;
 }
 
-/** Times and limits of requests. */
+/** Time limits of requests. */
 export interface RequestOptions {
-  /** Pause between two looks at what waiting on is worth, in milliseconds. Default 100. */
+  /** Interval at which the utility of waiting is recomputed, in milliseconds. Default 100. */
   readonly waitReviewMs: number;
   /**
-   * Callers give up a stream that is silent for the longest of these: a time in milliseconds, and
-   * multiples of the target latency and of the longest pause. Defaults 2,000, 4 and 8, as users name them.
+   * Callers give up a stream without an event for the longest of these: a time in milliseconds, and
+   * multiples of the target latency and of the maximum pause. Defaults 2,000, 4 and 8, as stated by
+   * users.
    */
   readonly streamPatienceMs: number;
   readonly streamPatienceTargets: number;
   readonly streamPatiencePauses: number;
-  /** Longest wait of a broken stream for another back end, in milliseconds; callers give up soon after. Default 1,500. */
+  /**
+   * Maximum wait of an interrupted stream for another backend, in milliseconds; callers give up
+   * soon after. Default 1,500.
+   */
   readonly resumeWaitMs: number;
-  /** Share of the target latency after which a safe request is tried elsewhere. Default 0.6. */
+  /** Share of the target latency after which a safe request is retried elsewhere. Default 0.6. */
   readonly safeHeadShare: number;
-  /** Silence after which a resumable stream is continued elsewhere, if a slot is free, in milliseconds. Default 1,200. */
+  /**
+   * Time without data after which a resumable stream resumes elsewhere if a slot is free, in
+   * milliseconds. Default 1,200.
+   */
   readonly streamSilenceMs: number;
   /** Retry-After of refusals, in milliseconds. Default 300. */
   readonly retryAfterMs: number;
   /**
-   * Bounds of the Retry-After when engines are full, in milliseconds. Defaults 300 and 2,500: below, a
-   * caller costs more tries than it can gain; above, a slot that is free sooner than expected is missed.
+   * Bounds of the Retry-After when engines are full, in milliseconds. Defaults 300 and 2,500:
+   * below, a caller causes more attempts than it can gain from; above, a slot that becomes free
+   * sooner than expected is missed.
    */
   readonly overloadRetryMinMs: number;
   readonly overloadRetryMaxMs: number;
-  /** Longest Retry-After as a share of the time that the caller has left; callers ignore more. Default 1/3. */
+  /**
+   * Maximum Retry-After as a share of the time that the caller has left; callers ignore more.
+   * Default 1/3.
+   */
   readonly maxRetryShare: number;
 }
 
-/** Defaults of requests. */
+/** Default time limits of requests. */
 export const DEFAULT_REQUEST_OPTIONS: RequestOptions = {
   waitReviewMs: 100,
   streamPatienceMs: 2_000,
@@ -127,8 +149,11 @@
   maxRetryShare: 1 / 3,
 };
 
-/** How long a back end that serves a request which may be repeated may be silent, in milliseconds. */
-export function silencePatienceMs(
+/**
+ * Returns how long a backend may send nothing before a retryable request is retried elsewhere, in
+ * milliseconds.
+ */
+export function silenceTimeoutMs(
   { kind, targetLatencyMs }: Route,
   { safeHeadShare, streamSilenceMs }: RequestOptions,
 ): number {
--- a/src/gateway/attempt/request-record.ts
+++ b/src/gateway/attempt/request-record.ts
@@ -1,29 +1,29 @@
-/** What happened to one request, for counters and the log. */
+/** Collects the attempts and times of one request for metrics and the log. */
 import type { Backend } from '../../routing/backend.js';
 import type { AttemptOutcome } from '../dispatch/backend-health.js';
 import { NO_STATEMENT } from '../statements/backend-statement.js';
 import type { BackendStatement } from '../statements/backend-statement.js';
-import type { RequestEnd, RequestTry } from './request-model.js';
+import type { RequestEnd, AttemptRecord } from './request-model.js';
 
-/** What was believed of a back end when a request was sent there. */
-export type BackendBelief = Pick<RequestTry, 'occupied' | 'failureShare' | 'distance'>;
+/** Estimated state of a backend when a request was sent to it. */
+export type BackendEstimate = Pick<AttemptRecord, 'occupied' | 'failureShare' | 'distance'>;
 
-/** The record of one request. */
+/** Attempts and times of one request. */
 export class RequestRecord {
-  private readonly tries: RequestTry[] = [];
-  private firstPlacedAtMs: number | undefined;
+  private readonly tries: AttemptRecord[] = [];
+  private firstSentAtMs: number | undefined;
   private firstByteAtMs: number | undefined;
   private longestPauseMs = 0;
 
   constructor(private readonly arrivedAtMs: number) {}
 
-  /** The request is sent to a back end; `believed` is what decided for it. */
-  noteSent(backend: Backend, believed: BackendBelief, bodyBytes: number, nowMs: number): void {
-    this.firstPlacedAtMs ??= nowMs;
+  /** Adds an attempt; `estimate` is the state on which the backend was chosen. */
+  addAttempt(backend: Backend, estimate: BackendEstimate, bodyBytes: number, nowMs: number): void {
+    this.firstSentAtMs ??= nowMs;
     this.tries.push({
       backend: backend.id,
       afterMs: nowMs - this.arrivedAtMs,
-      ...believed,
+      ...estimate,
       slots: backend.slots,
       bytes: bodyBytes,
       outcome: 'under-way',
@@ -31,33 +31,35 @@
     });
   }
 
-  /** The back end said something of itself. */
-  noteStatement(statement: BackendStatement): void {
+  /** Adds the status that the backend reported to the current attempt. */
+  addStatement(statement: BackendStatement): void {
     if (statement !== NO_STATEMENT) {
       const { limitPerS, isLeaving, restMs } = statement;
       this.tries.at(-1)!.stated = { limitPerS, isLeaving, restMs };
     }
   }
 
-  /** A part of the answer came. */
-  noteBytes(count: number): void {
+  /** Adds received bytes to the current attempt. */
+  addBytes(count: number): void {
     this.tries.at(-1)!.bytes += count;
   }
 
-  /** The first bytes for the caller came. */
-  noteFirstByte(nowMs: number): void {
+  /** Sets the time of the first bytes sent to the caller, if not yet set. */
+  setFirstByteTime(nowMs: number): void {
     this.firstByteAtMs ??= nowMs;
   }
 
-  /** The last try is over. */
-  noteTryOver(outcome: AttemptOutcome, detail: string, longestPauseMs: number): void {
-    const tried = this.tries.at(-1)!;
-    tried.outcome = outcome;
-    tried.detail = detail;
+  /** Sets the outcome of the current attempt. */
+  endAttempt(outcome: AttemptOutcome, detail: string, longestPauseMs: number): void {
+    const attempt = this.tries.at(-1)!;
+    attempt.outcome = outcome;
+    attempt.detail = detail;
     this.longestPauseMs = Math.max(this.longestPauseMs, longestPauseMs);
   }
 
-  /** How the request ended; `attempts` counts the back ends that may have run it. */
+  /**
+   * Returns the final record; `attempts` counts the backends that may have executed the request.
+   */
   end(status: number, reason: string, attempts: number, nowMs: number): RequestEnd {
     const { arrivedAtMs, firstByteAtMs, tries, longestPauseMs } = this;
     return {
@@ -65,7 +67,7 @@
       reason,
       attempts,
       tries,
-      waitedMs: (this.firstPlacedAtMs ?? nowMs) - arrivedAtMs,
+      waitedMs: (this.firstSentAtMs ?? nowMs) - arrivedAtMs,
       firstByteMs: firstByteAtMs === undefined ? undefined : firstByteAtMs - arrivedAtMs,
       totalMs: nowMs - arrivedAtMs,
       longestPauseMs,
--- a/src/gateway/attempt/request-wait.ts
+++ b/src/gateway/attempt/request-wait.ts
@@ -1,6 +1,7 @@
 /**
- * The wait of one request for a slot, without I/O: it is offered to the dispatcher, and its outlook is
- * reckoned anew until a slot comes or waiting is worth nothing to its caller.
+ * The wait of one request for a slot, without I/O. The request is submitted to the dispatcher, and
+ * the utility of waiting is recomputed until a slot is assigned or waiting is no longer useful to
+ * the caller.
  */
 import type { TimerHandle } from '../../clock.js';
 import type { DispatchRequest } from '../dispatch/dispatch-request.js';
@@ -8,43 +9,46 @@
 import type { AcceptedRequest } from './accepted-request.js';
 import type { RequestOptions, RequestPorts } from './request-model.js';
 import { isRepeatable } from '../../routing/configuration.js';
-import { worthOfWaiting } from './waiting-worth.js';
-import type { WaitOutlook } from './waiting-worth.js';
+import { waitUtility } from './waiting-worth.js';
+import type { WaitEstimate } from './waiting-worth.js';
 
-/** How far the answer has come when a wait begins. */
-export interface AnswerSoFar {
-  /** When the caller was sent its last event; undefined before the first. */
+/** Progress of the response at the start of a wait. */
+export interface ResponseProgress {
+  /** Time of the last event sent to the caller; undefined before the first. */
   readonly lastEventAtMs: number | undefined;
-  /** Whether the caller has a part of its answer. */
+  /** Whether a part of the response was sent to the caller. */
   readonly hasStarted: boolean;
 }
 
-/** What a wait is made from. */
-export interface RequestWaitParts {
+/** Dependencies and parameters of a wait. */
+export interface RequestWaitContext {
   readonly request: AcceptedRequest;
   readonly ports: RequestPorts;
   readonly options: RequestOptions;
-  readonly answer: AnswerSoFar;
-  /** Back ends that must not be used. */
+  readonly answer: ResponseProgress;
+  /** Ids of backends that must not be used. */
   readonly excluded: ReadonlySet<string>;
-  /** A slot came. */
+  /** Called when a slot is assigned. */
   onPlaced: DispatchRequest['onPlaced'];
-  /** Waiting on is worth nothing, for its homes or since no slot is free in time; the wait has ended. */
+  /**
+   * Called after the wait ended without a slot: `reason` if a home region rule prevents it, else no
+   * slot in time.
+   */
   onGivenUp(reason?: HomeRefusalReason): void;
 }
 
-/** One wait. */
+/** One wait for a slot. */
 export class RequestWait {
-  private readonly place: DispatchRequest;
+  private readonly dispatchRequest: DispatchRequest;
   private isOver = false;
-  private timer: TimerHandle | undefined;
-  private farTimer: TimerHandle | undefined;
+  private reviewTimer: TimerHandle | undefined;
+  private otherRegionsTimer: TimerHandle | undefined;
 
-  constructor(private readonly parts: RequestWaitParts) {
-    const { request, ports, excluded, answer, onPlaced } = parts;
+  constructor(private readonly context: RequestWaitContext) {
+    const { request, ports, excluded, answer, onPlaced } = context;
     const { service, promptTokens, route } = request;
     const firstDueAtMs = dueAtMs(request, answer.lastEventAtMs);
-    this.place = {
+    this.dispatchRequest = {
       service,
       get allowedRegions() {
         return request.allowedRegions;
@@ -60,7 +64,7 @@
       promptTokens,
       firstDueAtMs,
       maxPauseMs: route.maxPauseMs,
-      // One that moved already is not risked on a path that may be lost as well.
+      // After a move to another backend the request is not risked on a path that may also be lost.
       isRepeatable: isRepeatable(route) && excluded.size === 0,
       excluded,
       onPlaced: (backend, nowMs) => {
@@ -70,115 +74,121 @@
     };
   }
 
-  /** Offers the request; it may be placed before this returns. */
+  /** Submits the request; a slot may be assigned before this returns. */
   begin(): void {
-    const { clock, dispatcher } = this.parts.ports;
-    if (!this.endForHomes(clock.now())) {
-      dispatcher.submit(this.place, clock.now());
+    const { clock, dispatcher } = this.context.ports;
+    if (!this.endIfHomeRefused(clock.now())) {
+      dispatcher.submit(this.dispatchRequest, clock.now());
       this.review();
-      this.lookFartherLater();
+      this.scheduleOtherRegions();
     }
   }
 
-  /** Takes the request back. */
+  /** Withdraws the request from the dispatcher. */
   cancel(): void {
     if (!this.isOver) {
-      const { clock, dispatcher } = this.parts.ports;
+      const { clock, dispatcher } = this.context.ports;
       this.end();
-      dispatcher.withdraw(this.place, clock.now());
+      dispatcher.withdraw(this.dispatchRequest, clock.now());
     }
   }
 
-  /** When the caller may usefully come back, in milliseconds from now. */
+  /** Returns the Retry-After for the caller, in milliseconds. */
   retryAfterMs(): number {
-    const { request, ports, options } = this.parts;
+    const { request, ports, options } = this.context;
     const { clock, dispatcher, random } = ports;
     const nowMs = clock.now();
-    const forecast = dispatcher.forecastOf(this.place.service);
-    const placeFreeMs = this.isEvacuated
+    const forecast = dispatcher.forecastOf(this.dispatchRequest.service);
+    const slotFreeMs = this.isEvacuated
       ? Infinity
-      : forecast.expectedRecoveryMs(this.place, nowMs);
+      : forecast.expectedRecoveryMs(this.dispatchRequest, nowMs);
     const earliestMs = Math.min(
       options.overloadRetryMaxMs,
-      Math.max(options.overloadRetryMinMs, placeFreeMs),
+      Math.max(options.overloadRetryMinMs, slotFreeMs),
     );
     const restLeftMs = this.restLeftMs(nowMs);
     if (restLeftMs > earliestMs) {
-      // Sooner there is certainly no back end for it, however little time its caller has left.
+      // No backend is available earlier, however little time the caller has left.
       return restLeftMs + options.overloadRetryMinMs * random.next();
     }
-    // Callers that were refused together must not come back together.
+    // Jitter, so that callers refused together do not retry together.
     const spreadMs = earliestMs * (1 + random.next());
     return Math.min(spreadMs, (request.endsAtMs - nowMs) * options.maxRetryShare);
   }
 
-  /** Whether evacuations leave the request no back end: nobody knows for how long. */
+  /** Whether zone evacuations leave no backend for the request, for an unknown time. */
   get isEvacuated(): boolean {
-    const { service, allowedRegions } = this.place;
-    return this.parts.ports.directory.isEvacuated(service, allowedRegions);
+    const { service, allowedRegions } = this.dispatchRequest;
+    return this.context.ports.directory.isEvacuated(service, allowedRegions);
   }
 
-  /** Time until the first back end that may serve the request has rested, in milliseconds; 0 where one does not rest. */
+  /**
+   * Time until the first eligible backend ends its requested pause (`rest`), in milliseconds; 0 if
+   * one is not paused.
+   */
   private restLeftMs(nowMs: number): number {
-    const { service, allowedRegions } = this.place;
-    return this.parts.ports.directory.restLeftMs(service, allowedRegions, nowMs);
+    const { service, allowedRegions } = this.dispatchRequest;
+    return this.context.ports.directory.restLeftMs(service, allowedRegions, nowMs);
   }
 
   private end(): void {
     this.isOver = true;
-    this.parts.ports.clock.clearTimeout(this.timer);
-    this.parts.ports.clock.clearTimeout(this.farTimer);
+    this.context.ports.clock.clearTimeout(this.reviewTimer);
+    this.context.ports.clock.clearTimeout(this.otherRegionsTimer);
   }
 
   /**
-   * A request that found no room near by is offered to other regions as soon as it has waited enough for it.
-   * Timers may fire early, and the way may prove longer meanwhile: then it looks again.
+   * Has the dispatcher consider other regions once the request has waited long enough for that. The
+   * timer is restarted if it fires early or if the required wait has grown meanwhile.
    */
-  private lookFartherLater(): void {
-    const { clock, dispatcher } = this.parts.ports;
-    const { service, arrivedAtMs } = this.place;
+  private scheduleOtherRegions(): void {
+    const { clock, dispatcher } = this.context.ports;
+    const { service, arrivedAtMs } = this.dispatchRequest;
     const leftMs = dispatcher.farPatienceMs(service) - (clock.now() - arrivedAtMs);
     if (this.isOver || leftMs <= 0) {
       return;
     }
-    const look = () => {
+    const review = () => {
       dispatcher.review(service, clock.now());
-      this.lookFartherLater();
+      this.scheduleOtherRegions();
     };
-    this.farTimer = clock.setTimeout(look, Math.ceil(leftMs));
+    this.otherRegionsTimer = clock.setTimeout(review, Math.ceil(leftMs));
   }
 
-  /** Goes on waiting while that is worth something, and looks again soon. */
+  /** Ends the wait if it is no longer useful; otherwise schedules the next review. */
   private review(): void {
     if (this.isOver) {
       return;
     }
-    const { ports, options, onGivenUp } = this.parts;
+    const { ports, options, onGivenUp } = this.context;
     const nowMs = ports.clock.now();
-    if (this.endForHomes(nowMs)) {
+    if (this.endIfHomeRefused(nowMs)) {
       return;
     }
-    if (!this.isWorthWaiting(nowMs)) {
+    if (!this.shouldKeepWaiting(nowMs)) {
       this.cancel();
       onGivenUp();
       return;
     }
-    this.timer = ports.clock.setTimeout(() => this.review(), options.waitReviewMs);
+    this.reviewTimer = ports.clock.setTimeout(() => this.review(), options.waitReviewMs);
   }
 
-  /** Ends the wait if no back end may serve the request where it has to stay; whether it did. */
-  private endForHomes(nowMs: number): boolean {
-    const reason = this.parts.ports.dispatcher.homeRefusal(this.place, nowMs);
+  /**
+   * Ends the wait if no backend in the allowed home regions can serve the request; returns whether
+   * it did.
+   */
+  private endIfHomeRefused(nowMs: number): boolean {
+    const reason = this.context.ports.dispatcher.homeRefusal(this.dispatchRequest, nowMs);
     if (reason === undefined) {
       return false;
     }
     this.cancel();
-    this.parts.onGivenUp(reason);
+    this.context.onGivenUp(reason);
     return true;
   }
 
-  private isWorthWaiting(nowMs: number): boolean {
-    const { answer, options } = this.parts;
+  private shouldKeepWaiting(nowMs: number): boolean {
+    const { answer, options } = this.context;
     if (this.isEvacuated) {
       return false;
     }
@@ -188,30 +198,42 @@
     if (answer.hasStarted) {
       return true;
     }
-    return worthOfWaiting(this.outlook(nowMs)) >= 0;
+    return waitUtility(this.estimateWait(nowMs)) >= 0;
   }
 
-  private outlook(nowMs: number): WaitOutlook {
-    const { request, ports } = this.parts;
-    const { startByMs, service, allowedRegions } = this.place;
+  private estimateWait(nowMs: number): WaitEstimate {
+    const { request, ports } = this.context;
+    const { startByMs, service, allowedRegions } = this.dispatchRequest;
     const forecast = ports.dispatcher.forecastOf(service);
-    const wholeMs = ports.directory.expectedWholeMs(service, request.units, allowedRegions);
-    const firstMs = ports.directory.expectedFirstMs(service, request.promptTokens, allowedRegions);
-    // Until then it certainly waits: what is left of its time begins there.
-    const freeFromMs = nowMs + this.restLeftMs(nowMs);
-    const patientUntilMs = request.arrivedAtMs + this.patienceMs() - firstMs;
+    const expectedResponseMs = ports.directory.expectedWholeMs(
+      service,
+      request.units,
+      allowedRegions,
+    );
+    const expectedFirstEventMs = ports.directory.expectedFirstMs(
+      service,
+      request.promptTokens,
+      allowedRegions,
+    );
+    // The request certainly waits until then, so the remaining times count from there.
+    const earliestStartMs = nowMs + this.restLeftMs(nowMs);
+    const callerWaitsUntilMs = request.arrivedAtMs + this.callerPatienceMs() - expectedFirstEventMs;
     return {
-      inTimeLeftMs: startByMs - freeFromMs,
-      usefulLeftMs: Math.min(request.endsAtMs - wholeMs, patientUntilMs) - freeFromMs,
-      wholeTimeMs: request.endsAtMs - request.firstTriedAtMs,
-      waitMs: forecast.expectedWaitMs(this.place, nowMs),
-      lateWaitMs: forecast.expectedLateWaitMs(this.place, nowMs),
+      untilLateMs: startByMs - earliestStartMs,
+      untilUselessMs:
+        Math.min(request.endsAtMs - expectedResponseMs, callerWaitsUntilMs) - earliestStartMs,
+      totalTimeMs: request.endsAtMs - request.firstTriedAtMs,
+      expectedOnTimeWaitMs: forecast.expectedWaitMs(this.dispatchRequest, nowMs),
+      expectedWaitOnceLateMs: forecast.expectedLateWaitMs(this.dispatchRequest, nowMs),
     };
   }
 
-  /** How long a caller waits for the first event of a stream before it gives it up. */
-  private patienceMs(): number {
-    const { request, options } = this.parts;
+  /**
+   * Returns how long a caller waits for the first event of a stream before it gives up, in
+   * milliseconds.
+   */
+  private callerPatienceMs(): number {
+    const { request, options } = this.context;
     const { kind, targetLatencyMs, maxPauseMs } = request.route;
     if (kind !== 'stream') {
       return Infinity;
@@ -224,7 +246,10 @@
   }
 }
 
-/** When the caller must get the next part of its answer for the answer to be in time, in milliseconds. */
+/**
+ * Returns when the next part of the response is due for the response to be on time, in
+ * milliseconds.
+ */
 function dueAtMs(
   { firstTriedAtMs, route }: AcceptedRequest,
   lastEventAtMs: number | undefined,
--- a/src/gateway/attempt/rest-limit.ts
+++ b/src/gateway/attempt/rest-limit.ts
@@ -1,55 +1,60 @@
 /**
- * How long a connection to a back end may rest before it is used again.
+ * Adaptive idle timeout of the connections to backends.
  *
- * Back ends, or what lies between, may forget a resting connection without a
- * word; whatever is sent on it next is reset, and nobody can tell whether that
- * request ran. So the limit falls below the shortest rest after which that was
- * seen, and rises again while it is not seen.
+ * Backends, or middleboxes on the path, may drop an idle connection without closing it. The next
+ * request on such a stale connection is reset, with no way to tell whether it was executed. The
+ * timeout is therefore lowered below the shortest idle time after which such a reset was seen, and
+ * raised again while none is seen.
  */
 
-/** Bounds of the limit, in milliseconds. */
-export interface RestLimitOptions {
-  /** Limit to begin with, and highest one. Default 20,000. */
+/** Bounds of the timeout, in milliseconds. */
+export interface AdaptiveIdleTimeoutOptions {
+  /** Initial and maximum timeout. Default 20,000. */
   readonly maxMs: number;
-  /** Lowest limit. Default 100. */
+  /** Minimum timeout. Default 100. */
   readonly minMs: number;
-  /** Time without a forgotten connection after which the limit is doubled. Default 10,000. */
-  readonly recoverMs: number;
+  /** Time without a stale connection after which the timeout is doubled. Default 10,000. */
+  readonly doublingIntervalMs: number;
 }
 
-/** Defaults of the limit. */
-export const DEFAULT_REST_LIMIT_OPTIONS: RestLimitOptions = {
+/** Default bounds of the timeout. */
+export const DEFAULT_ADAPTIVE_IDLE_TIMEOUT_OPTIONS: AdaptiveIdleTimeoutOptions = {
   maxMs: 20_000,
   minMs: 100,
-  recoverMs: 10_000,
+  doublingIntervalMs: 10_000,
 };
 
-/** Share of a rest that proved too long which is still used. */
+/** Share of an idle time that proved too long that is used as the new timeout. */
 const SAFE_SHARE = 0.6;
 
-/** How long a connection may rest. */
-export class RestLimit {
-  private limitMs: number;
+/** An idle timeout that is lowered by stale connections and recovers over time. */
+export class AdaptiveIdleTimeout {
+  private timeoutMs: number;
   private changedAtMs = 0;
 
-  constructor(private readonly options: RestLimitOptions = DEFAULT_REST_LIMIT_OPTIONS) {
-    this.limitMs = options.maxMs;
+  constructor(
+    private readonly options: AdaptiveIdleTimeoutOptions = DEFAULT_ADAPTIVE_IDLE_TIMEOUT_OPTIONS,
+  ) {
+    this.timeoutMs = options.maxMs;
   }
 
-  /** The limit now. */
+  /** Returns the timeout at `nowMs`. */
   current(nowMs: number): number {
-    const { maxMs, recoverMs } = this.options;
-    while (this.limitMs < maxMs && nowMs - this.changedAtMs >= recoverMs) {
-      this.limitMs = Math.min(maxMs, this.limitMs * 2);
-      this.changedAtMs += recoverMs;
+    const { maxMs, doublingIntervalMs } = this.options;
+    while (this.timeoutMs < maxMs && nowMs - this.changedAtMs >= doublingIntervalMs) {
+      this.timeoutMs = Math.min(maxMs, this.timeoutMs * 2);
+      this.changedAtMs += doublingIntervalMs;
     }
-    return this.limitMs;
+    return this.timeoutMs;
   }
 
-  /** A connection that had rested for `restedMs` was reset by what was sent on it. */
-  noteForgotten(restedMs: number, nowMs: number): void {
-    const limitMs = Math.min(this.current(nowMs), restedMs * SAFE_SHARE);
-    this.limitMs = Math.max(this.options.minMs, limitMs);
+  /**
+   * Lowers the timeout after a connection that had been idle for `idleMs` was reset by the next
+   * request.
+   */
+  recordStaleReset(idleMs: number, nowMs: number): void {
+    const timeoutMs = Math.min(this.current(nowMs), idleMs * SAFE_SHARE);
+    this.timeoutMs = Math.max(this.options.minMs, timeoutMs);
     this.changedAtMs = nowMs;
   }
 }
--- a/src/gateway/attempt/standstill-watch.ts
+++ b/src/gateway/attempt/standstill-watch.ts
@@ -1,56 +1,64 @@
 /**
- * Notices that the process stood still for a while, and for how long what arrived meanwhile is being read.
+ * Detects event loop stalls and delays work until the input that arrived during a stall has been
+ * read.
  *
- * After a standstill the loop reads a caller's request before it sees that the same caller closed its
- * connection since. What is sent to back ends right then must wait until both were read.
+ * After a stall the loop reads a caller's request before it sees that the same caller has closed
+ * its connection since. Sends to backends must wait until both have been read.
  */
 import type { Clock } from '../../clock.js';
 
-/** Pause between two looks at the clock, in milliseconds. */
-const LOOK_MS = 50;
-/** Standstill from which on callers may have left unseen, in milliseconds; an ordinary busy turn is shorter. */
-const STANDSTILL_MS = 200;
+/** Interval of the clock checks, in milliseconds. */
+const CHECK_INTERVAL_MS = 50;
+/**
+ * Stall after which callers may have disconnected unnoticed, in milliseconds; an ordinary busy
+ * iteration is shorter.
+ */
+const STALL_THRESHOLD_MS = 200;
 
-/** Watches over the process's own pace. */
-export class StandstillWatch {
-  private lookedAtMs: number;
+/** Detects stalls of the event loop of this process. */
+export class StallDetector {
+  private checkedAtMs: number;
   private isCatchingUp = false;
   private readonly timer: NodeJS.Timeout;
 
   constructor(private readonly clock: Clock) {
-    this.lookedAtMs = clock.now();
-    this.timer = setInterval(() => this.look(), LOOK_MS);
+    this.checkedAtMs = clock.now();
+    this.timer = setInterval(() => this.check(), CHECK_INTERVAL_MS);
     this.timer.unref();
   }
 
-  /** Calls back at once, or after a standstill once all that arrived meanwhile was read. */
-  whenCaughtUp(callback: () => void): void {
-    if (this.isCatchingUp || this.standstillMs > STANDSTILL_MS) {
-      afterTwoTurns(callback);
+  /**
+   * Calls `callback` at once, or after a stall once all input that arrived meanwhile has been read.
+   */
+  afterPendingInput(callback: () => void): void {
+    if (this.isCatchingUp || this.stallMs > STALL_THRESHOLD_MS) {
+      afterTwoLoopIterations(callback);
     } else {
       callback();
     }
   }
 
-  /** Stops watching. */
+  /** Stops the checks. */
   close(): void {
     clearInterval(this.timer);
   }
 
-  private get standstillMs(): number {
-    return this.clock.now() - this.lookedAtMs - LOOK_MS;
+  private get stallMs(): number {
+    return this.clock.now() - this.checkedAtMs - CHECK_INTERVAL_MS;
   }
 
-  private look(): void {
-    if (this.standstillMs > STANDSTILL_MS) {
+  private check(): void {
+    if (this.stallMs > STALL_THRESHOLD_MS) {
       this.isCatchingUp = true;
-      afterTwoTurns(() => (this.isCatchingUp = false));
+      afterTwoLoopIterations(() => (this.isCatchingUp = false));
     }
-    this.lookedAtMs = this.clock.now();
+    this.checkedAtMs = this.clock.now();
   }
 }
 
-/** A connection's last bytes and its end are read in two turns of the loop. */
-function afterTwoTurns(callback: () => void): void {
+/**
+ * Waits two loop iterations, since a connection's last bytes and its end are read in separate ones.
+ */
+function afterTwoLoopIterations(callback: () => void): void {
   setImmediate(() => setImmediate(callback));
 }
--- a/src/gateway/attempt/try-verdict.ts
+++ b/src/gateway/attempt/try-verdict.ts
@@ -1,22 +1,24 @@
-/** Queries: how one send of a request ended, and whether it went badly by the doing of its back end. */
+/** Classifies how an attempt ended and whether its backend is at fault. */
 import type { Route } from '../../routing/configuration.js';
 import type { AttemptFailure } from './attempt.js';
 import type { AttemptOutcome } from '../dispatch/backend-health.js';
 
-/** Times of one send, in milliseconds. */
-export interface TryTimes {
-  /** From the send to the first event, or to the whole answer where there are no events. */
+/** Latencies of one attempt, in milliseconds. */
+export interface AttemptTimes {
+  /** Time from the send to the first event, or to the complete response if there are no events. */
   readonly firstEventMs: number;
   readonly longestPauseMs: number;
-  /** Whether the back end was cold when it was sent: it is slow then, whatever its version. */
+  /** Whether the backend was cold at the send; it is slow then, whatever its version. */
   readonly isColdStart: boolean;
 }
 
-/** Whether it failed or was late; undefined where its end says nothing of the back end. */
-export function isBadTry(
+/**
+ * Whether the attempt failed or was late; undefined if its outcome does not reflect on the backend.
+ */
+export function isBadAttempt(
   outcome: AttemptOutcome,
   { targetLatencyMs, maxPauseMs }: Route,
-  { firstEventMs, longestPauseMs, isColdStart }: TryTimes,
+  { firstEventMs, longestPauseMs, isColdStart }: AttemptTimes,
 ): boolean | undefined {
   if (outcome === 'failed' || outcome === 'silent') {
     return true;
@@ -28,8 +30,8 @@
   return hasPaused || firstEventMs > targetLatencyMs;
 }
 
-/** How a try ended that failed. */
-export function outcomeOf({ isPortClosed, isSilent }: AttemptFailure): AttemptOutcome {
+/** Returns the outcome of a failed attempt. */
+export function outcomeOfFailure({ isPortClosed, isSilent }: AttemptFailure): AttemptOutcome {
   if (isPortClosed) {
     return 'unreachable';
   }
--- a/src/gateway/attempt/waiting-worth.ts
+++ b/src/gateway/attempt/waiting-worth.ts
@@ -1,61 +1,76 @@
 /**
- * Query: what it is worth to a caller that its request goes on waiting for a slot.
+ * Computes the expected utility for a caller of keeping its request queued for a slot.
  *
- * An answer in time counts as 1, measured from the caller's first try. A late one is worth less, and
- * time spent waiting for nothing costs in proportion: a caller that is told at once can go elsewhere.
+ * A response on time, measured from the caller's first attempt, has utility 1. A late one has less,
+ * and time spent waiting in vain costs in proportion: a caller that is refused at once can go
+ * elsewhere.
  */
 
 /**
- * Worth of a late answer as a share of one in time. Users name a tenth to a half; nothing tells a
- * gateway which, so it takes what lies between.
+ * Utility of a late response relative to one on time. Users state between a tenth and a half; a
+ * gateway cannot tell which applies, so it uses a value in between.
  */
-const LATE_WORTH = 0.3;
-/** Share of the time that a request has; to wait for so long and not be served costs as much as an answer is worth. */
-const WHOLE_COST_SHARE = 0.75;
+const LATE_RESPONSE_UTILITY = 0.3;
+/**
+ * Share of a request's total time; waiting that long without being served costs as much
+ * as a response is worth.
+ */
+const FULL_COST_SHARE = 0.75;
 
-/** Worth of waiting on when no answer can come of it: the caller is to be told before it leaves. */
-const WORTH_OF_NO_ANSWER = -1;
+/**
+ * Utility of waiting when no response is possible: the caller must be refused before it
+ * disconnects.
+ */
+const NO_RESPONSE_UTILITY = -1;
 
-/** A request that waits, and what is expected of its wait. All times are in milliseconds from now. */
-export interface WaitOutlook {
-  /** Time left until it must be sent to be answered in time; negative when it is late. */
-  readonly inTimeLeftMs: number;
-  /** Time left until its caller gives it up, or no answer could be whole. */
-  readonly usefulLeftMs: number;
-  /** Time that the caller gave it in all. */
-  readonly wholeTimeMs: number;
-  /** Expected wait as long as it is not late. */
-  readonly waitMs: number;
-  /** Expected wait once it is late, behind those that are not. */
-  readonly lateWaitMs: number;
+/** Estimates for a queued request. All times are in milliseconds from now. */
+export interface WaitEstimate {
+  /** Time left until it must be sent for a response on time; negative if it is late. */
+  readonly untilLateMs: number;
+  /** Time left until its caller gives up or the response can no longer complete. */
+  readonly untilUselessMs: number;
+  /** Total time allowed by the caller. */
+  readonly totalTimeMs: number;
+  /** Expected wait while it is not late. */
+  readonly expectedOnTimeWaitMs: number;
+  /** Expected wait once it is late and queued behind those that are not. */
+  readonly expectedWaitOnceLateMs: number;
 }
 
-/** Worth of waiting on, between -1 and 1; a request is refused when it is below 0. */
-export function worthOfWaiting(outlook: WaitOutlook): number {
-  const { inTimeLeftMs, usefulLeftMs, waitMs } = outlook;
-  if (inTimeLeftMs <= 0) {
-    return worthOfWaitingLate(outlook, usefulLeftMs);
+/** Returns the utility of waiting, between -1 and 1; a request is refused below 0. */
+export function waitUtility(estimate: WaitEstimate): number {
+  const { untilLateMs, untilUselessMs, expectedOnTimeWaitMs } = estimate;
+  if (untilLateMs <= 0) {
+    return lateWaitUtility(estimate, untilUselessMs);
   }
-  const servedInTime = chanceWithin(Math.min(inTimeLeftMs, usefulLeftMs), waitMs);
-  const costUntilLate = costOfWaiting(outlook, inTimeLeftMs);
-  const worthOnceLate = worthOfWaitingLate(outlook, usefulLeftMs - inTimeLeftMs);
-  return servedInTime + (1 - servedInTime) * Math.max(-costUntilLate, worthOnceLate);
+  const onTimeProbability = probabilityWithin(
+    Math.min(untilLateMs, untilUselessMs),
+    expectedOnTimeWaitMs,
+  );
+  const costUntilLate = waitCost(estimate, untilLateMs);
+  const utilityOnceLate = lateWaitUtility(estimate, untilUselessMs - untilLateMs);
+  return onTimeProbability + (1 - onTimeProbability) * Math.max(-costUntilLate, utilityOnceLate);
 }
 
-function worthOfWaitingLate(outlook: WaitOutlook, leftMs: number): number {
+function lateWaitUtility(estimate: WaitEstimate, leftMs: number): number {
   if (leftMs <= 0) {
-    return WORTH_OF_NO_ANSWER;
+    return NO_RESPONSE_UTILITY;
   }
-  const served = chanceWithin(leftMs, outlook.lateWaitMs);
-  return served * LATE_WORTH - (1 - served) * costOfWaiting(outlook, leftMs);
+  const servedProbability = probabilityWithin(leftMs, estimate.expectedWaitOnceLateMs);
+  return (
+    servedProbability * LATE_RESPONSE_UTILITY - (1 - servedProbability) * waitCost(estimate, leftMs)
+  );
 }
 
-function costOfWaiting({ wholeTimeMs }: WaitOutlook, waitedMs: number): number {
-  return Math.min(1, Math.max(0, waitedMs) / (wholeTimeMs * WHOLE_COST_SHARE));
+function waitCost({ totalTimeMs }: WaitEstimate, waitedMs: number): number {
+  return Math.min(1, Math.max(0, waitedMs) / (totalTimeMs * FULL_COST_SHARE));
 }
 
-/** Chance that a wait of unknown length with the given mean ends within `leftMs`. */
-function chanceWithin(leftMs: number, meanWaitMs: number): number {
+/**
+ * Returns the probability that an exponentially distributed wait with the given mean ends within
+ * `leftMs`.
+ */
+function probabilityWithin(leftMs: number, meanWaitMs: number): number {
   if (leftMs <= 0) {
     return 0;
   }
--- a/test/backend-sender.test.ts
+++ b/test/backend-sender.test.ts
@@ -4,9 +4,9 @@
 import { Worker } from 'node:worker_threads';
 import test from 'ava';
 import { SYSTEM_CLOCK, sleep } from '../src/clock.js';
-import type { AnswerHead, AttemptFailure } from '../src/gateway/attempt/attempt.js';
-import { ConnectionCauses } from '../src/gateway/attempt/connection-causes.js';
-import type { ConnectionReason } from '../src/gateway/attempt/connection-causes.js';
+import type { ResponseHead, AttemptFailure } from '../src/gateway/attempt/attempt.js';
+import { ConnectionReasonTracker } from '../src/gateway/attempt/connection-causes.js';
+import type { ConnectionOpenReason } from '../src/gateway/attempt/connection-causes.js';
 import { backendOf } from './support/gateway.js';
 import {
   DEFAULT_BACKEND_SENDER_OPTIONS,
@@ -14,12 +14,12 @@
 } from '../src/gateway/attempt/http-backend-sender.js';
 
 interface Outcome {
-  readonly head?: AnswerHead;
+  readonly head?: ResponseHead;
   readonly body: string;
   readonly failure?: AttemptFailure;
 }
 
-/** A back end that does with each received request what `act` says, byte by byte. */
+/** Starts a backend that handles each received request with `act` on the raw socket. */
 async function startBackend(
   act: (socket: Socket, requestNumber: number) => void,
 ): Promise<{ server: Server; address: string }> {
@@ -35,8 +35,11 @@
   return { server, address: `127.0.0.1:${(server.address() as AddressInfo).port}` };
 }
 
-/** A listener whose thread stands still and whose queue is full: further connections hang. */
-async function startListenerThatTakesNothing() {
+/**
+ * Starts a listener whose thread is blocked and whose backlog is full, so that further connects
+ * hang.
+ */
+async function startUnresponsiveListener() {
   const code = `
     const { parentPort } = require('node:worker_threads');
     const server = require('node:net').createServer();
@@ -67,7 +70,7 @@
     body: Buffer.alloc(0),
   };
   return new Promise((resolve) => {
-    let head: AnswerHead | undefined;
+    let head: ResponseHead | undefined;
     let body = '';
     sender.send(attempt, {
       onHead: (received) => {
@@ -82,7 +85,7 @@
   });
 }
 
-test('an attempt is taken back only as long as nothing was sent', async (t) => {
+test('an attempt can be withdrawn only before anything was sent', async (t) => {
   let received = 0;
   const { server, address } = await startBackend((socket) => {
     received += 1;
@@ -116,13 +119,13 @@
 const UNFRAMED = 'HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n';
 const FRAMED = 'HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n';
 
-test('an answer without a length that ends with its connection is whole', async (t) => {
+test('a response without a length is complete when its connection ends', async (t) => {
   const outcome = await outcomeOf((socket) => socket.end(`${UNFRAMED}whole`));
   t.is(outcome.failure, undefined);
   t.is(outcome.body, 'whole');
 });
 
-test('an answer without a length that is reset is not whole', async (t) => {
+test('a response without a length is incomplete when its connection is reset', async (t) => {
   const outcome = await outcomeOf((socket) => {
     socket.write(`${UNFRAMED}par`);
     setTimeout(() => socket.resetAndDestroy(), 20);
@@ -130,24 +133,24 @@
   t.true(outcome.failure?.mayHaveRun);
 });
 
-test('an answer without a length whose reset arrives with its bytes is not whole', async (t) => {
+test('a response without a length is incomplete when the reset arrives with its last bytes', async (t) => {
   const outcome = await outcomeOf((socket) => {
     socket.write(`${UNFRAMED}par`, () => socket.resetAndDestroy());
   });
   t.true(outcome.failure?.mayHaveRun);
 });
 
-test('an answer shorter than its length is not whole', async (t) => {
+test('a response shorter than its Content-Length is incomplete', async (t) => {
   const outcome = await outcomeOf((socket) => socket.end(`${FRAMED}par`));
   t.true(outcome.failure?.mayHaveRun);
 });
 
-test('bytes that are no answer are a failure after which the request may have run', async (t) => {
+test('a malformed response is a failure after which the request may have been executed', async (t) => {
   const outcome = await outcomeOf((socket) => socket.end('what is this\r\n\r\n'));
   t.true(outcome.failure?.mayHaveRun);
 });
 
-test('a refused connection is a failure after which the request has not run', async (t) => {
+test('a refused connection is a failure after which the request was not executed', async (t) => {
   const { server, address } = await startBackend(() => undefined);
   await new Promise((resolve) => server.close(resolve));
   const outcome = await sendTo(new HttpBackendSender(), address);
@@ -155,8 +158,8 @@
   t.true(outcome.failure?.isPortClosed);
 });
 
-test('a connection that does not come up in time is silence, and the request has not run', async (t) => {
-  const { address, close } = await startListenerThatTakesNothing();
+test('a connect timeout is reported as silence, and the request was not executed', async (t) => {
+  const { address, close } = await startUnresponsiveListener();
   const sender = new HttpBackendSender({ ...DEFAULT_BACKEND_SENDER_OPTIONS, connectTimeoutMs: 50 });
   const outcome = await sendTo(sender, address);
   await close();
@@ -164,7 +167,7 @@
   t.true(outcome.failure?.isSilent);
 });
 
-test('what a cancelled request had sent and did not arrive yet never arrives', async (t) => {
+test('data in flight of a cancelled request is never delivered', async (t) => {
   const body = Buffer.alloc(400 * 1024);
   const accepted: Socket[] = [];
   const server = createServer({ pauseOnConnect: true }, (socket) => accepted.push(socket));
@@ -192,15 +195,15 @@
 });
 
 test.serial(
-  'after a standstill nothing is sent for a caller whose leaving is read only then',
+  'after an event loop stall nothing is sent for a caller whose disconnect is read late',
   async (t) => {
     let requests = 0;
     const { server, address } = await startBackend(() => (requests += 1));
     const sender = new HttpBackendSender();
     await new Promise((resolve) => setTimeout(resolve, 60));
-    const standsStillUntilMs = performance.now() + 300;
-    while (performance.now() < standsStillUntilMs) {
-      // The process does nothing else meanwhile.
+    const stalledUntilMs = performance.now() + 300;
+    while (performance.now() < stalledUntilMs) {
+      // Blocks the event loop.
     }
     const backend = backendOf('b', { address });
     const attempt = { backend, method: 'GET', path: '/', headers: [], body: Buffer.alloc(0) };
@@ -218,7 +221,7 @@
   },
 );
 
-test('after a connection fell silent no other resting one to that back end is used', async (t) => {
+test('after a silent connection no other idle connection to the backend is reused', async (t) => {
   const used = new Set<Socket>();
   const { server, address } = await startBackend((socket) => {
     if (used.has(socket)) {
@@ -242,7 +245,7 @@
   server.close();
 });
 
-test('after a reset without an answer no other resting connection of the back end is used', async (t) => {
+test('after a reset without a response no other idle connection to the backend is reused', async (t) => {
   const used = new Set<Socket>();
   const { server, address } = await startBackend((socket) => {
     if (used.has(socket)) {
@@ -261,7 +264,7 @@
   server.close();
 });
 
-test('a second answer behind the first is never taken for the answer to the next request', async (t) => {
+test('an unsolicited second response is never used for the next request', async (t) => {
   const { server, address } = await startBackend((socket, requestNumber) => {
     socket.write(`${FRAMED}a-0${requestNumber}`);
     setTimeout(() => socket.write(`${FRAMED}late`), 10);
@@ -274,36 +277,36 @@
   server.close();
 });
 
-test('a second answer in the same bytes as the first leaves the first whole', async (t) => {
+test('a second response in the same write leaves the first complete', async (t) => {
   const outcome = await outcomeOf((socket) => socket.write(`${FRAMED}a-01${FRAMED}a-02`));
   t.is(outcome.failure, undefined);
   t.is(outcome.body, 'a-01');
 });
 
-test('a connection that came up while the process was busy is not given up', async (t) => {
+test('a connection established while the event loop was blocked does not time out', async (t) => {
   const { server, address } = await startBackend((socket) => socket.write(`${FRAMED}a-01`));
   const sender = new HttpBackendSender({ ...DEFAULT_BACKEND_SENDER_OPTIONS, connectTimeoutMs: 30 });
   const outcome = sendTo(sender, address);
-  // Lets the connection begin, then holds the loop beyond the time that it may take.
+  // Lets the connect start, then blocks the event loop for longer than the connect timeout.
   await new Promise((resolve) => setImmediate(resolve));
   const untilMs = performance.now() + 60;
   while (performance.now() < untilMs) {
-    // Busy.
+    // Blocks the event loop.
   }
   t.is((await outcome).body, 'a-01');
   sender.close();
   server.close();
 });
 
-test('connections that a back end forgets while they rest are rested for less', async (t) => {
-  const forgottenAfterMs = 60;
+test('the idle timeout falls after a backend drops idle connections', async (t) => {
+  const staleAfterMs = 60;
   const lastUsedAtMs = new Map<Socket, number>();
   let resets = 0;
   const { server, address } = await startBackend((socket) => {
     const usedAtMs = lastUsedAtMs.get(socket);
     const nowMs = performance.now();
     lastUsedAtMs.set(socket, nowMs);
-    if (usedAtMs !== undefined && nowMs - usedAtMs > forgottenAfterMs) {
+    if (usedAtMs !== undefined && nowMs - usedAtMs > staleAfterMs) {
       resets += 1;
       socket.resetAndDestroy();
       return;
@@ -313,15 +316,18 @@
   const sender = new HttpBackendSender();
   for (let round = 0; round < 4; round += 1) {
     await sendTo(sender, address);
-    await new Promise((resolve) => setTimeout(resolve, 3 * forgottenAfterMs));
+    await new Promise((resolve) => setTimeout(resolve, 3 * staleAfterMs));
   }
   t.is(resets, 1);
   sender.close();
   server.close();
 });
 
-/** Sends one request after another, `pauseMs` apart; returns why connections were opened. */
-async function reasonsFor(
+/**
+ * Sends requests one after another, `pauseMs` apart; returns the counts of connections by open
+ * reason.
+ */
+async function openReasonsFor(
   act: (socket: Socket) => void,
   { rounds, pauseMs }: { rounds: number; pauseMs: number },
 ): Promise<Record<string, number>> {
@@ -337,20 +343,23 @@
   return reasons;
 }
 
-test('connections are counted by why they were opened', async (t) => {
+test('connections are counted by the reason they were opened', async (t) => {
   const answer = (socket: Socket) => void socket.write(`${FRAMED}a-01`);
-  t.deepEqual(await reasonsFor(answer, { rounds: 3, pauseMs: 5 }), { first: 1 });
-  t.deepEqual(await reasonsFor(answer, { rounds: 3, pauseMs: 150 }), { first: 1, 'rest-over': 2 });
+  t.deepEqual(await openReasonsFor(answer, { rounds: 3, pauseMs: 5 }), { first: 1 });
+  t.deepEqual(await openReasonsFor(answer, { rounds: 3, pauseMs: 150 }), {
+    first: 1,
+    'rest-over': 2,
+  });
   const close = (socket: Socket) => void socket.end(`${UNFRAMED}a-01`);
-  t.deepEqual(await reasonsFor(close, { rounds: 3, pauseMs: 20 }), {
+  t.deepEqual(await openReasonsFor(close, { rounds: 3, pauseMs: 20 }), {
     first: 1,
     'closed-by-back-end': 2,
   });
   const reset = (socket: Socket) => void socket.resetAndDestroy();
-  t.deepEqual(await reasonsFor(reset, { rounds: 3, pauseMs: 20 }), { first: 1, reset: 2 });
+  t.deepEqual(await openReasonsFor(reset, { rounds: 3, pauseMs: 20 }), { first: 1, reset: 2 });
 });
 
-test('a connection for which no rest is granted is closed well before the longest rest is over', async (t) => {
+test('a connection without an advertised timeout is closed well before the configured idle timeout', async (t) => {
   const { server, address } = await startBackend((socket) => socket.write(`${FRAMED}a-01`));
   const sender = new HttpBackendSender({ ...DEFAULT_BACKEND_SENDER_OPTIONS, idleMs: 1_000 });
   await sendTo(sender, address);
@@ -361,10 +370,10 @@
   server.close();
 });
 
-test('back ends whose connections are remembered are bounded; the longest unused is new again', (t) => {
-  const reasons: ConnectionReason[] = [];
-  const causes = new ConnectionCauses((reason) => reasons.push(reason));
-  const open = (index: number) => causes.noteOpened(`10.0.0.1:${index}`, new Socket());
+test('tracked backends are bounded, and the least recently used one counts as new after eviction', (t) => {
+  const reasons: ConnectionOpenReason[] = [];
+  const causes = new ConnectionReasonTracker((reason) => reasons.push(reason));
+  const open = (index: number) => causes.recordOpened(`10.0.0.1:${index}`, new Socket());
   open(0);
   for (let index = 1; index < 1_024; index += 1) {
     open(index);
@@ -376,16 +385,16 @@
   t.deepEqual(reasons.slice(-4), ['none-idle', 'first', 'first', 'none-idle']);
 });
 
-test('the time in which a connection came up is told once, for the request that opened it', async (t) => {
+test('the connect time is reported once, for the request that opened the connection', async (t) => {
   const { server, address } = await startBackend((socket) => socket.write(`${FRAMED}a-01`));
   const sender = new HttpBackendSender();
   const backend = backendOf('b', { address });
   const attempt = { backend, method: 'GET', path: '/', headers: [], body: Buffer.alloc(0) };
-  const told: number[] = [];
+  const reportedMs: number[] = [];
   for (let round = 0; round < 2; round += 1) {
     await new Promise<void>((resolve) => {
       const ignore = () => undefined;
-      const onConnected = (elapsedMs: number) => void told.push(elapsedMs);
+      const onConnected = (elapsedMs: number) => void reportedMs.push(elapsedMs);
       const onEnd = () => resolve();
       sender.send(attempt, {
         onConnected,
@@ -396,13 +405,13 @@
       });
     });
   }
-  t.is(told.length, 1);
-  t.true(told[0]! >= 0);
+  t.is(reportedMs.length, 1);
+  t.true(reportedMs[0]! >= 0);
   sender.close();
   server.close();
 });
 
-test('a connection beside others that are in use is counted as such', async (t) => {
+test('a connection opened because all others are in use is counted as none-idle', async (t) => {
   const { server, address } = await startBackend((socket) => {
     setTimeout(() => socket.write(`${FRAMED}a-01`), 20);
   });
@@ -414,7 +423,7 @@
   server.close();
 });
 
-test('a forgotten connection of a back end that is far off shows by a reset that much later', async (t) => {
+test('the time limit for resets of stale connections includes the round trip to a distant backend', async (t) => {
   const resets = async (roundTripMs: number): Promise<number> => {
     const used = new Set<Socket>();
     let count = 0;
@@ -440,12 +449,19 @@
   t.is(await resets(0), 2);
 });
 
-/** Connections that `count` requests open, `pauseMs` apart, to a back end that grants a rest of so many seconds. */
-async function connectionsFor(grantedS: number, count: number, pauseMs: number): Promise<number> {
+/**
+ * Returns the connections opened by `count` requests, `pauseMs` apart, if the backend advertises
+ * `advertisedS` seconds.
+ */
+async function connectionsFor(
+  advertisedS: number,
+  count: number,
+  pauseMs: number,
+): Promise<number> {
   const used = new Set<Socket>();
   const { server, address } = await startBackend((socket) => {
     used.add(socket);
-    const head = `HTTP/1.1 200 OK\r\nKeep-Alive: timeout=${grantedS}\r\nContent-Length: 4`;
+    const head = `HTTP/1.1 200 OK\r\nKeep-Alive: timeout=${advertisedS}\r\nContent-Length: 4`;
     socket.write(`${head}\r\n\r\na-01`);
   });
   const sender = new HttpBackendSender();
@@ -458,7 +474,7 @@
   return used.size;
 }
 
-test('a connection rests for nearly as long as its back end grants, and no longer', async (t) => {
+test('a connection stays idle for nearly as long as its backend advertises, and no longer', async (t) => {
   t.is(await connectionsFor(1, 3, 100), 1);
   t.is(await connectionsFor(1, 2, 700), 2);
   t.is(await connectionsFor(2, 2, 800), 1);
--- a/test/caller-listener.test.ts
+++ b/test/caller-listener.test.ts
@@ -7,21 +7,21 @@
 import { SYSTEM_CLOCK, sleep } from '../src/clock.js';
 
 const REQUEST = 'GET /a HTTP/1.1\r\nHost: a\r\n\r\n';
-const LEFT_WITHIN_MS = 300;
+const DISCONNECT_WITHIN_MS = 300;
 
-interface Taken {
+interface ReceivedRequest {
   readonly path: string;
   readonly reply: CallerReply;
   hasBody: boolean;
   hasLeft: boolean;
 }
 
-/** A listener that only notes what it is told of its callers. */
-async function startListener(onBody: (taken: Taken) => void = () => undefined) {
-  const taken: Taken[] = [];
+/** Starts a listener that only records its callbacks. */
+async function startListener(onBody: (taken: ReceivedRequest) => void = () => undefined) {
+  const taken: ReceivedRequest[] = [];
   const listener = new CallerListener(
     ({ path }, reply) => {
-      const one: Taken = { path, reply, hasBody: false, hasLeft: false };
+      const one: ReceivedRequest = { path, reply, hasBody: false, hasLeft: false };
       taken.push(one);
       return {
         onBody: () => {
@@ -47,10 +47,10 @@
   return socket;
 }
 
-test('a caller that ends its connection without reading its answer has left', async (t) => {
+test('a caller that ends its connection without reading the response is reported as disconnected', async (t) => {
   const { listener, taken, call } = await startListener(({ reply }) => {
     reply.start(200, []);
-    // More than the system takes between the two, less than the gateway holds for a slow reader.
+    // More than the socket buffers hold, less than the gateway buffers for a slow reader.
     for (let written = 0; written < 60; written += 1) {
       reply.write(Buffer.alloc(64 * 1024));
     }
@@ -62,14 +62,14 @@
   t.true(taken[0]!.hasBody);
   t.false(taken[0]!.hasLeft);
   caller.end();
-  await sleep(SYSTEM_CLOCK, LEFT_WITHIN_MS);
+  await sleep(SYSTEM_CLOCK, DISCONNECT_WITHIN_MS);
   t.true(taken[0]!.hasLeft);
   caller.destroy();
   listener.server.closeAllConnections();
   listener.server.close();
 });
 
-test('a caller that closes its connection has left all requests that it sent on it', async (t) => {
+test('a closed connection is reported as a disconnect to all requests sent on it', async (t) => {
   const { listener, taken, call } = await startListener();
   const caller = await call();
   caller.write(REQUEST + REQUEST.replace('/a', '/b'));
@@ -82,7 +82,7 @@
     ],
   );
   caller.destroy();
-  await sleep(SYSTEM_CLOCK, LEFT_WITHIN_MS);
+  await sleep(SYSTEM_CLOCK, DISCONNECT_WITHIN_MS);
   t.deepEqual(
     taken.map(({ hasLeft }) => hasLeft),
     [true, true],
@@ -91,13 +91,13 @@
   listener.server.close();
 });
 
-test('the body of a caller that left is not handed over', async (t) => {
+test('the body of a disconnected caller is not passed on', async (t) => {
   const { listener, taken, call } = await startListener();
   const caller = await call();
   caller.write('POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\n12');
   await sleep(SYSTEM_CLOCK, 50);
   caller.destroy();
-  await sleep(SYSTEM_CLOCK, LEFT_WITHIN_MS);
+  await sleep(SYSTEM_CLOCK, DISCONNECT_WITHIN_MS);
   t.true(taken[0]!.hasLeft);
   t.false(taken[0]!.hasBody);
   listener.server.closeAllConnections();
--- a/test/open-answers.test.ts
+++ b/test/open-answers.test.ts
@@ -2,19 +2,20 @@
 import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
 
 /*
- * Callers' streams were cut in the middle, without an end, while their back ends were being stopped by plan. A back end said
- * that it leaves; it took no new connections from then on and served on what it had. The agent beside it found its port
- * closed and told every gateway that it had ended, and gateways cut what was still open there .3 s later. Cause: that it
- * takes no new connections was taken for its end, and bytes that arrive were not taken for its life.
+ * Guards against streams that the gateway cancels while their backend drains. A draining backend
+ * accepts no new connections but completes its open streams. Its agent finds the port closed and
+ * reports to every gateway that the backend has ended; a gateway that treats a closed port as the
+ * end, and ignores data that still arrives, cancels the open streams .3 s later.
  *
- * Evidence: of one such stream 14,354 bytes had come with no pause over 89 ms when it was cut, 2.2 s after the back end had
- * said that it leaves and .3 s after its agent had found it closed; its entry went .2 s later.
+ * Observed on one such stream: it was cancelled 2.2 s after the backend started draining and .3 s
+ * after the agent found the port closed, with 14,354 bytes received and no pause over 89 ms. The
+ * entry of the backend was removed .2 s later.
  */
 
 const STREAM = routeOf({ kind: 'stream', isResumable: false, maxAttempts: 1, timeoutMs: 8_000 });
 const HEAD = { status: 200, rawHeaders: [], headers: {} };
 
-/** A stream that is under way at a back end. */
+/** Starts a stream on a backend and sets the state of the backend. */
 function openStream(state: 'ready' | 'draining') {
   const world = new GatewayWorld(backendOf('a'));
   const { reply, request } = world.request({ route: STREAM, endsAtMs: 8_000 });
@@ -25,10 +26,10 @@
   return { world, reply, request, handlers };
 }
 
-test('what is open at a back end that leaves is served to its end, though its port is closed', async (t) => {
+test('an open stream of a draining backend completes although its port is closed', async (t) => {
   const { world, reply, request, handlers } = openStream('draining');
   request.noteBackendEnded('a', 'agent');
-  // Longer than the time in which a lost one would be given up.
+  // Longer than the grace period after which a stream of an ended backend is cancelled.
   await world.clock.runUntil(700);
   handlers.onData(Buffer.from('id: 2\ndata: y\n\n'));
   handlers.onEnd();
@@ -36,7 +37,7 @@
   t.true(reply.isEnded);
 });
 
-test('bytes that arrive show that a back end lives, whatever was concluded from its port', async (t) => {
+test('a stream that still receives data is not cancelled when its backend is reported as ended', async (t) => {
   const { world, reply, request, handlers } = openStream('ready');
   request.noteBackendEnded('a', 'agent');
   for (const atMs of [200, 400, 600, 800]) {
--- a/test/proxied-request.test.ts
+++ b/test/proxied-request.test.ts
@@ -4,8 +4,8 @@
 const UNSAFE = routeOf({ kind: 'unsafe' });
 const STREAM = routeOf({ kind: 'stream', targetLatencyMs: 500 });
 const RESUMABLE = routeOf({ kind: 'stream', isResumable: true, targetLatencyMs: 500 });
-const RESET = { mayHaveRun: true, isPortClosed: false, detail: 'reset' };
-const REFUSED = { mayHaveRun: false, isPortClosed: true, detail: 'refused' };
+const RESET_FAILURE = { mayHaveRun: true, isPortClosed: false, detail: 'reset' };
+const CONNECTION_REFUSED = { mayHaveRun: false, isPortClosed: true, detail: 'refused' };
 const EVENT_1 = 'id: 1\ndata: a\n\n';
 const EVENT_2 = 'id: 2\ndata: b\n\n';
 
@@ -13,14 +13,14 @@
   return new GatewayWorld(backendOf('a'), backendOf('b'));
 }
 
-test('an answer reaches the caller with its status and body', (t) => {
+test('a response reaches the caller with its status and body', (t) => {
   const world = twoBackends();
   const { reply } = world.request();
   world.answer(0, 200, 'hello');
   t.deepEqual([reply.status, reply.body, reply.isEnded], [200, 'hello', true]);
 });
 
-test('a request without an answer is ended at its time-out, as one that may have run', async (t) => {
+test('a request without a response ends at its timeout as possibly executed', async (t) => {
   const world = twoBackends();
   const { reply } = world.request({ route: UNSAFE });
   await world.clock.runUntil(2_010);
@@ -28,7 +28,7 @@
   t.true(world.attempts[0]!.isCancelled);
 });
 
-test('a request that was never sent is told when to come back', async (t) => {
+test('a request that was never sent is refused with a Retry-After', async (t) => {
   const world = new GatewayWorld();
   const { reply } = world.request({ route: UNSAFE });
   await world.clock.runUntil(2_010);
@@ -36,27 +36,27 @@
   t.true(reply.headers.includes('retry-after-ms'));
 });
 
-test('a request that may not be repeated is not sent again after a broken answer', (t) => {
+test('a non-retryable request is not sent again after an incomplete response', (t) => {
   const world = twoBackends();
   const { reply } = world.request({ route: UNSAFE });
-  world.attempts[0]!.handlers.onFailure(RESET);
+  world.attempts[0]!.handlers.onFailure(RESET_FAILURE);
   t.is(world.attempts.length, 1);
   t.is(reply.status, 502);
 });
 
-test('a request that may not be repeated is sent elsewhere when nothing was sent', (t) => {
+test('a non-retryable request is sent elsewhere if nothing was sent', (t) => {
   const world = twoBackends();
   world.request({ route: UNSAFE });
-  world.attempts[0]!.handlers.onFailure(REFUSED);
+  world.attempts[0]!.handlers.onFailure(CONNECTION_REFUSED);
   t.not(world.attempts[1]!.backend.id, world.attempts[0]!.backend.id);
 });
 
-test('a request passes over any number of closed ports, and others do not go there', (t) => {
+test('a request skips any number of closed ports, and later requests are not sent there', (t) => {
   const ids = ['a', 'b', 'c', 'd', 'e', 'f', 'g'];
   const world = new GatewayWorld(...ids.map((id) => backendOf(id)));
   const { reply } = world.request({ route: UNSAFE });
   for (let index = 0; index < 6; index += 1) {
-    world.attempts[index]!.handlers.onFailure(REFUSED);
+    world.attempts[index]!.handlers.onFailure(CONNECTION_REFUSED);
   }
   world.answer(6, 200, 'served');
   t.is(reply.body, 'served');
@@ -64,31 +64,31 @@
   t.is(world.attempts[7]!.backend.id, world.attempts[6]!.backend.id);
 });
 
-test('a closed port is not asked again for a while, however fast its back end was', (t) => {
+test('a backend with a closed port is ejected for a while, however fast it was', (t) => {
   const world = twoBackends();
   world.dispatcher.learnSpeed('a', 1, 10);
   world.dispatcher.learnSpeed('b', 1, 50);
   world.request({ route: UNSAFE });
   t.is(world.attempts[0]!.backend.id, 'a');
-  world.attempts[0]!.handlers.onFailure(REFUSED);
+  world.attempts[0]!.handlers.onFailure(CONNECTION_REFUSED);
   t.true(world.directory.find('a')!.health.isEjected(world.clock.now()));
   world.answer(1, 200, 'served');
   world.request({ route: UNSAFE });
   t.is(world.attempts[2]!.backend.id, 'b');
 });
 
-test('connections that do not come up in time are tried a few times', (t) => {
+test('a request is refused after a few failed connects', (t) => {
   const ids = ['a', 'b', 'c', 'd', 'e', 'f', 'g'];
   const world = new GatewayWorld(...ids.map((id) => backendOf(id)));
   const { reply } = world.request({ route: UNSAFE });
   for (let index = 0; index < 5; index += 1) {
-    world.attempts[index]!.handlers.onFailure({ ...REFUSED, isPortClosed: false });
+    world.attempts[index]!.handlers.onFailure({ ...CONNECTION_REFUSED, isPortClosed: false });
   }
   t.is(world.attempts.length, 5);
   t.is(reply.status, 503);
 });
 
-test('a back end that did not run the request is a promise, if no other is allowed', (t) => {
+test('a not-executed response is a 503 with a Retry-After if no other attempt is allowed', (t) => {
   const world = twoBackends();
   const { reply } = world.request({ route: routeOf({ kind: 'unsafe', maxAttempts: 1 }) });
   world.answer(0, 503, '', { 'not-run': '1' });
@@ -96,7 +96,7 @@
   t.true(reply.headers.includes('retry-after-ms'));
 });
 
-test('a request that found another process at the address says nothing of how that one is', (t) => {
+test('a misdirected request is released without a success or failure for the backend', (t) => {
   const world = twoBackends();
   world.engines = true;
   world.dispatcher.connectAgent('a', 0);
@@ -105,7 +105,7 @@
   t.deepEqual(world.toAgents.at(-1), ['a', { kind: 'released', hasFailed: undefined }]);
 });
 
-test('a connection that does not come up is told to the agent as silence, not as a failure of its engine', (t) => {
+test('a connect timeout is reported to the agent as silence, not as an engine failure', (t) => {
   const world = twoBackends();
   world.engines = true;
   world.dispatcher.connectAgent('a', 0);
@@ -125,7 +125,7 @@
   t.is(world.attempts[1]!.backend.id, 'b');
 });
 
-test('an answer with the id of another request is never passed on', (t) => {
+test('a response with the id of another request is never forwarded', (t) => {
   const world = twoBackends();
   const { reply } = world.request({ route: UNSAFE });
   world.answer(0, 200, 'for somebody else', { request: 'other' });
@@ -134,7 +134,7 @@
   t.true(world.attempts[0]!.isCancelled);
 });
 
-test('a safe request is tried once more elsewhere after an error', (t) => {
+test('a safe request is retried elsewhere after an error', (t) => {
   const world = twoBackends();
   const { reply } = world.request();
   world.answer(0, 500, 'bad');
@@ -142,7 +142,7 @@
   t.deepEqual([reply.status, reply.body], [200, 'good']);
 });
 
-test('a safe request whose tries all fail gets the last answer of a back end', (t) => {
+test('a safe request whose attempts all fail gets the last backend response', (t) => {
   const world = twoBackends();
   const { reply } = world.request();
   world.answer(0, 500, 'bad');
@@ -150,7 +150,7 @@
   t.deepEqual([reply.status, reply.body], [500, 'worse']);
 });
 
-test('without budget a safe request is not tried again', (t) => {
+test('a safe request is not retried without retry budget', (t) => {
   const world = twoBackends();
   world.repeatsLeft = 0;
   const { reply } = world.request();
@@ -158,7 +158,7 @@
   t.deepEqual([reply.status, reply.body, world.attempts.length], [500, 'bad', 1]);
 });
 
-test('a safe request leaves a silent back end', async (t) => {
+test('a safe request moves away from a backend that sends nothing', async (t) => {
   const world = twoBackends();
   const { reply } = world.request();
   await world.clock.runUntil(70);
@@ -167,7 +167,7 @@
   t.is(reply.status, 200);
 });
 
-test('a stream passes on whole events only', (t) => {
+test('a stream forwards complete events only', (t) => {
   const world = twoBackends();
   const { reply } = world.request({ route: STREAM });
   const { handlers } = world.attempts[0]!;
@@ -176,19 +176,19 @@
   t.is(reply.body, EVENT_1);
 });
 
-test('a broken stream that may not be resumed looks broken to its caller', (t) => {
+test('an interrupted stream that is not resumable is aborted visibly', (t) => {
   const world = twoBackends();
   const { reply } = world.request({ route: STREAM });
   const { handlers } = world.attempts[0]!;
   handlers.onHead({ status: 200, rawHeaders: [], headers: {} });
   handlers.onData(Buffer.from(EVENT_1));
-  handlers.onFailure(RESET);
+  handlers.onFailure(RESET_FAILURE);
   t.true(reply.isAborted);
   t.false(reply.isEnded);
   t.is(world.attempts.length, 1);
 });
 
-test('a stream that ends inside an event is not ended as whole', (t) => {
+test('a stream that ends inside an event is not completed', (t) => {
   const world = twoBackends();
   const { reply } = world.request({ route: STREAM });
   world.answer(0, 200, `${EVENT_1}id: 2`);
@@ -196,20 +196,20 @@
   t.false(reply.isEnded);
 });
 
-test('a resumable stream goes on elsewhere after its last whole event, inside one answer', (t) => {
+test('a resumable stream resumes elsewhere after its last complete event within one response', (t) => {
   const world = twoBackends();
   const { reply } = world.request({ route: RESUMABLE });
   const { handlers } = world.attempts[0]!;
   handlers.onHead({ status: 200, rawHeaders: ['seal', 'first'], headers: {} });
   handlers.onData(Buffer.from(`${EVENT_1}id: 2\nda`));
-  handlers.onFailure(RESET);
+  handlers.onFailure(RESET_FAILURE);
   t.deepEqual(world.attempts[1]!.headers.slice(-2), ['last-event', '1']);
   world.answer(1, 200, EVENT_2);
   t.deepEqual([reply.body, reply.isEnded], [EVENT_1 + EVENT_2, true]);
   t.deepEqual(reply.headers, ['seal', 'first']);
 });
 
-test('a stream that stands still is not broken off while no other back end has a free slot', async (t) => {
+test('a stalled stream is not cancelled while no other backend has a free slot', async (t) => {
   const world = new GatewayWorld(backendOf('a', { slots: 1 }), backendOf('b', { slots: 1 }));
   const { reply } = world.request({ route: RESUMABLE });
   world.request({ route: UNSAFE });
@@ -224,7 +224,7 @@
   t.deepEqual([reply.body, reply.isEnded], [EVENT_1 + EVENT_2, true]);
 });
 
-test('a stream that stands still goes on elsewhere once another back end has a free slot', async (t) => {
+test('a stalled stream resumes elsewhere once another backend has a free slot', async (t) => {
   const world = new GatewayWorld(backendOf('a', { slots: 1 }), backendOf('b', { slots: 1 }));
   const { reply } = world.request({ route: RESUMABLE });
   world.request({ route: UNSAFE });
@@ -239,7 +239,7 @@
   t.deepEqual([reply.body, reply.isEnded], [EVENT_1 + EVENT_2, true]);
 });
 
-test('a stream that stands still is not broken off where its tenant has no quota for a further run', async (t) => {
+test('a stalled stream is not cancelled if its tenant has no quota for a retry', async (t) => {
   const world = twoBackends();
   world.hasQuota = false;
   const { reply } = world.request({ route: RESUMABLE });
@@ -254,38 +254,38 @@
   t.is(world.chargedAgain, 1);
 });
 
-test('an error in place of the rest of a stream never ends it as if it were whole', (t) => {
+test('an error response to a resumed stream aborts it and never completes it', (t) => {
   const world = twoBackends();
   const { reply } = world.request({ route: RESUMABLE });
   const { handlers } = world.attempts[0]!;
   handlers.onHead({ status: 200, rawHeaders: [], headers: {} });
   handlers.onData(Buffer.from(EVENT_1));
-  handlers.onFailure(RESET);
+  handlers.onFailure(RESET_FAILURE);
   world.answer(1, 500, 'bad');
   t.deepEqual([reply.body, reply.isEnded, reply.isAborted], [EVENT_1, false, true]);
 });
 
-test('a stream goes on at a third back end after an error of the second', (t) => {
+test('a stream resumes on a third backend after an error of the second', (t) => {
   const world = new GatewayWorld(backendOf('a'), backendOf('b'), backendOf('c'));
   const { reply } = world.request({ route: { ...RESUMABLE, maxAttempts: 3 } });
   const { handlers } = world.attempts[0]!;
   handlers.onHead({ status: 200, rawHeaders: [], headers: {} });
   handlers.onData(Buffer.from(EVENT_1));
-  handlers.onFailure(RESET);
+  handlers.onFailure(RESET_FAILURE);
   world.answer(1, 500, 'bad');
   world.answer(2, 200, EVENT_2);
   t.deepEqual([reply.body, reply.isEnded], [EVENT_1 + EVENT_2, true]);
 });
 
-test('each try is handed what is left of the time', async (t) => {
+test('each attempt is sent the remaining time', async (t) => {
   const world = twoBackends();
   world.request();
   await world.clock.runUntil(70);
-  const left = Number(world.attempts[1]!.headers[1]);
-  t.true(left > 1_900 && left <= 1_940);
+  const remainingMs = Number(world.attempts[1]!.headers[1]);
+  t.true(remainingMs > 1_900 && remainingMs <= 1_940);
 });
 
-test('a caller that leaves ends the work at once', (t) => {
+test('a caller disconnect cancels the attempt at once', (t) => {
   const world = twoBackends();
   const { request } = world.request();
   request.callerLeft();
@@ -293,7 +293,7 @@
   t.is(world.ends[0]?.reason, 'caller-left');
 });
 
-test('a request that no slot comes for is refused as not run, long before its time is over', async (t) => {
+test('a request that gets no slot is refused as not executed long before its deadline', async (t) => {
   const world = new GatewayWorld(backendOf('a', { slots: 1 }));
   world.request({ route: UNSAFE });
   const { reply } = world.request({ route: routeOf({ priority: 2 }) });
@@ -302,7 +302,7 @@
   t.is(world.ends.find(({ reason }) => reason === 'overloaded')?.attempts, 0);
 });
 
-/** Keeps the only slot at work with requests of the highest tier, one every 20 ms. */
+/** Keeps the only slot occupied with requests of the highest tier, one every 20 ms. */
 async function overload(world: GatewayWorld, forMs: number): Promise<void> {
   const urgent = routeOf({ kind: 'unsafe', priority: 0, targetLatencyMs: 1_000 });
   world.request({ route: urgent });
@@ -315,22 +315,22 @@
   }
 }
 
-test('a request that more urgent ones keep out is refused on arrival', async (t) => {
+test('a request is refused on arrival under overload by more urgent requests', async (t) => {
   const world = new GatewayWorld(backendOf('a', { slots: 1 }));
   await overload(world, 2_000);
   const { reply } = world.request({ route: routeOf({ priority: 2 }) });
   t.is(reply.status, 503);
 });
 
-test('a refused caller is told to come back while it still has time', async (t) => {
+test('the Retry-After of a refusal leaves the caller time for a retry', async (t) => {
   const world = new GatewayWorld(backendOf('a', { slots: 1 }));
   await overload(world, 4_000);
   const { reply } = world.request({ route: routeOf({ priority: 2, timeoutMs: 900 }) });
-  const told = reply.headers[reply.headers.indexOf('retry-after-ms') + 1];
-  t.true(Number(told) >= 100 && Number(told) <= 300, told);
+  const retryAfterMs = reply.headers[reply.headers.indexOf('retry-after-ms') + 1];
+  t.true(Number(retryAfterMs) >= 100 && Number(retryAfterMs) <= 300, retryAfterMs);
 });
 
-test('one that comes back goes behind those of its tier that can still be in time', async (t) => {
+test('a late retry is queued behind requests of its tier that can still be on time', async (t) => {
   const world = new GatewayWorld(backendOf('a', { slots: 1 }));
   world.request({ route: UNSAFE });
   await world.clock.runUntil(500);
@@ -341,24 +341,24 @@
   t.is(world.attempts[1]!.path, '/first-try');
 });
 
-test('a further run is charged to its tenant, and is not begun where its quota does not suffice', (t) => {
+test('a retry is charged to its tenant and is not started if the quota is insufficient', (t) => {
   const world = twoBackends();
   const safe = routeOf({ kind: 'safe' });
   world.request({ route: safe });
-  world.attempts[0]!.handlers.onFailure(RESET);
+  world.attempts[0]!.handlers.onFailure(RESET_FAILURE);
   t.is(world.attempts.length, 2);
   t.is(world.chargedAgain, 1);
   world.hasQuota = false;
   const { reply } = world.request({ route: safe });
-  world.attempts[2]!.handlers.onFailure(RESET);
+  world.attempts[2]!.handlers.onFailure(RESET_FAILURE);
   t.is(world.attempts.length, 3);
   t.is(reply.status, 502);
 });
 
-test('what no back end ran is sent elsewhere without a charge', (t) => {
+test('a request that no backend executed is sent elsewhere without a charge', (t) => {
   const world = twoBackends();
   world.request({ route: UNSAFE });
-  world.attempts[0]!.handlers.onFailure(REFUSED);
+  world.attempts[0]!.handlers.onFailure(CONNECTION_REFUSED);
   t.is(world.attempts.length, 2);
   t.is(world.chargedAgain, 0);
 });
--- a/test/support/gateway.ts
+++ b/test/support/gateway.ts
@@ -1,5 +1,5 @@
 import type {
-  AnswerHead,
+  ResponseHead,
   AttemptHandlers,
   BackendSender,
   CallerReply,
@@ -22,7 +22,7 @@
   HeardAnswer,
   RequestEnd,
   RequestPorts,
-  TryOver,
+  EndedAttempt,
 } from '../../src/gateway/attempt/request-model.js';
 import { sendLimitPerS } from '../../src/gateway/statements/send-limit.js';
 import { NO_STATEMENT } from '../../src/gateway/statements/backend-statement.js';
@@ -38,7 +38,7 @@
 import type { SlotMessage } from '../../src/slot-agent/slot-messages.js';
 import { at } from './positions.js';
 
-/** A back end with defaults. */
+/** Returns a backend with default values. */
 export function backendOf(id: string, changes: Partial<Backend> = {}): Backend {
   return {
     id,
@@ -57,7 +57,7 @@
   };
 }
 
-/** A route with defaults. */
+/** Returns a route with default values. */
 export function routeOf(changes: Partial<Route> = {}): Route {
   return {
     name: 'r',
@@ -77,14 +77,14 @@
   };
 }
 
-/** One send as the test's back ends see it. */
+/** An attempt as recorded by the simulated backends. */
 export interface SeenAttempt extends OutgoingAttempt {
   readonly handlers: AttemptHandlers;
   isCancelled: boolean;
 }
 
-/** What a caller received. */
-export class SeenReply implements CallerReply {
+/** Records the response that a caller received. */
+export class RecordedReply implements CallerReply {
   status = 0;
   headers: readonly string[] = [];
   body = '';
@@ -111,11 +111,11 @@
   }
 
   onceDrained(): void {
-    // The test's callers read everything at once.
+    // Simulated callers apply no backpressure.
   }
 }
 
-/** Header names of no platform; the request's id and what is left are all that tests look at. */
+/** Minimal protocol without a platform: the headers that tests inspect. */
 export const PLAIN_PROTOCOL: CallerProtocol = {
   readRequest: () => ({
     requestId: undefined,
@@ -141,7 +141,10 @@
     retryAfterMs === undefined ? [] : ['retry-after-ms', `${retryAfterMs}`],
 };
 
-/** The core of a gateway on a virtual clock, with back ends and agents that the test plays. */
+/**
+ * Test harness: the gateway core on a virtual clock, with backends and agents simulated by the
+ * test.
+ */
 export class GatewayWorld implements BackendSender, DispatcherPorts {
   readonly clock = new VirtualClock();
   readonly attempts: SeenAttempt[] = [];
@@ -157,34 +160,37 @@
   repeatsLeft = 10;
   engines = false;
   gateways = 1;
-  /** Versions that may not be used freely. */
+  /** Versions with restricted use; all others are open. */
   readonly versionUses = new Map<string, VersionUse>();
-  /** Each change of whether the gateway's region has usable back ends. */
+  /** Changes of whether the gateway's region has usable backends, in order. */
   readonly reaches: boolean[] = [];
   readonly evacuatedZones = new Set<string>();
-  /** Homes of the configuration in force; while undefined requests keep the regions that they came with. */
+  /**
+   * Home regions of the configuration in force; undefined leaves the regions of each request
+   * unchanged.
+   */
   homes: NamedHomes | undefined;
   version = 1;
-  /** Why requests were kept from back ends, in order. */
+  /** Reasons for which requests were not sent to backends, in order. */
   readonly kept: RestrictionReason[] = [];
-  readonly triesOver: TryOver[] = [];
-  /** Back ends to which connections do not come up for now. */
+  readonly triesOver: EndedAttempt[] = [];
+  /** Backends to which connections are not established for now. */
   readonly connecting = new Set<string>();
   coldStarts = new ColdStarts();
-  /** Services that are configured; undefined for any. */
+  /** Configured services; undefined if all are. */
   namedServices: ReadonlySet<string> | undefined;
-  /** Back ends that were to be looked at, in order. */
+  /** Backends whose probe was requested, in order. */
   readonly looks: string[] = [];
   readonly crashes: CountedCrash[] = [];
   readonly crashNews: RequestCrashes[] = [];
-  private readonly proxied: ProxiedRequest[] = [];
+  private readonly proxiedRequests: ProxiedRequest[] = [];
   readonly crashing = new CrashingRequests(
     {
       isLeaving: (backendId) => this.directory.find(backendId)?.backend.state === 'draining',
       look: ({ id }) => void this.looks.push(id),
       onCrash: (crash) => void this.crashes.push(crash),
       onNews: (news) => void this.crashNews.push(...news),
-      onRefused: () => this.proxied.forEach((request) => request.refuseCrashing()),
+      onRefused: () => this.proxiedRequests.forEach((request) => request.refuseCrashing()),
     },
     this.clock,
   );
@@ -195,7 +201,10 @@
     }
   }
 
-  /** Back ends for which a right to send is held; rights that were asked for, by back end. */
+  /**
+   * Backends for which the gateway holds a send right; `wantedRights` lists those for which one was
+   * requested.
+   */
   readonly heldRights = new Set<string>();
   readonly wantedRights: string[] = [];
   readonly sendRights = {
@@ -208,7 +217,7 @@
     return sendLimitPerS(this.directory.find(backendId)!.condition) !== undefined;
   }
 
-  private hear({ backend, ...heard }: HeardAnswer): void {
+  private recordStatement({ backend, ...heard }: HeardAnswer): void {
     const known = this.directory.find(backend.id);
     if (known?.condition.hear(heard, this.clock.now()) === true) {
       this.dispatcher.followCondition(known, this.clock.now());
@@ -232,7 +241,7 @@
   }
 
   onEjected(): void {
-    // Tests look at where requests go instead.
+    // Tests check which backend receives requests instead.
   }
 
   versionUse(backend: Backend): VersionUse {
@@ -260,18 +269,18 @@
   }
 
   onSent(): void {
-    // Tests look at the attempts instead.
+    // Tests check the attempts instead.
   }
 
   onKept(reason: RestrictionReason): void {
     this.kept.push(reason);
   }
 
-  /** Operators evacuate a zone, or take it back. */
-  /** Further runs that were charged to a tenant, and whether its quota suffices for them. */
+  /** Number of retries charged to a tenant; `hasQuota` sets whether its quota suffices. */
   chargedAgain = 0;
   hasQuota = true;
 
+  /** Evacuates a zone, or ends its evacuation. */
   order(zone: string, isOrdered: boolean): void {
     const apply = () =>
       isOrdered ? this.evacuatedZones.add(zone) : this.evacuatedZones.delete(zone);
@@ -291,7 +300,7 @@
   }
 
   onAvailability(): void {
-    // Tests look at where requests go instead.
+    // Tests check which backend receives requests instead.
   }
 
   send(attempt: OutgoingAttempt, handlers: AttemptHandlers) {
@@ -306,7 +315,7 @@
     return { cancel, withdraw, pause: ignore, resume: ignore };
   }
 
-  /** A request that was let in, with defaults. */
+  /** Returns an accepted request with default values. */
   accept(changes: Partial<AcceptedRequest> = {}): AcceptedRequest {
     const route = changes.route ?? routeOf();
     const arrivedAtMs = this.clock.now();
@@ -333,7 +342,7 @@
     };
   }
 
-  /** What requests of this world are made from. */
+  /** Dependencies of the requests of this harness. */
   get requestPorts(): RequestPorts {
     return {
       clock: this.clock,
@@ -348,8 +357,8 @@
         onResult(this.hasQuota);
       },
       takeRepeat: () => this.repeatsLeft-- > 0,
-      onStatement: (heard: HeardAnswer) => this.hear(heard),
-      onTryOver: (over: TryOver) => void this.triesOver.push(over),
+      onStatement: (heard: HeardAnswer) => this.recordStatement(heard),
+      onTryOver: (over: EndedAttempt) => void this.triesOver.push(over),
       onEnd: (ended: AcceptedRequest, end: RequestEnd) => {
         this.ends.push(end);
         this.ended.push([ended, end]);
@@ -357,9 +366,12 @@
     };
   }
 
-  /** Hands a request to the gateway. */
-  request(changes: Partial<AcceptedRequest> = {}): { reply: SeenReply; request: ProxiedRequest } {
-    const reply = new SeenReply();
+  /** Starts a request in the gateway. */
+  request(changes: Partial<AcceptedRequest> = {}): {
+    reply: RecordedReply;
+    request: ProxiedRequest;
+  } {
+    const reply = new RecordedReply();
     const accepted = this.accept(changes);
     const owner = { route: accepted.route.name, tenant: accepted.tenant };
     const followed =
@@ -367,13 +379,13 @@
         ? accepted
         : followHomes(accepted, new RequestHomes(owner, () => this.homes));
     const request = new ProxiedRequest(followed, reply, this.requestPorts, DEFAULT_REQUEST_OPTIONS);
-    this.proxied.push(request);
+    this.proxiedRequests.push(request);
     request.begin();
     return { reply, request };
   }
 
-  /** A back end's whole answer to its nth attempt. */
-  answer(index: number, status: number, body: string, headers: AnswerHead['headers'] = {}): void {
+  /** Completes the attempt at `index` with a response. */
+  answer(index: number, status: number, body: string, headers: ResponseHead['headers'] = {}): void {
     const attempt = this.attempts[index]!;
     attempt.handlers.onHead({ status, rawHeaders: [], headers });
     if (!attempt.isCancelled) {
--- a/test/unconfirmed-refusals.test.ts
+++ b/test/unconfirmed-refusals.test.ts
@@ -2,30 +2,30 @@
 import { UnconfirmedRefusals } from '../src/gateway/admission/unconfirmed-refusals.js';
 import { HeapClock } from './support/heap-clock.js';
 
-function startWaits(maxWaiting = 200) {
+function startQueue(maxWaiting = 200) {
   const clock = new HeapClock();
   const knowledge = { isOld: true };
-  const options = { waitMs: 500, lookMs: 25, maxWaiting };
+  const options = { waitMs: 500, checkIntervalMs: 25, maxWaiting };
   const ports = { isKnowledgeOld: () => knowledge.isOld };
-  const refusals = new UnconfirmedRefusals(ports, clock, options);
+  const queue = new UnconfirmedRefusals(ports, clock, options);
   const ended: Array<readonly [string, boolean, number]> = [];
   const wait = (name: string) =>
-    refusals.wait((isConfirmed) => ended.push([name, isConfirmed, clock.now()]));
+    queue.wait((isConfirmed) => ended.push([name, isConfirmed, clock.now()]));
   const run = (untilMs: number) => {
     while (clock.step(untilMs)) {
       // Each step runs one timer.
     }
   };
-  return { refusals, knowledge, ended, wait, run };
+  return { queue, knowledge, ended, wait, run };
 }
 
-test('what waits goes on as soon as knowledge is confirmed', (t) => {
-  const { refusals, knowledge, ended, wait, run } = startWaits();
+test('waiting requests continue once the configuration is confirmed', (t) => {
+  const { queue, knowledge, ended, wait, run } = startQueue();
   wait('a');
   run(100);
   wait('b');
   t.deepEqual(ended, []);
-  t.is(refusals.count, 2);
+  t.is(queue.count, 2);
   knowledge.isOld = false;
   run(130);
   t.deepEqual(
@@ -35,11 +35,11 @@
       ['b', true],
     ],
   );
-  t.is(refusals.count, 0);
+  t.is(queue.count, 0);
 });
 
-test('the wait is bounded for each request, and so is their number', (t) => {
-  const { ended, wait, run } = startWaits(2);
+test('the wait of each request and the number of waiting requests are bounded', (t) => {
+  const { ended, wait, run } = startQueue(2);
   wait('a');
   run(300);
   wait('b');
@@ -52,11 +52,11 @@
   t.true(ended[2]![2] <= 825);
 });
 
-test('a request whose caller left is no longer waited for', (t) => {
-  const { refusals, ended, wait, run } = startWaits();
-  const giveUp = wait('a');
-  giveUp();
+test('a cancelled wait is removed and its callback is not called', (t) => {
+  const { queue, ended, wait, run } = startQueue();
+  const cancel = wait('a');
+  cancel();
   run(2_000);
-  t.is(refusals.count, 0);
+  t.is(queue.count, 0);
   t.deepEqual(ended, []);
 });
