--- a/src/rollout/rollout-evidence.ts
+++ b/src/rollout/rollout-evidence.ts
@@ -1,30 +1,33 @@
-/** How the requests of a roll-out ended, by route and version, over all gateways that were heard. */
-import { judge, likelihoodRatio } from './sequential-test.js';
+/**
+ * Request outcomes of a roll-out by route and version, aggregated over all gateways that have
+ * reported.
+ */
+import { evaluateVersion, logLikelihoodRatio } from './sequential-test.js';
 import type { OutcomeCounts, Verdict } from './sequential-test.js';
 
-/** Outcomes of one route, as one gateway saw them since it learned of the order. */
+/** Outcomes of one route, as one gateway counted them since it received the order. */
 export interface RouteOutcomes {
   readonly target: OutcomeCounts;
-  /** Of the version in force, at the same time. */
+  /** Outcomes of the version in force over the same period. */
   readonly inForce: OutcomeCounts;
 }
 
 /** Outcomes by route. */
 export type OutcomesByRoute = Readonly<Record<string, RouteOutcomes>>;
 
-const NONE: OutcomeCounts = { ended: 0, bad: 0 };
-const NO_OUTCOMES: RouteOutcomes = { target: NONE, inForce: NONE };
+const NO_REQUESTS: OutcomeCounts = { ended: 0, bad: 0 };
+const NO_OUTCOMES: RouteOutcomes = { target: NO_REQUESTS, inForce: NO_REQUESTS };
 
-/** Evidence of one roll-out. */
+/** Collects the outcomes of one roll-out and evaluates the target version. */
 export class RolloutEvidence {
   private readonly own = new Map<string, RouteOutcomes>();
-  /** What each peer told last; what a peer saw before it died stays. */
-  private readonly heard = new Map<string, OutcomesByRoute>();
-  /** The sums over all gateways; undefined once something was added to them. */
-  private sums: ReadonlyMap<string, RouteOutcomes> | undefined;
+  /** Latest report of each peer; that of a peer that has ended still counts. */
+  private readonly peerOutcomes = new Map<string, OutcomesByRoute>();
+  /** Cached totals over all gateways; undefined after a change. */
+  private totals: ReadonlyMap<string, RouteOutcomes> | undefined;
 
-  /** A request of this gateway ended. */
-  note(route: string, isTarget: boolean, isBad: boolean): void {
+  /** Counts a completed request of this gateway. */
+  recordOutcome(route: string, isTarget: boolean, isBad: boolean): void {
     const before = this.own.get(route) ?? NO_OUTCOMES;
     const version = isTarget ? 'target' : 'inForce';
     const { ended, bad } = before[version];
@@ -32,54 +35,61 @@
       ...before,
       [version]: { ended: ended + 1, bad: bad + Number(isBad) },
     });
-    this.sums = undefined;
+    this.totals = undefined;
   }
 
-  /** A peer told what it saw since it learned of the order. */
-  hear(peer: string, outcomes: OutcomesByRoute): void {
-    this.heard.set(peer, outcomes);
-    this.sums = undefined;
+  /** Replaces the outcomes of a peer by those it has counted since it received the order. */
+  setPeerOutcomes(peer: string, outcomes: OutcomesByRoute): void {
+    this.peerOutcomes.set(peer, outcomes);
+    this.totals = undefined;
   }
 
-  /** What this gateway saw. */
+  /** Outcomes that this gateway counted. */
   get ownOutcomes(): OutcomesByRoute {
     return Object.fromEntries(this.own);
   }
 
-  /** Requests that ended at the target version, over all gateways. */
+  /** Number of requests completed at the target version, over all gateways. */
   get targetEnded(): number {
-    return this.tried.reduce((sum, { target }) => sum + target.ended, 0);
+    return this.testedRoutes.reduce((sum, { target }) => sum + target.ended, 0);
   }
 
-  /** Whether every route that was tried is likelier good than bad. */
-  get leansGood(): boolean {
-    return this.tried.every(({ target, inForce }) => likelihoodRatio(target, inForce) < 0);
+  /** Whether the target version is more likely good than bad on every tested route. */
+  get isLikelyGood(): boolean {
+    return this.testedRoutes.every(
+      ({ target, inForce }) => logLikelihoodRatio(target, inForce) < 0,
+    );
   }
 
-  /** Bad as soon as one route is, good once every route that was tried is. */
+  /** Bad as soon as one tested route is bad, good once all are good. */
   get verdict(): Verdict {
-    const verdicts = this.tried.map(({ target, inForce }) => judge(target, inForce));
+    const verdicts = this.testedRoutes.map(({ target, inForce }) =>
+      evaluateVersion(target, inForce),
+    );
     if (verdicts.includes('bad')) {
       return 'bad';
     }
     return verdicts.length > 0 && verdicts.every((verdict) => verdict === 'good') ? 'good' : 'open';
   }
 
-  /** Outcomes of the routes of which requests ended at the target version. */
-  private get tried(): RouteOutcomes[] {
-    this.sums ??= this.sum();
-    return [...this.sums.values()].filter(({ target }) => target.ended > 0);
+  /** Outcomes of the routes with requests completed at the target version. */
+  private get testedRoutes(): RouteOutcomes[] {
+    this.totals ??= this.computeTotals();
+    return [...this.totals.values()].filter(({ target }) => target.ended > 0);
   }
 
-  private sum(): Map<string, RouteOutcomes> {
-    const sums = new Map<string, RouteOutcomes>(this.own);
-    for (const outcomes of this.heard.values()) {
+  private computeTotals(): Map<string, RouteOutcomes> {
+    const totals = new Map<string, RouteOutcomes>(this.own);
+    for (const outcomes of this.peerOutcomes.values()) {
       for (const [route, { target, inForce }] of Object.entries(outcomes)) {
-        const sum = sums.get(route) ?? NO_OUTCOMES;
-        sums.set(route, { target: add(sum.target, target), inForce: add(sum.inForce, inForce) });
+        const total = totals.get(route) ?? NO_OUTCOMES;
+        totals.set(route, {
+          target: add(total.target, target),
+          inForce: add(total.inForce, inForce),
+        });
       }
     }
-    return sums;
+    return totals;
   }
 }
 
--- a/src/rollout/rollout-order.ts
+++ b/src/rollout/rollout-order.ts
@@ -1,9 +1,9 @@
-/** What operators order of a roll-out, and what is told of it. */
+/** Roll-out orders of operators, and the reported state of roll-outs. */
 import type { StorePosition } from '../cluster/store-position.js';
 
 /**
- * An order to move the traffic of a service to back ends of one version. Its position in the store is that of its last
- * write: a later order replaces it.
+ * An order to move the traffic of a service to back ends of one version. Its store position is that
+ * of its last write: a later order replaces it.
  */
 export interface RolloutOrder extends StorePosition {
   readonly service: string;
@@ -12,10 +12,10 @@
   readonly durationMs: number;
 }
 
-/** How far a roll-out has come. */
+/** Progress of a roll-out. */
 export type RolloutState = 'in-progress' | 'completed' | 'rolled-back';
 
-/** What the store tells of a roll-out, and the position at which it was written. */
+/** A roll-out's state as stored, and the position at which it was written. */
 export interface RolloutStatus extends StorePosition {
   readonly service: string;
   readonly targetVersion: string;
@@ -25,6 +25,6 @@
 /** How back ends of one version may be used. */
 export type VersionUse =
   | 'open'
-  /** A small share of the requests, to judge it by. */
+  /** Gets a small share of the requests, to evaluate the version. */
   | 'limited'
   | 'closed';
--- a/src/rollout/rollouts.ts
+++ b/src/rollout/rollouts.ts
@@ -1,4 +1,4 @@
-/** The roll-outs that a gateway knows of: which versions it may use, what it tells, what it writes. */
+/** The roll-outs known to a gateway: permitted versions, reports to peers, and state writes. */
 import type { Clock } from '../clock.js';
 import { isLater } from '../cluster/store-position.js';
 import type { StorePosition } from '../cluster/store-position.js';
@@ -7,35 +7,38 @@
 import type { Backend } from '../routing/backend.js';
 import type { RolloutOrder, RolloutState, RolloutStatus, VersionUse } from './rollout-order.js';
 import { ServiceRollout } from './service-rollout.js';
-import type { PeerRollout, ReadyVersions } from './service-rollout.js';
+import type { PeerRolloutReport, ReadyVersions } from './service-rollout.js';
 
-/** What gateways tell each other of their roll-outs, by service. */
-export type PeerRollouts = Readonly<Record<string, PeerRollout>>;
+/** Roll-out reports that gateways exchange, by service. */
+export type PeerRollouts = Readonly<Record<string, PeerRolloutReport>>;
 
-/** What roll-outs need from their surroundings. */
+/** Dependencies of `Rollouts`. */
 export interface RolloutPorts {
-  /** Ready back ends of a service, by whether they are of `targetVersion`. */
+  /** Counts a service's ready back ends with `targetVersion`, and those with other versions. */
   countReady(service: string, targetVersion: string): ReadyVersions;
-  /** Gateways that are known, this one included. */
+  /** Counts the known gateways, including this one. */
   countGateways(): number;
-  /** Writes a state where the last one is at `follows` (revision 0: there is none). */
+  /** Writes a state on condition that the stored one is at `follows` (revision 0: none stored). */
   write(
     order: RolloutOrder,
     state: RolloutState,
     follows: StorePosition,
   ): Promise<Result<unknown, WeirvaleError>>;
-  /** A state was written, or the store did not take it. */
+  /** Called after a write; `failure` is set if the store rejected it. */
   onWritten(order: RolloutOrder, state: RolloutState, failure: WeirvaleError | undefined): void;
 }
 
-/** Pause after a write that the store did not take, in milliseconds: its news may come meanwhile. */
+/**
+ * Delay between writes, in milliseconds; after a rejected write, the newer record may arrive in
+ * this time.
+ */
 const WRITE_RETRY_MS = 500;
 
 /** Roll-outs by service. */
 export class Rollouts {
   private readonly rollouts = new Map<string, ServiceRollout>();
   private readonly statuses = new Map<string, RolloutStatus>();
-  /** When the next write of a service may begin, in milliseconds; Infinity while one is under way. */
+  /** Earliest time of a service's next write, in milliseconds; Infinity while one is in flight. */
   private readonly writeAfterMs = new Map<string, number>();
 
   constructor(
@@ -44,26 +47,26 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Takes in an order; says whether it is news. */
+  /** Applies an order; returns true if it starts a new roll-out. */
   takeOrder(order: RolloutOrder): boolean {
     const known = this.rollouts.get(order.service);
     if (known !== undefined && !isLater(order, known.order)) {
       return false;
     }
-    if (known !== undefined && !known.isRemoved && isWrittenAgain(order, known.order)) {
-      known.follow(order);
+    if (known !== undefined && !known.isRemoved && isRestoredOrder(order, known.order)) {
+      known.updateOrder(order);
       return false;
     }
     const rollout = new ServiceRollout(order, this.gateway, this.clock.now());
     const status = this.statuses.get(order.service);
     if (status !== undefined) {
-      rollout.takeStatus(status);
+      rollout.applyStatus(status);
     }
     this.rollouts.set(order.service, rollout);
     return true;
   }
 
-  /** An order was removed at `position`; says whether that ended a roll-out that was known. */
+  /** Applies the removal of an order at `position`; returns true if that ended a known roll-out. */
   takeRemoval(service: string, position: StorePosition): boolean {
     const known = this.rollouts.get(service);
     if (known === undefined || !isLater(position, known.order)) {
@@ -72,41 +75,45 @@
     if (known.state === 'completed') {
       this.rollouts.delete(service);
     } else {
-      known.remove();
+      known.markOrderRemoved();
     }
     return true;
   }
 
-  /** Takes in what the store tells of a roll-out. */
+  /** Applies a stored roll-out state. */
   takeStatus(status: RolloutStatus): void {
     this.statuses.set(status.service, status);
-    this.rollouts.get(status.service)?.takeStatus(status);
+    this.rollouts.get(status.service)?.applyStatus(status);
   }
 
-  /** The store holds no state of a roll-out at `position`. */
+  /**
+   * Handles a roll-out state missing from the store as of `position`. Only a later epoch counts:
+   * there the store was restored without the state.
+   */
   takeStatusRemoval(service: string, position: StorePosition): void {
     const status = this.statuses.get(service);
     if (status !== undefined && position.epoch > status.epoch) {
       this.statuses.delete(service);
-      this.rollouts.get(service)?.loseStatus();
+      this.rollouts.get(service)?.clearStoredStatus();
     }
   }
 
-  /** How a back end may be used. */
+  /** Returns how a back end may be used. */
   useOf({ service, version }: Backend): VersionUse {
     const rollout = this.rollouts.get(service);
     if (rollout === undefined) {
       return 'open';
     }
-    const use = rollout.useOf(version);
-    return use === 'closed' && this.isTheOnlyOne(rollout, version) ? 'open' : use;
+    const use = rollout.versionUse(version);
+    return use === 'closed' && this.isOnlyAvailableVersion(rollout, version) ? 'open' : use;
   }
 
   /**
-   * Whether a version that is closed is better than none. The target's back ends may all be in evacuated zones,
-   * and a service may be given yet other versions after a roll-out; one without an order has no other judge.
+   * Whether a closed version must be used because no other is available. The target's back ends may
+   * all be in evacuated zones, and a service may get further versions after a roll-out. Once the
+   * order was removed, the target is used only if there are no other versions.
    */
-  private isTheOnlyOne({ order, isRemoved }: ServiceRollout, version: string): boolean {
+  private isOnlyAvailableVersion({ order, isRemoved }: ServiceRollout, version: string): boolean {
     const { service, targetVersion } = order;
     if (version !== targetVersion) {
       return this.ports.countReady(service, targetVersion).target === 0;
@@ -114,43 +121,48 @@
     return isRemoved && this.ports.countReady(service, targetVersion).others === 0;
   }
 
-  /** A request is sent to a back end. */
+  /** Records that a request is sent to a back end. */
   noteSent({ service, version }: Backend): void {
     this.rollouts.get(service)?.noteSent(version, this.clock.now());
   }
 
-  /** A request that was sent ended; `isBad` is undefined where its end says nothing of the back end. */
+  /**
+   * Records that a sent request ended; `isBad` is undefined where the outcome is not attributable
+   * to the back end.
+   */
   noteEnded({ service, version }: Backend, route: string, isBad: boolean | undefined): void {
     this.rollouts.get(service)?.noteEnded(version, route, isBad, this.clock.now());
   }
 
-  /** A peer told of its roll-outs. */
-  hear(peer: string, told: PeerRollouts): void {
-    for (const [service, rollout] of Object.entries(told)) {
-      this.rollouts.get(service)?.hear(peer, rollout, this.clock.now());
+  /** Applies a peer's reports; those of unknown services are ignored. */
+  hear(peer: string, reports: PeerRollouts): void {
+    for (const [service, report] of Object.entries(reports)) {
+      this.rollouts.get(service)?.applyPeerReport(peer, report, this.clock.now());
     }
   }
 
-  /** What peers are to be told; undefined where no roll-out is under way. */
+  /** Returns the reports for peers; undefined where no roll-out is in progress. */
   tell(): PeerRollouts | undefined {
-    const underWay = [...this.rollouts].filter(([, { isOver }]) => !isOver);
-    if (underWay.length === 0) {
+    const inProgress = [...this.rollouts].filter(([, { isOver }]) => !isOver);
+    if (inProgress.length === 0) {
       return undefined;
     }
     const nowMs = this.clock.now();
-    return Object.fromEntries(underWay.map(([service, rollout]) => [service, rollout.tell(nowMs)]));
+    return Object.fromEntries(
+      inProgress.map(([service, rollout]) => [service, rollout.peerReport(nowMs)]),
+    );
   }
 
-  /** Writes the states that are due; to be called each tick. */
+  /** Writes the states that are due; called on each tick. */
   tick(): void {
     for (const [service, rollout] of this.rollouts) {
       const { targetVersion } = rollout.order;
       const nowMs = this.clock.now();
-      const surroundings = {
+      const context = {
         ready: this.ports.countReady(service, targetVersion),
         gateways: this.ports.countGateways(),
       };
-      const state = rollout.stateToWrite(surroundings, nowMs);
+      const state = rollout.stateToWrite(context, nowMs);
       if (state !== undefined && nowMs >= (this.writeAfterMs.get(service) ?? 0)) {
         void this.write(rollout, state);
       }
@@ -158,16 +170,19 @@
   }
 
   private async write(rollout: ServiceRollout, state: RolloutState): Promise<void> {
-    const { order, storedAt } = rollout;
+    const { order, storedPosition } = rollout;
     this.writeAfterMs.set(order.service, Infinity);
-    const written = await this.ports.write(order, state, storedAt);
+    const written = await this.ports.write(order, state, storedPosition);
     this.writeAfterMs.set(order.service, this.clock.now() + WRITE_RETRY_MS);
     this.ports.onWritten(order, state, written.ok ? undefined : written.val);
   }
 }
 
-/** Whether an order is one that was known before the store came back from a copy. */
-function isWrittenAgain(order: RolloutOrder, known: RolloutOrder): boolean {
+/**
+ * Whether an order repeats the known one in a later store epoch, after the store was restored from
+ * a copy.
+ */
+function isRestoredOrder(order: RolloutOrder, known: RolloutOrder): boolean {
   const isSame =
     order.targetVersion === known.targetVersion && order.durationMs === known.durationMs;
   return order.epoch > known.epoch && isSame;
--- a/src/rollout/sequential-test.ts
+++ b/src/rollout/sequential-test.ts
@@ -1,50 +1,53 @@
 /**
- * Query: a sequential test of whether a version fails more of its requests than the one that is in force
- * (Wald's sequential probability ratio test).
+ * Query: tests whether a version has a higher failure rate than the version in force (Wald's
+ * sequential probability ratio test).
  *
- * Both hypotheses follow from what the version in force fails at the same time: as much and a little more
- * is still good; clearly more is bad.
+ * Both hypotheses are relative to the failure rate of the version in force over the same period: up
+ * to a small margin above it is good, at least a large margin above it is bad.
  */
 
-/** Requests of one version, and how many of them failed or were late. */
+/** Completed requests of one version, and how many of them failed or were late. */
 export interface OutcomeCounts {
   readonly ended: number;
   readonly bad: number;
 }
 
-/** What the evidence says. */
+/** Result of the test; `open` while there is too little evidence. */
 export type Verdict = 'open' | 'good' | 'bad';
 
-/** Chance of calling a good version bad; each call costs operators a roll-out. */
-const FALSE_BAD = 0.001;
-/** Chance of calling a bad version good, by this test alone. */
-const FALSE_GOOD = 0.01;
-/** What a good version may fail beyond the one in force, as a share of its requests. */
+/** Probability of classifying a good version as bad; each such error costs operators a roll-out. */
+const FALSE_BAD_RATE = 0.001;
+/** Probability of classifying a bad version as good, by this test alone. */
+const FALSE_GOOD_RATE = 0.01;
+/** Maximum excess of a good version's failure rate over that of the version in force. */
 const GOOD_MARGIN = 0.03;
-/** What a bad version fails beyond the one in force at the least. */
+/** Further excess, on top of `GOOD_MARGIN`, at which a version counts as bad. */
 const BAD_MARGIN = 0.2;
-/** Above this share of failures nothing can be told: both versions fail. */
-const MAX_SHARE = 0.95;
-/** Requests of the version in force, without a failure, that are assumed beside those seen. */
-const ASSUMED_ENDED = 10;
+/**
+ * Upper limit of the assumed failure rates; above it both versions fail and cannot be
+ * distinguished.
+ */
+const MAX_FAILURE_RATE = 0.95;
+/** Successful requests of the version in force that are assumed in addition to those observed. */
+const PRIOR_REQUESTS = 10;
 
-const BAD_BOUND = Math.log((1 - FALSE_GOOD) / FALSE_BAD);
-const GOOD_BOUND = Math.log(FALSE_GOOD / (1 - FALSE_BAD));
+const BAD_THRESHOLD = Math.log((1 - FALSE_GOOD_RATE) / FALSE_BAD_RATE);
+const GOOD_THRESHOLD = Math.log(FALSE_GOOD_RATE / (1 - FALSE_BAD_RATE));
 
-/** Logarithm of how much likelier the outcomes of `target` are if it is bad than if it is good. */
-export function likelihoodRatio(target: OutcomeCounts, inForce: OutcomeCounts): number {
-  const usual = inForce.bad / (inForce.ended + ASSUMED_ENDED);
-  const good = Math.min(MAX_SHARE - BAD_MARGIN, usual + GOOD_MARGIN);
-  const bad = Math.min(MAX_SHARE, usual + GOOD_MARGIN + BAD_MARGIN);
-  const answered = target.ended - target.bad;
-  return target.bad * Math.log(bad / good) + answered * Math.log((1 - bad) / (1 - good));
+/** Returns the log likelihood ratio of `target` being bad to it being good, given its outcomes. */
+export function logLikelihoodRatio(target: OutcomeCounts, inForce: OutcomeCounts): number {
+  const baseline = inForce.bad / (inForce.ended + PRIOR_REQUESTS);
+  const good = Math.min(MAX_FAILURE_RATE - BAD_MARGIN, baseline + GOOD_MARGIN);
+  const bad = Math.min(MAX_FAILURE_RATE, baseline + GOOD_MARGIN + BAD_MARGIN);
+  const succeeded = target.ended - target.bad;
+  return target.bad * Math.log(bad / good) + succeeded * Math.log((1 - bad) / (1 - good));
 }
 
-/** What the outcomes say of `target`. */
-export function judge(target: OutcomeCounts, inForce: OutcomeCounts): Verdict {
-  const ratio = likelihoodRatio(target, inForce);
-  if (ratio >= BAD_BOUND) {
+/** Returns the verdict on `target` given the outcomes so far. */
+export function evaluateVersion(target: OutcomeCounts, inForce: OutcomeCounts): Verdict {
+  const ratio = logLikelihoodRatio(target, inForce);
+  if (ratio >= BAD_THRESHOLD) {
     return 'bad';
   }
-  return ratio <= GOOD_BOUND ? 'good' : 'open';
+  return ratio <= GOOD_THRESHOLD ? 'good' : 'open';
 }
--- a/src/rollout/service-rollout.ts
+++ b/src/rollout/service-rollout.ts
@@ -1,11 +1,12 @@
 /**
- * The roll-out of one version of one service, as one gateway takes part in it, without I/O.
+ * One gateway's part in the roll-out of a version of a service, without I/O.
  *
- * The target version is given a small share of the requests, which each gateway takes from its own, so
- * that the shares of all keep the bound without a word between them. Once the evidence of all gateways
- * says that it is good, the share grows in steps; late in the order's time all traffic moves, what runs
- * on the old back ends ends, and only then is the roll-out said to be completed. A verdict that it is
- * bad stops the traffic at once, here and wherever it is heard, and never changes.
+ * The target version gets a small share of the requests. Each gateway applies the share to its own
+ * requests, so the overall limit holds without coordination. Once the evidence of all gateways
+ * shows that the version is good, the share grows in steps. Late in the order's time all traffic
+ * cuts over to the target version, requests at the old back ends drain, and only then is the
+ * roll-out reported as completed. A bad verdict is final: it stops traffic to the target version at
+ * once, here and at every gateway that receives the verdict.
  */
 import { isLater, isSamePosition, positionOf } from '../cluster/store-position.js';
 import type { StorePosition } from '../cluster/store-position.js';
@@ -14,127 +15,137 @@
 import type { OutcomesByRoute } from './rollout-evidence.js';
 import type { RolloutOrder, RolloutState, RolloutStatus, VersionUse } from './rollout-order.js';
 
-/** What a gateway tells its peers of a roll-out that is not over. */
-export interface PeerRollout {
-  /** The store's position of the order. */
+/** A gateway's report to its peers on a roll-out that is not over. */
+export interface PeerRolloutReport {
+  /** Store position of the order. */
   readonly position: StorePosition;
-  /** Time since the order, as far as the sender knows, in milliseconds. */
+  /** Time since the order as measured by the sender, in milliseconds. */
   readonly elapsedMs: number;
   readonly isBad: boolean;
-  /** Whether it sends everything to the target version. */
+  /** Whether the sender has cut over all its traffic to the target version. */
   readonly hasMoved: boolean;
-  /** Its requests that still run on other versions. */
+  /** Number of the sender's requests still in flight at other versions. */
   readonly oldAtWork: number;
   readonly outcomes: OutcomesByRoute;
-  /** The same by step and route. */
+  /** Outcomes by step and route. */
   readonly stepOutcomes: OutcomesByRoute;
 }
 
-/** Ready back ends of a service, by whether they are of the target version. */
+/** Numbers of ready back ends of a service with the target version and with other versions. */
 export interface ReadyVersions {
   readonly target: number;
   readonly others: number;
 }
 
-/** What a decision looks at beside the roll-out. */
-export interface RolloutSurroundings {
+/** External inputs to a decision about the state. */
+export interface RolloutContext {
   readonly ready: ReadyVersions;
-  /** Gateways that are known, this one included. */
+  /** Number of known gateways, including this one. */
   readonly gateways: number;
 }
 
 /**
- * Share of the requests that the target version gets up to each part of the order's time. Together they
- * are .058 of the requests of that time. Users allow a bad version a tenth: the rest is for one that turns
- * bad just before all traffic moves, until that is seen.
+ * Share of the requests that the target version gets until each fraction of the order's time.
+ * Together the steps are .058 of the requests of the whole order's time. A bad version may get at
+ * most a tenth: the rest covers a version that turns bad just before the cutover, until that is
+ * detected.
  */
 const STEPS: ReadonlyArray<{ readonly until: number; readonly share: number }> = [
   { until: 0.5, share: 0.04 },
   { until: 0.65, share: 0.12 },
   { until: 0.75, share: 0.2 },
 ];
-/** Part of the order's time after which all traffic moves, and that after which an open verdict is settled. */
-const MOVE_AT = STEPS.at(-1)!.until;
-const SETTLE_AT = 0.88;
-/** Part after which nothing more is waited for. */
-const LAST_MOMENT = 0.95;
-/** Requests at the target version without which nothing is called good. */
-const MIN_ENDED = 20;
-/** Target back ends that are needed, as a share of the others, to take all traffic over. */
+/**
+ * Fractions of the order's time: from the first, all traffic may cut over; from the second, an open
+ * verdict is decided by which hypothesis is more likely.
+ */
+const CUTOVER_AT = STEPS.at(-1)!.until;
+const DECISION_AT = 0.88;
+/** Fraction of the order's time after which a cutover counts as complete without waiting. */
+const COMPLETE_AT = 0.95;
+/** Minimum number of requests completed at the target version before the cutover. */
+const MIN_TARGET_REQUESTS = 20;
+/** Minimum number of ready target back ends for the cutover, relative to the other ready ones. */
 const MIN_READY_SHARE = 0.5;
-/** Silence after which a peer is not waited for, in milliseconds: some beats of a large cluster. */
-const PEER_SILENCE_MS = 3_000;
-/** Pause between the writers in rank, in milliseconds: a call of the store and the spread of its news. */
-const WRITER_PAUSE_MS = 500;
-/** The name that the ranks of writers are drawn for. */
-const WRITER_RANK = 'rollout-writer';
+/**
+ * Time without a report after which a peer is ignored, in milliseconds: a few heartbeats in a large
+ * cluster.
+ */
+const PEER_TIMEOUT_MS = 3_000;
+/** Delay per writer rank, in milliseconds: time for a store call and propagation of its result. */
+const WRITER_STAGGER_MS = 500;
+/** Hash key for the ranks of writers. */
+const WRITER_RANK_KEY = 'rollout-writer';
 
-/** One gateway's part in a roll-out. */
+/** State of a roll-out at one gateway. */
 export class ServiceRollout {
   private readonly evidence = new RolloutEvidence();
-  /** By step and route: what went well before does not hide that a version turned bad. */
+  /** By step and route, so that earlier successes do not mask a version that turns bad. */
   private readonly stepEvidence = new RolloutEvidence();
-  private readonly peers = new Map<string, PeerRollout & { readonly heardAtMs: number }>();
-  /** Requests that the target version may be given, of those that were sent so far. */
+  private readonly peers = new Map<string, PeerRolloutReport & { readonly heardAtMs: number }>();
+  /** Number of requests that the target version may get, of those sent so far. */
   private allowance = 0;
-  private exposed = 0;
+  private targetSent = 0;
   private oldAtWork = 0;
   private isBad = false;
   private hasMoved = false;
   private isOrderRemoved = false;
   private status: RolloutStatus | undefined;
-  /** The state that the store holds; an earlier one than `status` where it came back from a copy. */
-  private stored: RolloutStatus | undefined;
+  /** The state in the store; older than `status` where the store was restored from a copy. */
+  private storedStatus: RolloutStatus | undefined;
   private startedAtMs: number;
-  private wanted: { readonly state: RolloutState; readonly sinceMs: number } | undefined;
+  private pendingState: { readonly state: RolloutState; readonly sinceMs: number } | undefined;
 
   constructor(
-    private current: RolloutOrder,
+    private currentOrder: RolloutOrder,
     private readonly gateway: string,
     nowMs: number,
   ) {
     this.startedAtMs = nowMs;
   }
 
-  /** The order, at the position of its last write. */
+  /** The order, with the position of its last write. */
   get order(): RolloutOrder {
-    return this.current;
+    return this.currentOrder;
   }
 
-  /** The same order was written again, or is held in a later epoch of the store: what was learned stays. */
-  follow(order: RolloutOrder): void {
-    this.current = order;
+  /**
+   * Applies a rewrite of the same order, for example in a later store epoch; collected evidence is
+   * retained.
+   */
+  updateOrder(order: RolloutOrder): void {
+    this.currentOrder = order;
   }
 
-  /** The state that the store tells; undefined before the first. */
+  /** The state last read from the store; undefined before the first. */
   get state(): RolloutState | undefined {
     return this.status?.state;
   }
 
-  /** Whether it ended: the store tells so, or its order was removed. */
+  /** Whether the roll-out is over: its stored state is final, or its order was removed. */
   get isOver(): boolean {
     return this.isOrderRemoved || this.state === 'completed' || this.state === 'rolled-back';
   }
 
-  /** Position of the state that the store holds; revision 0 where it holds none. */
-  get storedAt(): StorePosition {
-    return this.stored === undefined
+  /** Position of the stored state; revision 0 where none is stored. */
+  get storedPosition(): StorePosition {
+    return this.storedStatus === undefined
       ? { epoch: this.order.epoch, revision: 0 }
-      : positionOf(this.stored);
+      : positionOf(this.storedStatus);
   }
 
-  /** Whether its order was removed. */
+  /** Whether the order was removed. */
   get isRemoved(): boolean {
     return this.isOrderRemoved;
   }
 
-  /** The order was removed: nobody vouches for a version that was not yet taken over, and no state is written. */
-  remove(): void {
+  /** Ends the roll-out: an unconfirmed target version is closed, and no state is written. */
+  markOrderRemoved(): void {
     this.isOrderRemoved = true;
   }
 
-  /** How back ends of a version may be used. */
-  useOf(version: string): VersionUse {
+  /** Returns how back ends of a version may be used. */
+  versionUse(version: string): VersionUse {
     const isTarget = version === this.order.targetVersion;
     if (this.state === 'completed') {
       return isTarget ? 'open' : 'closed';
@@ -148,63 +159,66 @@
     if (!isTarget) {
       return 'open';
     }
-    return this.exposed < this.allowance ? 'limited' : 'closed';
+    return this.targetSent < this.allowance ? 'limited' : 'closed';
   }
 
-  /** A request of the service is sent to a back end. */
+  /** Records that a request of the service is sent to a back end of `version`. */
   noteSent(version: string, nowMs: number): void {
     this.allowance += this.shareAt(nowMs);
     if (version === this.order.targetVersion) {
-      this.exposed += 1;
+      this.targetSent += 1;
     } else {
       this.oldAtWork += 1;
     }
   }
 
-  /** A request that was sent ended; `isBad` says that it failed or was late, undefined that its end says nothing. */
+  /**
+   * Records that a sent request ended; `isBad` if it failed or was late, undefined if the outcome
+   * does not count.
+   */
   noteEnded(version: string, route: string, isBad: boolean | undefined, nowMs: number): void {
     const isTarget = version === this.order.targetVersion;
     if (!isTarget) {
       this.oldAtWork = Math.max(0, this.oldAtWork - 1);
     }
     if (isBad !== undefined) {
-      this.evidence.note(route, isTarget, isBad);
-      this.stepEvidence.note(`${this.stepAt(nowMs)}/${route}`, isTarget, isBad);
+      this.evidence.recordOutcome(route, isTarget, isBad);
+      this.stepEvidence.recordOutcome(`${this.stepAt(nowMs)}/${route}`, isTarget, isBad);
     }
-    this.isBad ||= isTarget && this.showsBad;
+    this.isBad ||= isTarget && this.hasBadVerdict;
   }
 
-  /** Takes in what the store tells; a state that ended never changes. */
-  takeStatus(status: RolloutStatus): void {
+  /** Applies a stored state; once the roll-out is over, its state never changes. */
+  applyStatus(status: RolloutStatus): void {
     const isOfOrder = status.targetVersion === this.order.targetVersion;
     if (!isOfOrder || !isLater(status, this.order)) {
       return;
     }
-    this.stored = status;
+    this.storedStatus = status;
     if (!this.isOver) {
       this.status = status;
     }
   }
 
-  /** The store came back without the state that it held. */
-  loseStatus(): void {
-    this.stored = undefined;
+  /** Handles a store that was restored without the state. */
+  clearStoredStatus(): void {
+    this.storedStatus = undefined;
   }
 
-  /** A peer told of its part. */
-  hear(peer: string, told: PeerRollout, nowMs: number): void {
-    if (!isSamePosition(told.position, this.order)) {
+  /** Applies a peer's report. */
+  applyPeerReport(peer: string, report: PeerRolloutReport, nowMs: number): void {
+    if (!isSamePosition(report.position, this.order)) {
       return;
     }
-    this.peers.set(peer, { ...told, heardAtMs: nowMs });
-    this.startedAtMs = Math.min(this.startedAtMs, nowMs - told.elapsedMs);
-    this.evidence.hear(peer, told.outcomes);
-    this.stepEvidence.hear(peer, told.stepOutcomes);
-    this.isBad ||= told.isBad || this.showsBad;
+    this.peers.set(peer, { ...report, heardAtMs: nowMs });
+    this.startedAtMs = Math.min(this.startedAtMs, nowMs - report.elapsedMs);
+    this.evidence.setPeerOutcomes(peer, report.outcomes);
+    this.stepEvidence.setPeerOutcomes(peer, report.stepOutcomes);
+    this.isBad ||= report.isBad || this.hasBadVerdict;
   }
 
-  /** What peers are told. */
-  tell(nowMs: number): PeerRollout {
+  /** Returns this gateway's report for its peers. */
+  peerReport(nowMs: number): PeerRolloutReport {
     const { isBad, hasMoved, oldAtWork, evidence, stepEvidence } = this;
     return {
       position: positionOf(this.order),
@@ -218,58 +232,64 @@
   }
 
   /**
-   * The state that this gateway is to write now; undefined for none. Of the gateways that want the same the
-   * first in rank writes, and each next one if the one before it does not.
+   * Returns the state that this gateway must write now; undefined for none. Of the gateways that
+   * reach the same state, the first in rank writes it; each next one writes it only if its
+   * predecessors did not.
    */
-  stateToWrite(surroundings: RolloutSurroundings, nowMs: number): RolloutState | undefined {
-    const wanted = this.decide(surroundings, nowMs);
-    if (wanted === undefined || wanted === this.stored?.state) {
-      this.wanted = undefined;
+  stateToWrite(context: RolloutContext, nowMs: number): RolloutState | undefined {
+    const state = this.nextState(context, nowMs);
+    if (state === undefined || state === this.storedStatus?.state) {
+      this.pendingState = undefined;
       return undefined;
     }
-    if (this.wanted?.state !== wanted) {
-      this.wanted = { state: wanted, sinceMs: nowMs };
+    if (this.pendingState?.state !== state) {
+      this.pendingState = { state, sinceMs: nowMs };
     }
-    const dueAtMs = this.wanted.sinceMs + this.writerRank(nowMs) * WRITER_PAUSE_MS;
-    return nowMs >= dueAtMs ? wanted : undefined;
+    const dueAtMs = this.pendingState.sinceMs + this.writerRank(nowMs) * WRITER_STAGGER_MS;
+    return nowMs >= dueAtMs ? state : undefined;
   }
 
-  private decide(surroundings: RolloutSurroundings, nowMs: number): RolloutState | undefined {
+  private nextState(context: RolloutContext, nowMs: number): RolloutState | undefined {
     if (this.isOver) {
-      // Written again where the store holds it no more.
+      // Rewrites the final state where the store has lost it.
       return this.isOrderRemoved ? undefined : this.state;
     }
     if (this.isBad) {
       return 'rolled-back';
     }
-    const part = this.partAt(nowMs);
-    if (!this.hasMoved && part >= MOVE_AT) {
-      this.hasMoved = this.mayMove(surroundings.ready, part);
+    const elapsed = this.elapsedFraction(nowMs);
+    if (!this.hasMoved && elapsed >= CUTOVER_AT) {
+      this.hasMoved = this.mayCutOver(context.ready, elapsed);
     }
     if (this.hasMoved) {
-      return this.isMoveOver(surroundings.gateways, part, nowMs) ? 'completed' : 'in-progress';
+      return this.isCutoverComplete(context.gateways, elapsed, nowMs) ? 'completed' : 'in-progress';
     }
-    return part >= SETTLE_AT ? 'rolled-back' : 'in-progress';
+    return elapsed >= DECISION_AT ? 'rolled-back' : 'in-progress';
   }
 
-  private mayMove({ target, others }: ReadyVersions, part: number): boolean {
-    const { verdict, targetEnded, leansGood } = this.evidence;
-    const isGood = verdict === 'good' || (part >= SETTLE_AT && leansGood);
-    return targetEnded >= MIN_ENDED && isGood && target > 0 && target >= others * MIN_READY_SHARE;
+  private mayCutOver({ target, others }: ReadyVersions, elapsed: number): boolean {
+    const { verdict, targetEnded, isLikelyGood } = this.evidence;
+    const isGood = verdict === 'good' || (elapsed >= DECISION_AT && isLikelyGood);
+    return (
+      targetEnded >= MIN_TARGET_REQUESTS &&
+      isGood &&
+      target > 0 &&
+      target >= others * MIN_READY_SHARE
+    );
   }
 
-  /** Whether no gateway sends to old back ends any more, and nothing runs there. */
-  private isMoveOver(gateways: number, part: number, nowMs: number): boolean {
-    if (part >= LAST_MOMENT) {
+  /** Whether every gateway has cut over and no requests are in flight at old back ends. */
+  private isCutoverComplete(gateways: number, elapsed: number, nowMs: number): boolean {
+    if (elapsed >= COMPLETE_AT) {
       return true;
     }
     const alive = this.alivePeers(nowMs);
-    const areAllHeard = alive.length + 1 >= gateways;
-    const areAllDone = alive.every(([, peer]) => peer.hasMoved && peer.oldAtWork === 0);
-    return areAllHeard && areAllDone && this.oldAtWork === 0;
+    const haveAllReported = alive.length + 1 >= gateways;
+    const haveAllDrained = alive.every(([, peer]) => peer.hasMoved && peer.oldAtWork === 0);
+    return haveAllReported && haveAllDrained && this.oldAtWork === 0;
   }
 
-  private get showsBad(): boolean {
+  private get hasBadVerdict(): boolean {
     return this.evidence.verdict === 'bad' || this.stepEvidence.verdict === 'bad';
   }
 
@@ -279,22 +299,22 @@
   }
 
   private stepAt(nowMs: number): number {
-    const part = this.partAt(nowMs);
-    const index = STEPS.findIndex(({ until }) => part < until);
+    const elapsed = this.elapsedFraction(nowMs);
+    const index = STEPS.findIndex(({ until }) => elapsed < until);
     return index < 0 ? STEPS.length - 1 : index;
   }
 
-  /** Part of the order's time that is gone. */
-  private partAt(nowMs: number): number {
+  /** Elapsed fraction of the order's time. */
+  private elapsedFraction(nowMs: number): number {
     return (nowMs - this.startedAtMs) / Math.max(1, this.order.durationMs);
   }
 
-  private alivePeers(nowMs: number): Array<[string, PeerRollout]> {
-    return [...this.peers].filter(([, { heardAtMs }]) => nowMs - heardAtMs <= PEER_SILENCE_MS);
+  private alivePeers(nowMs: number): Array<[string, PeerRolloutReport]> {
+    return [...this.peers].filter(([, { heardAtMs }]) => nowMs - heardAtMs <= PEER_TIMEOUT_MS);
   }
 
   private writerRank(nowMs: number): number {
-    const own = pairShare(WRITER_RANK, this.gateway);
-    return this.alivePeers(nowMs).filter(([peer]) => pairShare(WRITER_RANK, peer) < own).length;
+    const own = pairShare(WRITER_RANK_KEY, this.gateway);
+    return this.alivePeers(nowMs).filter(([peer]) => pairShare(WRITER_RANK_KEY, peer) < own).length;
   }
 }
--- a/src/routing/backend-restriction.ts
+++ b/src/routing/backend-restriction.ts
@@ -1,35 +1,35 @@
 /**
- * Query: whether operators permit that a request is sent to a back end at all.
+ * Query: whether operator rules permit sending a request to a back end at all.
  *
- * One module decides for gateways, which ask before each send, and for slot agents, which ask again from
- * their own replica before they grant a slot. Health, load and the rate of starts are not looked at here:
- * they say which permitted back end is best, or when.
+ * Gateways check this before each send; slot agents check it again against their own replica before
+ * they grant a slot. Health, load and start rates are not considered here: they decide which
+ * permitted back end is picked, and when.
  */
 import type { VersionUse } from '../rollout/rollout-order.js';
 import type { Backend } from './backend.js';
 import { isAccepted } from './place-matching.js';
 
-/** Why nothing may be sent to a back end. */
+/** Why a request may not be sent to a back end. */
 export type RestrictionReason =
   /** Its zone is evacuated. */
   | 'zone-evacuated'
-  /** A roll-out keeps requests from its version. */
+  /** A roll-out has closed its version to requests. */
   | 'version-closed'
-  /** It stands in no region where the request may be served. */
+  /** Its region is not among the request's allowed regions, or its zone is unknown. */
   | 'outside-home';
 
-/** Regions in which a request may be served; undefined where any will do. */
+/** Regions in which a request may be served; undefined for any. */
 export type AllowedRegions = ReadonlySet<string> | undefined;
 
-/** What operators ordered, as the asking process knows it. */
+/** Operator rules as known to this process. */
 export interface OperatorRules {
   isEvacuated(zone: string): boolean;
-  /** The region of a zone; undefined for one that is not known, which is in no region that a request allows. */
+  /** The region of a zone; undefined for an unknown zone, which is in no allowed region. */
   regionOf(zone: string): string | undefined;
   versionUse(backend: Backend): VersionUse;
 }
 
-/** Why a request may not be sent to `backend`; undefined where it may. */
+/** Returns why a request may not be sent to `backend`; undefined where it may. */
 export function restrictionOf(
   backend: Backend,
   allowedRegions: AllowedRegions,
@@ -44,7 +44,7 @@
   return rules.versionUse(backend) === 'closed' ? 'version-closed' : undefined;
 }
 
-/** The regions that two lists both allow; a list that is undefined allows all. */
+/** Returns the intersection of two region lists; an undefined list allows all. */
 export function commonRegions(
   left: readonly string[] | undefined,
   right: readonly string[] | undefined,
--- a/src/routing/backend.ts
+++ b/src/routing/backend.ts
@@ -1,31 +1,31 @@
-/** A back end as it announces itself to the cluster's store. */
+/** The announcement of a back end in the cluster's store. */
 import type { StorePosition } from '../cluster/store-position.js';
 
 /** Whether a back end takes new requests. */
 export type BackendState = 'ready' | 'draining';
 
 /**
- * One life of a back end: a process from its start to its end. The position is that of its announcement in the store:
- * of two at one address the later one is in force.
+ * One incarnation of a back end: one process, from its start to its end. The position is that of
+ * its announcement in the store: of two announcements for one address, the later one is in force.
  */
 export interface Backend extends StorePosition {
-  /** Names this life; what is learned of it is kept by this. */
+  /** Identifies this incarnation; statistics are indexed by it. */
   readonly id: string;
-  /** Name that it announces itself under and answers to; another life may have it too. */
+  /** Announced name, by which the process is addressed; several incarnations may share it. */
   readonly name: string;
-  /** Its start by its own clock, in Unix milliseconds; undefined where the announcement tells none. */
+  /** Start time by its own clock, in Unix milliseconds; undefined where not announced. */
   readonly bornAtMs: number | undefined;
   readonly service: string;
   /** IPv4 address and port. */
   readonly address: string;
   readonly zone: string;
-  /** Version of its software; empty where it names none. */
+  /** Software version; empty where none is announced. */
   readonly version: string;
-  /** Requests that it works on at once. */
+  /** Maximum number of concurrent requests. */
   readonly slots: number;
   readonly state: BackendState;
-  /** Rises with each of its announcements in this life. */
+  /** Increases with each announcement of this incarnation. */
   readonly sequence: number;
-  /** How much longer it is slow from its start when it announced this, in milliseconds; 0 once it is warm. */
+  /** Remaining slow-start time when announced, in milliseconds; 0 once it is warm. */
   readonly remainingColdMs: number;
 }
--- a/src/routing/cold-start.ts
+++ b/src/routing/cold-start.ts
@@ -1,49 +1,59 @@
 /**
- * Slow starts of back ends: how many requests a second a cold one is sent, and when one has to be taken for
- * cold. Pure; the time is passed in. Gateways and slot agents decide by the same functions, each for itself.
+ * Slow starts of back ends: how many requests a second a cold one may be sent, and when one must be
+ * assumed cold. Pure; the time is passed in. Gateways and slot agents each apply the same functions
+ * independently.
  */
 import type { Service } from './configuration.js';
 
-/** What a service says of the starts of its back ends. */
+/** The slow-start settings of a service. */
 export type ColdStartService = Pick<Service, 'coldStartMs' | 'coldRequestsPerS' | 'isEngine'>;
 
-/** Bounds over all machines, in requests of any one second. */
+/** Limits over all processes, in requests in any one second. */
 export interface ColdStartLimits {
-  /** Times of the rate that a cold back end bears. */
+  /** Factor on the configured rate of a cold back end. */
   readonly coldOver: number;
-  /** Requests beside that. */
+  /** Requests allowed in addition. */
   readonly coldSlack: number;
 }
 
-/** What a service with slow starts allows at one back end, in requests of any one second. */
+/** Limits for one back end of a service with slow starts, in requests in any one second. */
 export interface ColdStartBound {
-  /** How long a back end is cold after its start, in milliseconds. */
+  /** Time for which a back end is cold after its start, in milliseconds. */
   readonly coldStartMs: number;
-  /** Of all machines together at a cold back end. */
+  /** Limit over all processes for a cold back end. */
   readonly total: number;
-  /** Part of it that its slot agent grants. */
+  /** Share of `total` that its slot agent may grant. */
   readonly granted: number;
-  /** Part of it that all gateways without a link to its agent send together. */
+  /** Share of `total` for all gateways without a connection to its agent together. */
   readonly ungranted: number;
-  /** Most that its agent grants or sees taken at a warm back end, which may turn cold without news. */
+  /**
+   * Limit on slots granted by the agent or taken without a grant at a warm back end, which may
+   * restart and be cold before the agent detects it.
+   */
   readonly warm: number;
-  /** Starts at a warm back end from which free slots are no longer taken without a grant. */
+  /**
+   * Number of starts at a warm back end from which free slots may no longer be taken without a
+   * grant.
+   */
   readonly taken: number;
 }
 
-/** Share of the bound that agents grant, at most; less where back ends bear less. */
+/** Maximum share of the total that agents grant; less where the configured cold rate is lower. */
 const GRANTED_SHARE = 0.55;
-/** Requests that are kept from both parts, for a gateway that others never heard of. */
-const MARGIN = 2;
+/** Requests left out of both shares, reserved for a gateway that the others have not discovered. */
+const RESERVED_REQUESTS = 2;
 /**
- * Share of the bound at which a warm back end gets no more. With a bound of 26 that is 19 in a second, where
- * 200 requests a second over 27 back ends come to 7, and to 16 in bursts.
+ * Share of the total at which a warm back end gets no more requests. With a total of 26 this allows
+ * 19 in a second, where 200 requests a second over 27 back ends average 7 each, and 16 in bursts.
  */
 const WARM_SHARE = 0.75;
-/** Share from which slots are only granted: what is taken on the way until gateways hear of it is not counted yet. */
-const TAKEN_SHARE = 0.5;
+/**
+ * Share from which slots are only granted: slots that gateways take before they learn of this
+ * restriction are not yet counted.
+ */
+const GRANTS_ONLY_SHARE = 0.5;
 
-/** The bound of a service; undefined where its back ends bear any rate. */
+/** Returns the limits of a service; undefined where it has no slow starts or no limit for them. */
 export function coldStartBound(
   { coldRequestsPerS, coldStartMs, isEngine }: ColdStartService,
   { coldOver, coldSlack }: ColdStartLimits,
@@ -52,67 +62,68 @@
     return undefined;
   }
   const total = Math.floor(coldRequestsPerS * coldOver + coldSlack);
-  const granted = isEngine ? grantedPart(coldRequestsPerS, total) : 0;
+  const granted = isEngine ? grantedLimit(coldRequestsPerS, total) : 0;
   return {
     coldStartMs,
     total,
     granted,
-    ungranted: Math.max(0, total - granted - MARGIN),
+    ungranted: Math.max(0, total - granted - RESERVED_REQUESTS),
     warm: Math.max(granted, Math.floor(total * WARM_SHARE)),
-    taken: Math.floor(total * TAKEN_SHARE),
+    taken: Math.floor(total * GRANTS_ONLY_SHARE),
   };
 }
 
-/** At least one, so that no back end is left idle. */
-function grantedPart(coldRequestsPerS: number, total: number): number {
+/** Returns at least one, so that no back end is left idle. */
+function grantedLimit(coldRequestsPerS: number, total: number): number {
   const part = Math.floor(Math.min(coldRequestsPerS, total * GRANTED_SHARE));
   return Math.max(Math.min(1, total), part);
 }
 
-/** Why a back end is taken for cold. */
+/** Why a back end is assumed cold. */
 export type ColdReason =
-  /** Its announcement said so, or a gateway that read it. */
+  /** Reported by its announcement, or by a gateway that read the announcement. */
   | 'announced'
-  /** Another incarnation announced itself. */
+  /** A new incarnation announced itself. */
   | 'new-incarnation'
-  /** It was gone, and is there again. */
+  /** It was unreachable, unavailable or not announced, and may have restarted. */
   | 'was-gone'
-  /** Its agent took it for cold, and its connection is lost. */
+  /** Its agent reported it as cold, and the connection to the agent was lost. */
   | 'agent-lost'
-  /** Its zone was evacuated, and is in use again. */
+  /** Its zone was evacuated and has been returned to use. */
   | 'zone-returned'
-  /** This process has just started and knows nothing of what went before. */
+  /** This process has just started and has no earlier state. */
   | 'not-known';
 
-/** That a back end is taken for cold. */
+/** A period during which a back end is assumed cold. */
 export interface Coldness {
   readonly reason: ColdReason;
   readonly sinceMs: number;
   readonly untilMs: number;
 }
 
-/** What is known of a back end's last start. */
+/** Tracks the most recent start of a back end. */
 export class ColdPeriod {
   private announced: Coldness | undefined;
   private suspected: { readonly reason: ColdReason; readonly sinceMs: number } | undefined;
-  /** When an announcement said that it is warm after one had said that it is cold, in milliseconds. */
-  private warmSinceMs = -Infinity;
+  /** Time of the last warm announcement that ended an announced cold period, in milliseconds. */
+  private announcedWarmAtMs = -Infinity;
 
-  /** Takes in an announcement; its word is as old as the news of it, so the time counts from now. */
+  /** Applies an announcement; its age is unknown, so the remaining time counts from now. */
   noteAnnounced(remainingColdMs: number, nowMs: number): void {
     if (remainingColdMs > 0) {
       this.tell(remainingColdMs, nowMs);
     } else if (this.announced !== undefined) {
       this.announced = undefined;
       this.suspected = undefined;
-      this.warmSinceMs = nowMs;
+      this.announcedWarmAtMs = nowMs;
     }
   }
 
   /**
-   * Takes in the first announcement that a process finds when it starts. It says how the back end was when it
-   * changed last, so that one that says nothing of cold is warm: taken for cold, a whole fleet whose agents
-   * were started anew would grant nothing for a second and a half, and little for three.
+   * Applies the first announcement that a process reads after its start. It describes the back end
+   * as of its last change, so one without remaining cold time is warm. If it were assumed cold, a
+   * whole fleet whose agents restarted would grant nothing for a second and a half, and little for
+   * three.
    */
   noteFirstAnnounced(remainingColdMs: number, nowMs: number): void {
     if (this.suspected?.reason === 'not-known') {
@@ -121,7 +132,7 @@
     this.noteAnnounced(remainingColdMs, nowMs);
   }
 
-  /** It was told to be cold for so long; the longest word counts. */
+  /** Applies a reported remaining cold time; the latest end of all reports counts. */
   tell(remainingColdMs: number, nowMs: number): void {
     const untilMs = nowMs + remainingColdMs;
     if (untilMs > (this.announced?.untilMs ?? -Infinity)) {
@@ -130,13 +141,13 @@
     }
   }
 
-  /** Another incarnation announced itself: what was said of the one before says nothing of it. */
+  /** Handles a new incarnation: announcements of the previous one no longer apply. */
   noteIncarnation(nowMs: number): void {
     this.announced = undefined;
     this.suspect('new-incarnation', nowMs);
   }
 
-  /** It may have started just now. */
+  /** Assumes that the back end started at `nowMs`. */
   suspect(reason: ColdReason, nowMs: number): void {
     if (this.announced !== undefined && this.announced.untilMs <= nowMs) {
       this.announced = undefined;
@@ -145,9 +156,10 @@
   }
 
   /**
-   * Why it is to be taken for cold, and until when; undefined while it is not.
+   * Returns the cold period that ends last; undefined while the back end is warm.
    *
-   * @param zoneReturnedAtMs - when this process learned that its zone is in use again; undefined if it never was not
+   * @param zoneReturnedAtMs - when this process learned that the zone was returned to use;
+   * undefined if it was not
    */
   coldness(
     coldStartMs: number,
@@ -156,8 +168,8 @@
   ): Coldness | undefined {
     const candidates = [
       this.announced,
-      this.sinceSuspicion(coldStartMs),
-      this.sinceReturn(coldStartMs, zoneReturnedAtMs),
+      this.assumedPeriod(coldStartMs),
+      this.zoneReturnPeriod(coldStartMs, zoneReturnedAtMs),
     ];
     let latest: Coldness | undefined;
     for (const candidate of candidates) {
@@ -168,22 +180,22 @@
     return latest;
   }
 
-  private sinceSuspicion(coldStartMs: number): Coldness | undefined {
+  private assumedPeriod(coldStartMs: number): Coldness | undefined {
     const { suspected } = this;
     return suspected && { ...suspected, untilMs: suspected.sinceMs + coldStartMs };
   }
 
-  private sinceReturn(coldStartMs: number, sinceMs: number | undefined): Coldness | undefined {
-    return sinceMs === undefined || sinceMs <= this.warmSinceMs
+  private zoneReturnPeriod(coldStartMs: number, sinceMs: number | undefined): Coldness | undefined {
+    return sinceMs === undefined || sinceMs <= this.announcedWarmAtMs
       ? undefined
       : { reason: 'zone-returned', sinceMs, untilMs: sinceMs + coldStartMs };
   }
 }
 
 /**
- * A gateway's part of a number that gateways share without a word: the first by rank get one each, then
- * again from the first. A view that holds more gateways than there are only makes the part smaller, so that
- * the parts sum up to `total` at most whenever each gateway's view holds all others.
+ * Returns one gateway's share of a limit that gateways divide without coordination: they get one
+ * each in rank order, round robin. A view with more gateways than there are only makes the share
+ * smaller, so the shares sum to at most `total` whenever each gateway's view contains all others.
  */
 export function partByRank(total: number, rank: number, gateways: number): number {
   return Math.max(0, Math.ceil((total - rank) / Math.max(1, gateways)));
--- a/src/routing/decoded-record.ts
+++ b/src/routing/decoded-record.ts
@@ -1,4 +1,4 @@
-/** What a record of the cluster's store means to a gateway or slot agent. */
+/** Decoded form of the records in the cluster's store. */
 import type { QuotaMembersRecord } from '../gateway/quotas/quota-members.js';
 import type { CrashRecord } from '../gateway/crashes/crash-record.js';
 import type { RolloutOrder, RolloutStatus } from '../rollout/rollout-order.js';
@@ -8,24 +8,24 @@
 import type { RoutingConfiguration } from './configuration.js';
 import type { EvacuationChange } from './zone-evacuations.js';
 
-/** The record under a back end's name. */
+/** A back end's record. */
 export interface DecodedBackend {
   readonly kind: 'backend';
   readonly name: string;
-  /** Undefined once it left, and where the record names no back end that can be used. */
+  /** Undefined once the record was removed, and where it is unusable. */
   readonly announcement: Announcement | undefined;
-  /** Why the record cannot be used; missing where it can, or is gone. */
+  /** Why the record is unusable; missing where it is usable or was removed. */
   readonly problem?: string;
 }
 
-/** What a record of the store means. */
+/** A record of the store, decoded by kind. */
 export type DecodedRecord =
   | { readonly kind: 'configuration'; readonly configuration: RoutingConfiguration }
   | DecodedBackend
   | { readonly kind: 'evacuation'; readonly change: EvacuationChange }
   | { readonly kind: 'rollout-order'; readonly order: RolloutOrder }
   | { readonly kind: 'rollout-status'; readonly status: RolloutStatus }
-  /** `position` is that of the removal. */
+  /** `position` is the store position of the removal. */
   | { readonly kind: 'rollout-removed'; readonly service: string; readonly position: StorePosition }
   | {
       readonly kind: 'rollout-status-removed';
@@ -37,5 +37,5 @@
   | { readonly kind: 'invalid'; readonly isConfiguration: boolean; readonly problem: string }
   | { readonly kind: 'irrelevant' };
 
-/** Reads a record of the store; never throws. */
+/** Decodes a record of the store; never throws. */
 export type DecodeRecord = (record: StoreRecord) => DecodedRecord;
--- a/src/routing/home-regions.ts
+++ b/src/routing/home-regions.ts
@@ -1,34 +1,35 @@
-/** Checks the regions that a configuration names as homes. */
+/** Parses and checks the allowed regions in a configuration. */
 import { WeirvaleError } from '../request/errors.js';
 import type { RoutingConfiguration } from './configuration.js';
 import type { Places } from './places.js';
 
-/** A list of regions is none, or names a region that the settings do not hold. */
+/** A region list is malformed, or contains a region that the settings do not define. */
 export class InvalidHomesError extends WeirvaleError {
   readonly code = 'invalid-homes';
 
   constructor(
-    /** Where in the configuration the list stands. */
+    /** Path of the list in the configuration. */
     readonly key: string,
-    /** What stands there, as JSON. */
+    /** The value found there, as JSON. */
     readonly found: string,
-    /** What may stand there. */
+    /** The values allowed there. */
     readonly allowed: string,
   ) {
     super(`${key} is ${found}; allowed is ${allowed}`);
   }
 }
 
-const LIST_OF_REGIONS = 'a list of names of regions, or none at all';
-/** Longest value that an error quotes, in characters: it goes into a log line. */
-const MAX_QUOTED = 200;
+const EXPECTED_REGION_LIST = 'a list of names of regions, or none at all';
+/** Maximum length of a quoted value, in characters, since the error is written to a log line. */
+const MAX_QUOTED_CHARS = 200;
 
 /**
- * Reads a list of regions; each is named once in what is returned.
+ * Parses a list of region names and removes duplicates.
  *
- * A list without a region stands for any, as no list does: platforms leave both where there are no homes.
+ * An empty list allows any region, like a missing one: platforms write either where there is no
+ * restriction.
  *
- * @throws {InvalidHomesError} if it is no list of names
+ * @throws {InvalidRegionsError} if the value is not a list of names
  */
 export function readHomeRegions(key: string, value: unknown): readonly string[] | undefined {
   if (value === undefined) {
@@ -36,12 +37,15 @@
   }
   const isList = Array.isArray(value) && value.every(isName);
   if (!isList) {
-    throw new InvalidHomesError(key, quote(value), LIST_OF_REGIONS);
+    throw new InvalidHomesError(key, quote(value), EXPECTED_REGION_LIST);
   }
   return value.length === 0 ? undefined : [...new Set(value)];
 }
 
-/** The first home of a configuration that names a region without any zone; undefined if there is none. */
+/**
+ * Returns an error for the first allowed region without any zone; undefined if every region has
+ * one.
+ */
 export function findUnknownHome(
   { routes, tenants }: RoutingConfiguration,
   places: Places,
@@ -67,5 +71,5 @@
 }
 
 function quote(value: unknown): string {
-  return (JSON.stringify(value) ?? String(value)).slice(0, MAX_QUOTED);
+  return (JSON.stringify(value) ?? String(value)).slice(0, MAX_QUOTED_CHARS);
 }
--- a/src/routing/named-homes.ts
+++ b/src/routing/named-homes.ts
@@ -1,60 +1,63 @@
-/** Query: the regions that a configuration names for the requests of its routes and tenants. */
+/** Query: the region restrictions that a configuration sets for routes and tenants. */
 import type { AllowedRegions } from './backend-restriction.js';
 import type { RoutingConfiguration } from './configuration.js';
 
-/** Who may name regions for a request: its route, and its tenant if it has one. */
+/** The route of a request, and its tenant if it has one; both may restrict its regions. */
 export interface HomeOwner {
   readonly route: string;
   readonly tenant: string | undefined;
 }
 
-/** What a configuration says of one name; `regions` is undefined where any region will do. */
+/** The restriction of one route or tenant; `regions` is undefined for any region. */
 export interface NamedHome {
   readonly regions: AllowedRegions;
 }
 
-interface HomeEntry {
+interface RegionEntry {
   readonly name: string;
   readonly allowedRegions: readonly string[] | undefined;
 }
 
-/** Regions by name of route and tenant, of one configuration. */
+/** Region restrictions of one configuration, by route and tenant name. */
 export class NamedHomes {
-  /** Every region that some route or tenant names. */
+  /** Union of the regions of all routes and tenants. */
   readonly regions: ReadonlySet<string>;
   private readonly routes: ReadonlyMap<string, NamedHome>;
   private readonly tenants: ReadonlyMap<string, NamedHome>;
 
   constructor({ routes, tenants }: Pick<RoutingConfiguration, 'routes' | 'tenants'>) {
-    this.routes = byName(routes);
-    this.tenants = byName(tenants);
+    this.routes = mergeByName(routes);
+    this.tenants = mergeByName(tenants);
     const lists = [...routes, ...tenants].map(({ allowedRegions }) => allowedRegions ?? []);
     this.regions = new Set(lists.flat());
   }
 
-  /** Whether any route or tenant names regions. */
+  /** Whether any route or tenant restricts regions. */
   get hasAny(): boolean {
     return this.regions.size > 0;
   }
 
-  /** What is said of a route; undefined for one that the configuration does not hold. */
+  /** Returns the restriction of a route; undefined for one that is not in the configuration. */
   ofRoute(name: string): NamedHome | undefined {
     return this.routes.get(name);
   }
 
-  /** What is said of a tenant; undefined for one that the configuration does not hold. */
+  /** Returns the restriction of a tenant; undefined for one that is not in the configuration. */
   ofTenant(name: string): NamedHome | undefined {
     return this.tenants.get(name);
   }
 
-  /** Regions that both the route and the tenant allow; a name that is not known forbids nothing. */
+  /**
+   * Returns the regions that both the route and the tenant allow; an unknown name restricts
+   * nothing.
+   */
   allowed({ route, tenant }: HomeOwner): AllowedRegions {
-    const ofTenant = tenant === undefined ? undefined : this.ofTenant(tenant)?.regions;
-    return narrow(this.ofRoute(route)?.regions, ofTenant);
+    const tenantRegions = tenant === undefined ? undefined : this.ofTenant(tenant)?.regions;
+    return narrow(this.ofRoute(route)?.regions, tenantRegions);
   }
 }
 
-/** Regions that both allow; undefined allows all. */
+/** Returns the intersection of two restrictions; undefined allows all. */
 export function narrow(left: AllowedRegions, right: AllowedRegions): AllowedRegions {
   if (left === undefined || right === undefined) {
     return left ?? right;
@@ -62,12 +65,12 @@
   return new Set([...left].filter((region) => right.has(region)));
 }
 
-/** Of entries that share a name each one binds. */
-function byName(entries: readonly HomeEntry[]): Map<string, NamedHome> {
-  const homes = new Map<string, NamedHome>();
+/** Intersects the regions of entries that share a name. */
+function mergeByName(entries: readonly RegionEntry[]): Map<string, NamedHome> {
+  const merged = new Map<string, NamedHome>();
   for (const { name, allowedRegions } of entries) {
     const own = allowedRegions === undefined ? undefined : new Set(allowedRegions);
-    homes.set(name, { regions: narrow(homes.get(name)?.regions, own) });
+    merged.set(name, { regions: narrow(merged.get(name)?.regions, own) });
   }
-  return homes;
+  return merged;
 }
--- a/src/routing/owner-counts.ts
+++ b/src/routing/owner-counts.ts
@@ -1,24 +1,28 @@
 /**
- * What the owners of records count themselves. By it the older one of two writes of a key is known where the store's
- * own order does not tell, since it came back from a copy.
+ * Counters that the owners of records maintain in the records themselves. They determine the older
+ * of two writes of a key where the store's own order does not, because the store was restored from
+ * a copy.
  */
 import type { CompareByOwner } from '../cluster/replicated-records.js';
 import type { DecodedRecord, DecodeRecord } from './decoded-record.js';
 
-/** Compares records by their owners' counts, as `decode` reads them. */
+/** Returns a comparator of records by their owners' counters, decoded with `decode`. */
 export function createCompareByOwner(decode: DecodeRecord): CompareByOwner {
   return (left, right) => {
-    const [leftCounts, rightCounts] = [countsOf(decode(left)), countsOf(decode(right))];
-    if (leftCounts === undefined || rightCounts === undefined) {
+    const [leftCounters, rightCounters] = [countersOf(decode(left)), countersOf(decode(right))];
+    if (leftCounters === undefined || rightCounters === undefined) {
       return undefined;
     }
-    const differences = leftCounts.map((count, index) => count - (rightCounts[index] ?? 0));
+    const differences = leftCounters.map((counter, index) => counter - (rightCounters[index] ?? 0));
     return differences.find((difference) => difference !== 0) ?? 0;
   };
 }
 
-/** The counts of a record, the weightiest first; undefined for one that is gone, unreadable or not counted. */
-function countsOf(decoded: DecodedRecord): readonly number[] | undefined {
+/**
+ * Returns the counters of a record, most significant first; undefined for one removed, unreadable
+ * or without any.
+ */
+function countersOf(decoded: DecodedRecord): readonly number[] | undefined {
   if (decoded.kind === 'configuration') {
     return [decoded.configuration.version];
   }
@@ -27,7 +31,7 @@
     return [bornAtMs ?? 0, sequence];
   }
   if (decoded.kind === 'evacuation') {
-    // Where it is not known which word is the newer one, nothing is sent to the zone.
+    // Where it is unknown which write is newer, the order wins and nothing is sent to the zone.
     return [decoded.change.isOrdered ? 1 : 0];
   }
   if (decoded.kind === 'quota-members' && decoded.record.members !== undefined) {
--- a/src/routing/place-matching.ts
+++ b/src/routing/place-matching.ts
@@ -1,17 +1,17 @@
 /**
- * Query: whether a thing's labels are among those that a condition accepts.
+ * Query: whether labels satisfy a set of conditions.
  *
- * The region of a place is a label like any other: selectors of the policy and the homes of requests are
- * decided here, by one rule. A label that is missing or not known satisfies no condition.
+ * A region is a label like any other: policy selectors and the allowed regions of requests are
+ * evaluated here, by one rule. A label that is missing or unknown satisfies no condition.
  */
 
 /** Values of a label that a condition accepts. */
 export type AcceptedValues = ReadonlySet<string> | readonly string[];
 
-/** Accepted values by label. */
+/** Accepted values by label name. */
 export type LabelConditions = Readonly<Record<string, AcceptedValues>>;
 
-/** Whether a label's value is among those accepted; undefined, for a label that is missing, never is. */
+/** Whether a label's value is accepted; undefined, for a missing label, never is. */
 export function isAccepted(value: string | undefined, accepted: AcceptedValues): boolean {
   if (value === undefined) {
     return false;
@@ -19,7 +19,7 @@
   return 'has' in accepted ? accepted.has(value) : accepted.includes(value);
 }
 
-/** Whether every condition accepts the label of its name, as `labelOf` tells it. */
+/** Whether every condition accepts the value that `labelOf` returns for its label. */
 export function matchesLabels(
   conditions: LabelConditions,
   labelOf: (name: string) => string | undefined,
--- a/src/routing/places.ts
+++ b/src/routing/places.ts
@@ -1,31 +1,34 @@
-/** Where machines stand: zones, the regions that they belong to, and how far two of them are apart. */
+/** Network topology: zones, their regions, and the distance between two zones. */
 
-/** How far two zones are apart, nearest first. */
+/** Distance between two zones, nearest first. */
 export type Distance = 'same-zone' | 'same-region' | 'other-region';
 
-/** The zones of a deployment. */
+/** The zones of a deployment and their regions. */
 export class Places {
   constructor(
     /** The region of each zone. */
     private readonly regionByZone: ReadonlyMap<string, string>,
   ) {}
 
-  /** Every zone that is known. */
+  /** All zones that the settings define. */
   get zones(): string[] {
     return [...this.regionByZone.keys()];
   }
 
-  /** Whether the settings name the zone. */
+  /** Whether the settings define the zone. */
   isKnown(zone: string): boolean {
     return this.regionByZone.has(zone);
   }
 
-  /** The region of a zone; undefined for one that the settings do not name. */
+  /** Returns the region of a zone; undefined for one that the settings do not define. */
   regionOf(zone: string): string | undefined {
     return this.regionByZone.get(zone);
   }
 
-  /** How far two zones are apart; a zone that is not known is far from every other. */
+  /**
+   * Returns the distance between two zones; an unknown zone is in another region than every other
+   * zone.
+   */
   distance(left: string, right: string): Distance {
     if (left === right) {
       return 'same-zone';
--- a/src/routing/routing-table.ts
+++ b/src/routing/routing-table.ts
@@ -1,4 +1,4 @@
-/** Query: which route and tenant a request has under one configuration. */
+/** Query: the route, tenant and service of a request under one configuration. */
 import { NamedHomes } from './named-homes.js';
 import type {
   Route,
@@ -8,12 +8,12 @@
   WeightedService,
 } from './configuration.js';
 
-/** A configuration compiled for fast look-ups. */
+/** Index over a configuration for fast lookups. */
 export class RoutingTable {
   private readonly routesByHost = new Map<string, Map<string, Route>>();
   private readonly tenantsByKey = new Map<string, Tenant>();
   private readonly servicesByName = new Map<string, Service>();
-  /** Regions that its routes and tenants name. */
+  /** Region restrictions of its routes and tenants. */
   readonly homes: NamedHomes;
 
   constructor(readonly configuration: RoutingConfiguration) {
@@ -34,12 +34,12 @@
     }
   }
 
-  /** Whether requests need a key. */
+  /** Whether requests need an API key. */
   get needsKey(): boolean {
     return this.configuration.tenants.length > 0;
   }
 
-  /** The route of `host` (a port is ignored) with the longest prefix of `path`. */
+  /** Returns the route of `host` (a port is ignored) with the longest matching prefix of `path`. */
   findRoute(host: string, path: string): Route | undefined {
     const routes = this.routesByHost.get(host.toLowerCase().replace(/:\d+$/, ''));
     if (routes === undefined) {
@@ -58,32 +58,32 @@
     return undefined;
   }
 
-  /** The tenant that holds `apiKey`. */
+  /** Returns the tenant that `apiKey` belongs to. */
   findTenant(apiKey: string): Tenant | undefined {
     return this.tenantsByKey.get(apiKey);
   }
 
-  /** A tenant by name. */
+  /** Returns a tenant by name. */
   tenantNamed(name: string): Tenant | undefined {
     return this.configuration.tenants.find((tenant) => tenant.name === name);
   }
 
-  /** A service by name. */
+  /** Returns a service by name. */
   findService(name: string): Service | undefined {
     return this.servicesByName.get(name);
   }
 }
 
-/** Picks one of weighted services; `draw` is at least 0 and less than 1. */
+/** Picks a service by weight; `draw` is a uniform random number, at least 0 and less than 1. */
 export function pickService(
   services: readonly WeightedService[],
   draw: number,
 ): string | undefined {
   const total = services.reduce((sum, { weight }) => sum + weight, 0);
-  let left = draw * total;
+  let remaining = draw * total;
   for (const { service, weight } of services) {
-    left -= weight;
-    if (left < 0) {
+    remaining -= weight;
+    if (remaining < 0) {
       return service;
     }
   }
--- a/src/routing/standpoint.ts
+++ b/src/routing/standpoint.ts
@@ -1,14 +1,17 @@
-/** Where a process stands, and how far the zones of others are from it. */
+/** The zone of a process, and its distance to other zones. */
 import type { Distance, Places } from './places.js';
 
-/** Where a process stands. */
+/** The location of a process. */
 export interface Standpoint {
   readonly zone: string;
-  /** The deployment's zones; missing where it names none. */
+  /** The deployment's zones; missing where it defines none. */
   readonly places?: Pick<Places, 'distance' | 'regionOf' | 'isKnown'> | undefined;
 }
 
-/** How far a zone is; zones whose regions the deployment does not name are taken to be of one region. */
+/**
+ * Returns the distance to another zone; if the own zone is not in `places`, every other zone counts
+ * as same-region.
+ */
 export function distanceFrom({ zone, places }: Standpoint, other: string): Distance {
   if (zone === other) {
     return 'same-zone';
@@ -16,7 +19,7 @@
   return places?.isKnown(zone) ? places.distance(zone, other) : 'same-region';
 }
 
-/** The region that a zone is counted in; a zone that is not known is one of its own. */
+/** Returns the region of a zone; an unknown zone counts as a region of its own. */
 export function regionNameOf({ places }: Standpoint, zone: string): string {
   return places?.regionOf(zone) ?? zone;
 }
--- a/src/routing/unknown-zones.ts
+++ b/src/routing/unknown-zones.ts
@@ -1,13 +1,16 @@
-/** Zones that back ends name and the settings do not; each is news once. */
+/** Detects zones that back ends announce and the settings do not define; each is reported once. */
 import type { Places } from './places.js';
 
-/** Zones that turned out to be unknown. */
+/** The unknown zones reported so far. */
 export class UnknownZones {
   private readonly seen = new Set<string>();
 
   constructor(private readonly places: Pick<Places, 'zones' | 'isKnown'>) {}
 
-  /** Whether a zone is unknown and was not asked for before; none is where the settings name no zones. */
+  /**
+   * Records the zone; returns true the first time for an unknown one, never if the settings define
+   * no zones.
+   */
   isNews(zone: string): boolean {
     const isUnknown = this.places.zones.length > 0 && !this.places.isKnown(zone);
     if (!isUnknown || this.seen.has(zone)) {
--- a/test/backend-lives-random.test.ts
+++ b/test/backend-lives-random.test.ts
@@ -1,4 +1,7 @@
-/** Back ends that end and start again under their names, while words of former lives come late or not at all. */
+/**
+ * Random restarts of back ends under one name, with delayed or lost announcements of earlier
+ * incarnations.
+ */
 import test from 'ava';
 import { SeededRandom } from '../src/random.js';
 import { BackendLives } from '../src/routing/backend-lives.js';
@@ -12,50 +15,53 @@
 const ROUTE = routeOf({ kind: 'unsafe', maxAttempts: 1, timeoutMs: 600_000 });
 const RESET = { mayHaveRun: true, isPortClosed: false, detail: 'reset' };
 
-interface Run {
+interface RunningRequest {
   readonly name: string;
   readonly bornAtMs: number;
   readonly attempt: SeenAttempt;
   readonly index: number;
 }
 
-/** A gateway, and what is true of the back ends that it hears of. */
-class LivesWorld {
+/** A gateway, and the actual state of the back ends that it receives announcements of. */
+class IncarnationHarness {
   private readonly random: SeededRandom;
   private readonly gateway = new GatewayWorld();
-  private readonly lives = new BackendLives();
-  private readonly bornAtMs = new Map(NAMES.map((name) => [name, 1]));
-  /** Lives that the gateway was told of last, by name. */
-  private readonly told = new Map<string, number>();
-  /** The newest that it was ever told of: an earlier one is over, whatever is said of it. */
+  private readonly incarnations = new BackendLives();
+  private readonly currentStartMs = new Map(NAMES.map((name) => [name, 1]));
+  /** Start time of the incarnation announced last, by name; missing once its record expired. */
+  private readonly announced = new Map<string, number>();
+  /**
+   * Latest start time ever announced, by name: earlier incarnations have ended, even if announced
+   * again.
+   */
   private readonly newest = new Map<string, number>();
-  private runs: Run[] = [];
+  private runs: RunningRequest[] = [];
   private revision = 0;
 
   constructor(
     seed: number,
-    /** Broken variant: lives are told apart by their names alone. */
-    private readonly isByName: boolean,
+    /** Fault: incarnations are identified by name alone. */
+    private readonly ignoresStartTimes: boolean,
   ) {
     this.random = new SeededRandom(seed);
     NAMES.forEach((name) => this.announce(name, 1));
   }
 
-  /** Returns the first step after which the gateway believed what is not so. */
-  play(): string | undefined {
-    const acts = [
-      () => this.startAnew(),
+  /** Returns the first step after which the gateway's state is wrong. */
+  run(): string | undefined {
+    const actions = [
+      () => this.restart(),
       () => this.announce(this.anyName(), undefined),
-      () => this.lateWord(),
-      () => this.begin(),
-      () => this.begin(),
-      () => this.end(),
-      () => this.lapse(),
+      () => this.announceLate(),
+      () => this.startRequest(),
+      () => this.startRequest(),
+      () => this.endRequest(),
+      () => this.expireRecord(),
     ];
     for (let step = 0; step < STEPS; step += 1) {
       const before = this.gateway.attempts.length;
-      acts[Math.floor(this.random.next() * acts.length)]!();
-      this.noteRuns(before);
+      actions[Math.floor(this.random.next() * actions.length)]!();
+      this.recordRuns(before);
       const problem = this.findProblem();
       if (problem !== undefined) {
         return `step ${step}: ${problem}`;
@@ -68,69 +74,74 @@
     return NAMES[Math.floor(this.random.next() * NAMES.length)]!;
   }
 
-  private take(name: string, announcement: Announcement | undefined): void {
-    for (const { id, backend } of this.lives.take(name, announcement).changes) {
+  private applyRecord(name: string, announcement: Announcement | undefined): void {
+    for (const { id, backend } of this.incarnations.take(name, announcement).changes) {
       this.gateway.dispatcher.updateBackend(id, backend, this.gateway.clock.now());
     }
   }
 
-  /** A back end announces its life, or one that is over does so late. */
-  private announce(name: string, bornAtMs = this.bornAtMs.get(name)!): void {
+  /** Announces the current incarnation, or an earlier one late. */
+  private announce(name: string, bornAtMs = this.currentStartMs.get(name)!): void {
     this.revision += 1;
     const announcement = { ...backendOf(name), slots: 3, address: `${name}:1` };
     const newest = Math.max(bornAtMs, this.newest.get(name) ?? 0);
     this.newest.set(name, newest);
     if (bornAtMs === newest) {
-      this.told.set(name, bornAtMs);
+      this.announced.set(name, bornAtMs);
     }
-    const told = this.isByName ? undefined : bornAtMs;
-    this.take(name, { ...announcement, name, bornAtMs: told, revision: this.revision });
+    const announcedStartMs = this.ignoresStartTimes ? undefined : bornAtMs;
+    this.applyRecord(name, {
+      ...announcement,
+      name,
+      bornAtMs: announcedStartMs,
+      revision: this.revision,
+    });
   }
 
-  private startAnew(): void {
+  private restart(): void {
     const name = this.anyName();
-    this.bornAtMs.set(name, this.bornAtMs.get(name)! + 1);
-    // The word of it may be lost, or come with the next heartbeat.
+    this.currentStartMs.set(name, this.currentStartMs.get(name)! + 1);
+    // The announcement may be lost, or sent with the next heartbeat.
     if (this.random.next() < 0.7) {
       this.announce(name);
     }
   }
 
-  private lateWord(): void {
+  private announceLate(): void {
     const name = this.anyName();
-    const bornAtMs = this.bornAtMs.get(name)!;
+    const bornAtMs = this.currentStartMs.get(name)!;
     this.announce(name, Math.max(1, bornAtMs - 1));
   }
 
-  private lapse(): void {
+  private expireRecord(): void {
     const name = this.anyName();
-    this.take(name, undefined);
-    this.told.delete(name);
+    this.applyRecord(name, undefined);
+    this.announced.delete(name);
     if (this.random.next() < 0.8) {
       this.announce(name);
     }
   }
 
-  private begin(): void {
+  private startRequest(): void {
     this.gateway.request({ route: ROUTE });
   }
 
-  private noteRuns(from: number): void {
+  private recordRuns(from: number): void {
     for (let index = from; index < this.gateway.attempts.length; index += 1) {
       const attempt = this.gateway.attempts[index]!;
       const { name } = attempt.backend;
-      this.runs.push({ name, bornAtMs: this.told.get(name) ?? 0, attempt, index });
+      this.runs.push({ name, bornAtMs: this.announced.get(name) ?? 0, attempt, index });
     }
   }
 
-  /** A run ends, which of whatever life. */
-  private end(): void {
+  /** Ends a random request, at whichever incarnation it runs. */
+  private endRequest(): void {
     const run = this.runs[Math.floor(this.random.next() * this.runs.length)];
     if (run === undefined) {
       return;
     }
     this.runs = this.runs.filter((each) => each !== run);
-    if (run.bornAtMs < this.bornAtMs.get(run.name)!) {
+    if (run.bornAtMs < this.currentStartMs.get(run.name)!) {
       run.attempt.handlers.onFailure(RESET);
     } else {
       this.gateway.answer(run.index, 200, 'good');
@@ -138,32 +149,34 @@
   }
 
   private findProblem(): string | undefined {
-    for (const [name, bornAtMs] of this.told) {
-      const id = this.isByName ? name : `${name}@${bornAtMs}`;
+    for (const [name, bornAtMs] of this.announced) {
+      const id = this.ignoresStartTimes ? name : `${name}@${bornAtMs}`;
       const known = this.gateway.directory.find(id);
-      const atWork = this.runs.filter((run) => run.name === name && run.bornAtMs === bornAtMs);
+      const running = this.runs.filter((run) => run.name === name && run.bornAtMs === bornAtMs);
       if (known?.isReady !== true) {
-        return `${id} is announced and not used`;
+        return `${id} is announced but not ready`;
       }
-      if (known.outstanding !== atWork.length) {
-        return `${id} has ${atWork.length} at work, not ${known.outstanding}`;
+      if (known.outstanding !== running.length) {
+        return `${id} runs ${running.length} requests, counted ${known.outstanding}`;
       }
     }
     return undefined;
   }
 }
 
-function playAll(isByName: boolean): Array<string | undefined> {
-  return Array.from({ length: SEEDS }, (_unused, seed) => new LivesWorld(seed, isByName).play());
+function runAll(ignoresStartTimes: boolean): Array<string | undefined> {
+  return Array.from({ length: SEEDS }, (_unused, seed) =>
+    new IncarnationHarness(seed, ignoresStartTimes).run(),
+  );
 }
 
-test('a gateway counts at each life of a back end what is at work there, whatever comes late or not at all', (t) => {
+test('a gateway counts the running requests of each incarnation despite late or lost announcements', (t) => {
   t.deepEqual(
-    playAll(false).filter((problem) => problem !== undefined),
+    runAll(false).filter((problem) => problem !== undefined),
     [],
   );
 });
 
-test('a gateway that tells lives apart by their names alone counts wrongly', (t) => {
-  t.true(playAll(true).some((problem) => problem !== undefined));
+test('the check detects a gateway that identifies incarnations by name alone', (t) => {
+  t.true(runAll(true).some((problem) => problem !== undefined));
 });
--- a/test/backend-lives.test.ts
+++ b/test/backend-lives.test.ts
@@ -10,7 +10,7 @@
 import { at } from './support/positions.js';
 
 const RESET = { mayHaveRun: true, isPortClosed: false, detail: 'reset' };
-const ENTRY = {
+const RECORD = {
   service: 's',
   address: '10.0.0.1:80',
   zone: 'z',
@@ -37,54 +37,58 @@
   return decodeRecord({ key, ...at(7), value: text });
 }
 
-/** Takes an announcement into a gateway as it does with its records. */
-function update(world: GatewayWorld, lives: BackendLives, announcement: Announcement | undefined) {
-  const { changes } = lives.take('w', announcement);
+/** Applies an announcement to a gateway as it applies records of the store. */
+function update(
+  world: GatewayWorld,
+  incarnations: BackendLives,
+  announcement: Announcement | undefined,
+) {
+  const { changes } = incarnations.take('w', announcement);
   changes.forEach(({ id, backend }) => world.dispatcher.updateBackend(id, backend, 0));
   return changes.map(({ id }) => id);
 }
 
-test('a back end that starts again under its name is another one; what was learned of the former ends', (t) => {
+test('a back end that restarts under its name gets a new id without the previous statistics', (t) => {
   const world = new GatewayWorld();
-  const lives = new BackendLives();
-  update(world, lives, announced(1_000, { revision: 1 }));
+  const incarnations = new BackendLives();
+  update(world, incarnations, announced(1_000, { revision: 1 }));
   world.request({ route: routeOf({ kind: 'unsafe' }) });
   world.attempts[0]!.handlers.onFailure({ ...RESET, mayHaveRun: false, isPortClosed: true });
   world.dispatcher.learnSpeed('w@1000', 1, 50);
   t.true(world.directory.find('w@1000')!.health.isEjected(0));
-  t.deepEqual(update(world, lives, announced(2_000, { revision: 2 })), ['w@2000', 'w@1000']);
+  t.deepEqual(update(world, incarnations, announced(2_000, { revision: 2 })), ['w@2000', 'w@1000']);
   const next = world.directory.find('w@2000')!;
   t.deepEqual([next.health.isEjected(0), next.msPerUnit], [false, undefined]);
   t.false(world.directory.find('w@1000')!.isCurrent);
-  // What waited goes to the new life, which answers to the name.
+  // The waiting request goes to the new incarnation, which has the same name.
   t.like(world.attempts.at(-1)!.backend, { id: 'w@2000', name: 'w' });
 });
 
-test('a run of the former life that ends late frees no slot of the next one', (t) => {
+test('a request of the previous incarnation that ends late frees no slot of the next one', (t) => {
   const world = new GatewayWorld();
-  const lives = new BackendLives();
-  update(world, lives, announced(1_000, { revision: 1, slots: 1 }));
+  const incarnations = new BackendLives();
+  update(world, incarnations, announced(1_000, { revision: 1, slots: 1 }));
   world.request({ route: routeOf({ kind: 'unsafe' }) });
-  update(world, lives, announced(2_000, { revision: 2, slots: 1 }));
+  update(world, incarnations, announced(2_000, { revision: 2, slots: 1 }));
   world.request({ route: routeOf({ kind: 'unsafe' }) });
   t.is(world.attempts[1]!.backend.id, 'w@2000');
   world.attempts[0]!.handlers.onFailure(RESET);
   t.is(world.directory.find('w@2000')!.outstanding, 1);
-  t.is(world.crashes.length, 1, 'its back end had ended');
+  t.is(world.crashes.length, 1, 'the back end of the first request had ended');
 });
 
-test('a request that may be repeated goes on to the next life of the back end that it was lost with', (t) => {
+test('a repeatable request that was lost with its back end is retried at the next incarnation', (t) => {
   const world = new GatewayWorld();
-  const lives = new BackendLives();
-  update(world, lives, announced(1_000, { revision: 1 }));
+  const incarnations = new BackendLives();
+  update(world, incarnations, announced(1_000, { revision: 1 }));
   const { reply } = world.request({ route: routeOf({ kind: 'safe', maxAttempts: 3 }) });
-  update(world, lives, announced(2_000, { revision: 2 }));
+  update(world, incarnations, announced(2_000, { revision: 2 }));
   world.attempts[0]!.handlers.onFailure(RESET);
   world.answer(1, 200, 'good');
   t.is(reply.body, 'good');
 });
 
-test('a request whose back end is known to have ended is not waited for, but what was under way is delivered', async (t) => {
+test('a request fails soon after its back end ended, but a response already in flight is delivered', async (t) => {
   const world = new GatewayWorld(backendOf('a'));
   const lost = world.request({ route: routeOf({ kind: 'unsafe' }) });
   const ready = world.request({ route: routeOf({ kind: 'unsafe' }) });
@@ -99,7 +103,7 @@
   t.true(world.attempts[0]!.isCancelled);
 });
 
-test('a request whose connection had not come up when its back end ended goes on elsewhere', async (t) => {
+test('a request that was still connecting when its back end ended is sent to another back end', async (t) => {
   const world = new GatewayWorld(backendOf('a'), backendOf('b'));
   const { request, reply } = world.request({ route: routeOf({ kind: 'unsafe' }) });
   const { backend } = world.attempts[0]!;
@@ -112,40 +116,43 @@
   t.is(world.crashes.length, 0);
 });
 
-test('an engine that ended and started again between two looks is told to have ended', (t) => {
+test('an agent reports that its engine ended if it restarted between two polls', (t) => {
   const agent = new Agent();
-  const told = () =>
+  const hasEndedFlags = () =>
     agent.sent.flatMap(([, message]) => (message.kind === 'state' ? [message.hasEnded] : []));
   agent.admit(1);
   agent.ledger.takeReading({ kind: 'load', requests: 0, bornAtMs: 1 }, 10);
   agent.ledger.takeReading({ kind: 'load', requests: 0, bornAtMs: 1 }, 20);
-  t.false(told().includes(true));
+  t.false(hasEndedFlags().includes(true));
   agent.ledger.takeReading({ kind: 'load', requests: 0, bornAtMs: 2 }, 30);
-  t.deepEqual(told().slice(-2), [true, undefined]);
+  t.deepEqual(hasEndedFlags().slice(-2), [true, undefined]);
 });
 
-test('a late word of an earlier life changes nothing of the newer one, whatever its revision', (t) => {
+test('a late announcement of an earlier incarnation is ignored, even with a newer revision', (t) => {
   const world = new GatewayWorld();
-  const lives = new BackendLives();
-  update(world, lives, announced(2_000, { revision: 2 }));
-  t.deepEqual(update(world, lives, announced(1_000, { revision: 3, state: 'draining' })), []);
+  const incarnations = new BackendLives();
+  update(world, incarnations, announced(2_000, { revision: 2 }));
+  t.deepEqual(
+    update(world, incarnations, announced(1_000, { revision: 3, state: 'draining' })),
+    [],
+  );
   t.true(world.directory.find('w@2000')!.isReady);
-  t.regex(lives.take('w', announced(1_000)).problem!, /earlier start/);
+  t.regex(incarnations.take('w', announced(1_000)).problem!, /earlier start/);
 });
 
-test('a life that is announced again after its record lapsed is the one that it was', (t) => {
+test('an incarnation that is announced again after its record expired retains its statistics', (t) => {
   const world = new GatewayWorld();
-  const lives = new BackendLives();
-  update(world, lives, announced(1_000, { revision: 1 }));
+  const incarnations = new BackendLives();
+  update(world, incarnations, announced(1_000, { revision: 1 }));
   world.dispatcher.learnSpeed('w@1000', 1, 50);
-  update(world, lives, undefined);
+  update(world, incarnations, undefined);
   t.false(world.directory.find('w@1000')!.isReady);
-  update(world, lives, announced(1_000, { revision: 3 }));
+  update(world, incarnations, announced(1_000, { revision: 3 }));
   t.true(world.directory.find('w@1000')!.isReady);
   t.not(world.directory.find('w@1000')!.msPerUnit, undefined);
 });
 
-test('an agent knows its engine by the newest life at its address', (t) => {
+test('an agent identifies its engine by the latest incarnation at its address', (t) => {
   const knowledge = new EngineKnowledge(
     { address: '10.0.0.1:80', zone: 'z' },
     new Places(new Map()),
@@ -155,53 +162,53 @@
       decodeRecord({ key: 'servers/w', ...at(revision), value: JSON.stringify(entry) }),
       revision,
     );
-  take(ENTRY, 1);
+  take(RECORD, 1);
   t.is(knowledge.backend!.id, 'w@1000');
-  take({ ...ENTRY, born: 2_000 }, 2);
+  take({ ...RECORD, born: 2_000 }, 2);
   t.is(knowledge.backend!.id, 'w@2000');
-  take({ ...ENTRY, born: 1_000 }, 3);
+  take({ ...RECORD, born: 1_000 }, 3);
   t.is(knowledge.backend!.id, 'w@2000');
-  take({ ...ENTRY, slots: 'many' }, 4);
+  take({ ...RECORD, slots: 'many' }, 4);
   t.is(knowledge.backend, undefined);
-  take({ ...ENTRY, born: 2_000 }, 5);
+  take({ ...RECORD, born: 2_000 }, 5);
   t.is(knowledge.backend!.id, 'w@2000');
 });
 
-test('an entry of another writer names no back end, and says which of its fields are none', (t) => {
-  const good = decode(ENTRY);
+test('an invalid back-end record yields no announcement and a problem that names the fields', (t) => {
+  const good = decode(RECORD);
   t.like(good, { kind: 'backend', name: 'w', announcement: { bornAtMs: 1_000, slots: 4 } });
-  t.like(decode({ ...ENTRY, unknown: 'field' }), { announcement: { slots: 4 } });
-  t.like(decode(without(ENTRY, 'born')), { announcement: { bornAtMs: undefined } });
+  t.like(decode({ ...RECORD, unknown: 'field' }), { announcement: { slots: 4 } });
+  t.like(decode(without(RECORD, 'born')), { announcement: { bornAtMs: undefined } });
   const bad: unknown[] = ['', 'x', '{', '[]', 'null', '7', '"text"'];
-  for (const field of Object.keys(ENTRY)) {
-    bad.push(...(field === 'born' ? [] : [without(ENTRY, field as 'zone')]));
+  for (const field of Object.keys(RECORD)) {
+    bad.push(...(field === 'born' ? [] : [without(RECORD, field as 'zone')]));
     bad.push(
-      ...[null, {}, [], true, 'x'.repeat(300)].map((value) => ({ ...ENTRY, [field]: value })),
+      ...[null, {}, [], true, 'x'.repeat(300)].map((value) => ({ ...RECORD, [field]: value })),
     );
   }
   for (const slots of [0, -1, 1.5, '4', 1e9]) {
-    bad.push({ ...ENTRY, slots });
+    bad.push({ ...RECORD, slots });
   }
   for (const address of ['10.0.0.1', '10.0.0.256:80', 'host:80', '10.0.0.1:0', '10.0.0.1:65536']) {
-    bad.push({ ...ENTRY, address });
+    bad.push({ ...RECORD, address });
   }
-  bad.push({ ...ENTRY, state: 'resting' }, { ...ENTRY, born: -1 }, { ...ENTRY, born: 0.5 });
+  bad.push({ ...RECORD, state: 'resting' }, { ...RECORD, born: -1 }, { ...RECORD, born: 0.5 });
   for (const value of bad) {
     const read = decode(value);
     t.like(read, { kind: 'backend', announcement: undefined }, JSON.stringify(value));
     t.truthy(read.kind === 'backend' && read.problem, JSON.stringify(value));
   }
-  t.like(decode({ ...ENTRY, slots: 0, zone: '' }), { problem: 'not as expected: zone, slots' });
+  t.like(decode({ ...RECORD, slots: 0, zone: '' }), { problem: 'not as expected: zone, slots' });
 });
 
-test('whatever is written under a back end’s key, nothing is thrown and no field is out of range', (t) => {
+test('decoding any value under a back end’s key throws nothing and yields no field out of range', (t) => {
   const values = fc.oneof(
     fc.string(),
     fc.json(),
     fc.record(
       {
         service: fc.anything(),
-        address: fc.oneof(fc.string(), fc.constant(ENTRY.address)),
+        address: fc.oneof(fc.string(), fc.constant(RECORD.address)),
         zone: fc.oneof(fc.string(), fc.constant('z')),
         version: fc.oneof(fc.string(), fc.constant('v1')),
         slots: fc.oneof(fc.integer(), fc.double(), fc.constant(4)),
@@ -213,11 +220,11 @@
       { requiredKeys: [] },
     ),
     fc
-      .record({ field: fc.constantFrom(...Object.keys(ENTRY)), value: fc.anything() })
-      .map(({ field, value }) => ({ ...ENTRY, [field]: value })),
+      .record({ field: fc.constantFrom(...Object.keys(RECORD)), value: fc.anything() })
+      .map(({ field, value }) => ({ ...RECORD, [field]: value })),
   );
   const world = new GatewayWorld();
-  const lives = new BackendLives();
+  const incarnations = new BackendLives();
   fc.assert(
     fc.property(values, (value) => {
       let text: string | undefined;
@@ -228,7 +235,7 @@
       }
       const read = decodeRecord({ key: 'servers/w', ...at(1), value: text ?? '' });
       const announcement = read.kind === 'backend' ? read.announcement : undefined;
-      update(world, lives, announcement);
+      update(world, incarnations, announcement);
       if (announcement !== undefined) {
         t.true(announcement.slots >= 1 && Number.isInteger(announcement.slots));
         t.true(announcement.remainingColdMs >= 0 && announcement.service.length > 0);
@@ -239,7 +246,7 @@
   );
 });
 
-test('an announcement of a service that nobody configured ends no other at its address', (t) => {
+test('an announcement of an unconfigured service replaces no other back end at its address', (t) => {
   const world = new GatewayWorld();
   world.namedServices = new Set(['s']);
   world.dispatcher.updateBackend('w', backendOf('w', { address: 'a:1' }), 0);
--- a/test/backend-restriction.test.ts
+++ b/test/backend-restriction.test.ts
@@ -16,7 +16,7 @@
   ]),
 );
 
-test('places tell how far zones are apart; an unknown zone is far from all but itself', (t) => {
+test('the distance between zones follows regions; an unknown zone is remote from all others', (t) => {
   t.is(PLACES.distance('a1', 'a1'), 'same-zone');
   t.is(PLACES.distance('a1', 'a2'), 'same-region');
   t.is(PLACES.distance('a1', 'b1'), 'other-region');
@@ -25,33 +25,35 @@
   t.false(PLACES.isKnown('x'));
 });
 
-test('each reason keeps a request from a back end, and an unknown region is no home', (t) => {
+test('each restriction excludes a back end, and an unknown region is never an allowed one', (t) => {
   const rules = {
     isEvacuated: (zone: string) => zone === 'a2',
     regionOf: (zone: string) => PLACES.regionOf(zone),
     versionUse: () => 'open' as const,
   };
-  const home = new Set(['a']);
-  t.is(restrictionOf(backendOf('w', { zone: 'a1' }), home, rules), undefined);
+  const allowed = new Set(['a']);
+  t.is(restrictionOf(backendOf('w', { zone: 'a1' }), allowed, rules), undefined);
   t.is(restrictionOf(backendOf('w', { zone: 'a2' }), undefined, rules), 'zone-evacuated');
-  t.is(restrictionOf(backendOf('w', { zone: 'b1' }), home, rules), 'outside-home');
-  t.is(restrictionOf(backendOf('w', { zone: 'x' }), home, rules), 'outside-home');
+  t.is(restrictionOf(backendOf('w', { zone: 'b1' }), allowed, rules), 'outside-home');
+  t.is(restrictionOf(backendOf('w', { zone: 'x' }), allowed, rules), 'outside-home');
   t.is(restrictionOf(backendOf('w', { zone: 'x' }), undefined, rules), undefined);
   const closed = { ...rules, versionUse: () => 'closed' as const };
   t.is(restrictionOf(backendOf('w', { zone: 'a1' }), undefined, closed), 'version-closed');
 });
 
-test('both lists of regions bind', (t) => {
+test('only regions in both lists are allowed', (t) => {
   t.is(commonRegions(undefined, undefined), undefined);
   t.deepEqual(commonRegions(['a'], undefined), new Set(['a']));
   t.deepEqual(commonRegions(['a', 'b'], ['b', 'c']), new Set(['b']));
   t.deepEqual(commonRegions(['a'], ['b']), new Set());
 });
 
-test('the newest order of a zone holds, in whatever order and however often the news comes', (t) => {
-  const news = fc.array(fc.record({ revision: fc.integer({ min: 1, max: 9 }) }), { minLength: 1 });
+test('the newest order of a zone is in force, in whatever order and however often changes arrive', (t) => {
+  const anyChanges = fc.array(fc.record({ revision: fc.integer({ min: 1, max: 9 }) }), {
+    minLength: 1,
+  });
   fc.assert(
-    fc.property(news, (changes) => {
+    fc.property(anyChanges, (changes) => {
       const evacuations = new ZoneEvacuations();
       for (const { revision } of changes) {
         evacuations.take({ zone: 'z', isOrdered: revision % 2 === 1, ...at(revision) }, 0);
@@ -63,7 +65,7 @@
   t.pass();
 });
 
-test('an order and its removal are read from the store', (t) => {
+test('an evacuation order and its removal are decoded from store records', (t) => {
   const key = 'op/evacuate/a1';
   t.deepEqual(decodeRecord({ key, ...at(4), value: '{}' }), {
     kind: 'evacuation',
@@ -75,7 +77,7 @@
   });
 });
 
-test('an order whose value cannot be read is one all the same; one without a zone is refused, not as a configuration', (t) => {
+test('an evacuation order with an unreadable value is in force; one without a zone is invalid', (t) => {
   const order = { ...at(4), value: 'not { JSON' };
   t.is(decodeRecord({ key: 'op/evacuate/a1', ...order }).kind, 'evacuation');
   const refused = decodeRecord({ key: 'op/evacuate/', ...order });
@@ -83,7 +85,7 @@
   t.like(decodeRecord({ key: 'op/config', ...order }), { kind: 'invalid', isConfiguration: true });
 });
 
-test('a gateway sends nothing to an evacuated zone, nor outside the regions that a request allows', (t) => {
+test('a gateway sends nothing to an evacuated zone or outside the allowed regions of a request', (t) => {
   const world = new GatewayWorld(
     backendOf('far', { zone: 'b1' }),
     backendOf('near', { zone: 'a1' }),
@@ -100,7 +102,7 @@
   t.is(world.attempts.length, 2);
 });
 
-test('an agent knows from its own replica what may not be sent to its engine', (t) => {
+test('an agent determines the restrictions of its engine from its own replica', (t) => {
   const engine = new EngineKnowledge({ address: '1.2.3.4:5', zone: 'a1' }, PLACES);
   t.is(engine.restriction(undefined), undefined);
   t.is(engine.restriction(new Set(['b'])), 'outside-home');
--- a/test/regions.test.ts
+++ b/test/regions.test.ts
@@ -5,14 +5,14 @@
 import type { EngineAvailability } from '../src/slot-agent/engine-watch.js';
 import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
 
-/** By how much the way to another region is dearer than that inside the zone: 16 - 0.5, and 10 for bytes. */
-const FAR_EXTRA_MS = 25.5;
-/** After this wait engines of other regions are used. */
-const FAR_PATIENCE_MS = 26;
+/** Extra cost of another region over the own zone: 16 - 0.5 for round trips, and 10 for bytes. */
+const REMOTE_EXTRA_COST_MS = 25.5;
+/** Wait after which engines in other regions are used. */
+const REMOTE_DELAY_MS = 26;
 const TOKENS = 1_000;
-const PATIENT = routeOf({ kind: 'unsafe', targetLatencyMs: 2_000 });
+const UNSAFE_ROUTE = routeOf({ kind: 'unsafe', targetLatencyMs: 2_000 });
 
-/** A gateway in zone z of region north, with engines there and in another region. */
+/** A gateway in zone z of region north, with engines there and in region south. */
 function worldOf(near: readonly string[], far: readonly string[], slots = 1): GatewayWorld {
   const world = new GatewayWorld();
   world.engines = true;
@@ -25,12 +25,12 @@
   }
   for (const id of [...near, ...far]) {
     world.dispatcher.connectAgent(id, 0);
-    tell(world, id, 0);
+    sendState(world, id, 0);
   }
   return world;
 }
 
-function tell(
+function sendState(
   world: GatewayWorld,
   id: string,
   occupied: number,
@@ -49,28 +49,28 @@
   return world.attempts.map(({ backend }) => backend.id);
 }
 
-/** Agents that were told of a waiting request. */
-function askedAgents(world: GatewayWorld): string[] {
+/** Agents that were sent demand for a waiting request. */
+function agentsWithDemand(world: GatewayWorld): string[] {
   return world.toAgents.flatMap(([id, message]) =>
     message.kind === 'demand' && message.ranks.length > 0 ? [id] : [],
   );
 }
 
-test('an engine in another region is used when it is faster by more than way and bytes', (t) => {
+test('an engine in another region is used if it is faster by more than the cost of the distance', (t) => {
   for (const [gainMs, expected] of [
-    [FAR_EXTRA_MS - 2, 'near'],
-    [FAR_EXTRA_MS + 2, 'far'],
+    [REMOTE_EXTRA_COST_MS - 2, 'near'],
+    [REMOTE_EXTRA_COST_MS + 2, 'far'],
   ] as const) {
     const world = worldOf(['near'], ['far']);
-    const line = (baseMs: number) => ({ prefill: { baseMs, msPerToken: 0.01 }, msPerUnit: 1 });
-    world.directory.find('near')!.adopt(line(30 + gainMs));
-    world.directory.find('far')!.adopt(line(30));
-    world.request({ route: PATIENT, promptTokens: TOKENS });
+    const learned = (baseMs: number) => ({ prefill: { baseMs, msPerToken: 0.01 }, msPerUnit: 1 });
+    world.directory.find('near')!.adopt(learned(30 + gainMs));
+    world.directory.find('far')!.adopt(learned(30));
+    world.request({ route: UNSAFE_ROUTE, promptTokens: TOKENS });
     t.deepEqual(usedBackends(world), [expected]);
   }
 });
 
-test('of engines near by that are alike the nearest is not filled before the others are used', (t) => {
+test('among equal engines in the own region the nearest is not filled before others are used', (t) => {
   const world = worldOf(['near'], [], 13);
   world.regions.set('next', 'north');
   world.dispatcher.updateBackend('next', backendOf('next', { zone: 'next', slots: 13 }), 0);
@@ -78,13 +78,13 @@
   for (const id of ['near', 'next']) {
     world.directory.find(id)!.adopt({ prefill: { baseMs: 50, msPerToken: 0.01 }, msPerUnit: 1 });
   }
-  tell(world, 'near', 9);
-  tell(world, 'next', 1);
-  world.request({ route: PATIENT, promptTokens: TOKENS });
+  sendState(world, 'near', 9);
+  sendState(world, 'next', 1);
+  world.request({ route: UNSAFE_ROUTE, promptTokens: TOKENS });
   t.deepEqual(usedBackends(world), ['next']);
 });
 
-test('what is learned and shared of an engine does not hold the way there', (t) => {
+test('learned and shared engine times exclude the round trip to the engine', (t) => {
   const world = worldOf([], ['far']);
   world.dispatcher.learnFirst('far', TOKENS, 116);
   world.dispatcher.learnSpeed('far', 1, 216);
@@ -94,21 +94,21 @@
   t.is(world.directory.expectedFirstMs('s', TOKENS), 116);
 });
 
-test('a request that finds the engines near by full waits for them before it crosses', async (t) => {
+test('a request waits for full engines in its region before it is sent to another region', async (t) => {
   const world = worldOf(['near'], ['far']);
-  tell(world, 'near', 1);
-  world.request({ route: PATIENT });
+  sendState(world, 'near', 1);
+  world.request({ route: UNSAFE_ROUTE });
   t.deepEqual(usedBackends(world), []);
-  await world.clock.runUntil(FAR_PATIENCE_MS - 1);
+  await world.clock.runUntil(REMOTE_DELAY_MS - 1);
   t.deepEqual(usedBackends(world), []);
-  await world.clock.runUntil(FAR_PATIENCE_MS);
+  await world.clock.runUntil(REMOTE_DELAY_MS);
   t.deepEqual(usedBackends(world), ['far']);
 });
 
-test('a request crosses as soon as it has waited for a way that proved longer meanwhile', async (t) => {
+test('the wait before using another region follows the measured round trip', async (t) => {
   const world = worldOf(['near'], ['far']);
-  tell(world, 'near', 1);
-  world.request({ route: PATIENT });
+  sendState(world, 'near', 1);
+  world.request({ route: UNSAFE_ROUTE });
   world.directory.find('far')!.roundTrip.adopt(30);
   world.directory.reviewReach('s');
   await world.clock.runUntil(39);
@@ -117,78 +117,78 @@
   t.deepEqual(usedBackends(world), ['far']);
 });
 
-test('a request crosses in time though timers fire early', async (t) => {
+test('a request is sent to another region in time even if timers fire early', async (t) => {
   const world = worldOf(['near'], ['far']);
-  tell(world, 'near', 1);
+  sendState(world, 'near', 1);
   const setTimer = world.clock.setTimeout.bind(world.clock);
   world.clock.setTimeout = (callback, delayMs) => setTimer(callback, Math.max(1, delayMs - 1));
-  world.request({ route: PATIENT });
+  world.request({ route: UNSAFE_ROUTE });
   world.clock.setTimeout = setTimer;
-  await world.clock.runUntil(FAR_PATIENCE_MS + 1);
+  await world.clock.runUntil(REMOTE_DELAY_MS + 1);
   t.deepEqual(usedBackends(world), ['far']);
 });
 
-test('agents near by are asked for a slot first, those in other regions after a while', async (t) => {
+test('agents in the own region get demand first, those in other regions after the delay', async (t) => {
   const world = worldOf(['near'], ['far']);
-  tell(world, 'near', 1);
-  tell(world, 'far', 1);
-  world.request({ route: PATIENT });
-  t.deepEqual(askedAgents(world), ['near']);
-  await world.clock.runUntil(FAR_PATIENCE_MS - 1);
-  t.deepEqual(askedAgents(world), ['near']);
-  await world.clock.runUntil(FAR_PATIENCE_MS);
-  t.deepEqual(askedAgents(world), ['near', 'far']);
+  sendState(world, 'near', 1);
+  sendState(world, 'far', 1);
+  world.request({ route: UNSAFE_ROUTE });
+  t.deepEqual(agentsWithDemand(world), ['near']);
+  await world.clock.runUntil(REMOTE_DELAY_MS - 1);
+  t.deepEqual(agentsWithDemand(world), ['near']);
+  await world.clock.runUntil(REMOTE_DELAY_MS);
+  t.deepEqual(agentsWithDemand(world), ['near', 'far']);
 });
 
-test('once the engines of the region are gone others are used and asked without a pause', (t) => {
+test('other regions are used without delay once the own region has no open engine', (t) => {
   for (const isFarFull of [false, true]) {
     const world = worldOf(['near'], ['far']);
-    tell(world, 'near', 0, 'closed');
-    tell(world, 'far', isFarFull ? 1 : 0);
-    world.request({ route: PATIENT });
+    sendState(world, 'near', 0, 'closed');
+    sendState(world, 'far', isFarFull ? 1 : 0);
+    world.request({ route: UNSAFE_ROUTE });
     t.deepEqual(usedBackends(world), isFarFull ? [] : ['far']);
-    t.is(askedAgents(world).includes('far'), isFarFull);
+    t.is(agentsWithDemand(world).includes('far'), isFarFull);
   }
 });
 
-test('once every zone of the region is evacuated others are used and asked without a pause', (t) => {
+test('other regions are used without delay once every zone of the own region is evacuated', (t) => {
   for (const isFarFull of [false, true]) {
     const world = worldOf(['near'], ['far']);
     world.evacuatedZones.add('z');
     world.directory.reviewReach('s');
-    tell(world, 'far', isFarFull ? 1 : 0);
-    world.request({ route: PATIENT });
+    sendState(world, 'far', isFarFull ? 1 : 0);
+    world.request({ route: UNSAFE_ROUTE });
     t.deepEqual(usedBackends(world), isFarFull ? [] : ['far']);
-    t.is(askedAgents(world).includes('far'), isFarFull);
+    t.is(agentsWithDemand(world).includes('far'), isFarFull);
   }
 });
 
-test('a request that may be served in the other region only does not wait for one near by', (t) => {
+test('a request allowed only in another region does not wait for engines of the own region', (t) => {
   const world = worldOf(['near'], ['far']);
-  tell(world, 'near', 1);
-  tell(world, 'far', 1);
-  world.request({ route: PATIENT, allowedRegions: new Set(['south']) });
-  t.true(askedAgents(world).includes('far'));
+  sendState(world, 'near', 1);
+  sendState(world, 'far', 1);
+  world.request({ route: UNSAFE_ROUTE, allowedRegions: new Set(['south']) });
+  t.true(agentsWithDemand(world).includes('far'));
 });
 
-test('a gateway whose region lost its engines works with more of the others until one is back', (t) => {
+test('a gateway whose region has no open engine uses more remote engines until one is back', (t) => {
   const near = ['n1', 'n2'];
   const far = Array.from({ length: 40 }, (_unused, index) => `f${index}`);
   const world = worldOf(near, far);
-  const countAssigned = (ids: readonly string[]) =>
+  const countInSubset = (ids: readonly string[]) =>
     ids.filter((id) => world.directory.find(id)!.isAssigned).length;
-  const before = countAssigned(far);
-  near.forEach((id) => tell(world, id, 0, 'closed'));
-  t.is(countAssigned(far), 16);
+  const before = countInSubset(far);
+  near.forEach((id) => sendState(world, id, 0, 'closed'));
+  t.is(countInSubset(far), 16);
   t.is(world.reaches.at(-1), false);
-  t.is(countAssigned(near), 2);
+  t.is(countInSubset(near), 2);
   t.true(before < 16);
-  tell(world, 'n1', 0);
-  t.is(countAssigned(far), before);
+  sendState(world, 'n1', 0);
+  t.is(countInSubset(far), before);
   t.deepEqual(world.reaches, [false, true]);
 });
 
-test('a new engine in another region is given the way there and back until its agent is heard', async (t) => {
+test('the wait for the agent of a new engine in another region includes the round trip', async (t) => {
   const world = worldOf([], []);
   world.dispatcher.updateBackend('far', backendOf('far', { zone: 'far' }), 0);
   await world.clock.runUntil(180);
@@ -196,15 +196,15 @@
   t.false(world.directory.find('far')!.isAgentAwaited(183));
 });
 
-test('the way to a back end without an agent is learned from the connections to it', (t) => {
+test('the round trip to a back end without an agent is measured from connections to it', (t) => {
   const world = worldOf([], ['far']);
-  world.request({ route: PATIENT });
+  world.request({ route: UNSAFE_ROUTE });
   t.is(world.attempts[0]!.roundTripMs, 16);
   world.attempts[0]!.handlers.onConnected!(10);
   t.is(world.directory.find('far')!.roundTrip.ms, 13);
 });
 
-test('a round trip follows the shortest samples at once and a longer way in time', (t) => {
+test('a round-trip estimate follows shorter samples at once and longer ones gradually', (t) => {
   const way = new RoundTrip('same-region');
   t.false(way.isMeasured);
   way.learn(1_000);
@@ -219,7 +219,7 @@
   t.true(way.ms > 19);
 });
 
-test('a zone that the settings do not name is news once, and none is where they name no zones', (t) => {
+test('an unknown zone is reported once, and never if the settings define no zones', (t) => {
   const zones = new UnknownZones(new Places(new Map([['z', 'north']])));
   t.false(zones.isNews('z'));
   t.true(zones.isNews('elsewhere'));
--- a/test/routing-table.test.ts
+++ b/test/routing-table.test.ts
@@ -38,34 +38,34 @@
   });
 }
 
-test('the longest prefix of the path wins, whatever the order of routes', (t) => {
+test('the longest matching path prefix wins, whatever the order of routes', (t) => {
   const table = tableOf([route('/a/'), route('/a/b/'), route('/')]);
   t.is(table.findRoute('a.example', '/a/b/c')?.pathPrefix, '/a/b/');
   t.is(table.findRoute('a.example', '/a/bc')?.pathPrefix, '/a/');
   t.is(table.findRoute('a.example', '/x')?.pathPrefix, '/');
 });
 
-test('a slash in the query does not choose a route', (t) => {
+test('a slash in the query string does not affect the route', (t) => {
   const table = tableOf([route('/a/'), route('/a/b/')]);
   t.is(table.findRoute('a.example', '/a/?next=/a/b/')?.pathPrefix, '/a/');
 });
 
-test('hosts differ by name, not by case or port', (t) => {
+test('hosts are matched by name, ignoring case and port', (t) => {
   const table = tableOf([route('/a/')]);
   t.truthy(table.findRoute('A.Example:8080', '/a/'));
   t.is(table.findRoute('b.example', '/a/'), undefined);
 });
 
-test('a path outside every prefix has no route', (t) => {
+test('a path that matches no prefix has no route', (t) => {
   t.is(tableOf([route('/a/')]).findRoute('a.example', '/b/'), undefined);
 });
 
-test('keys name their tenant', (t) => {
+test('an API key identifies its tenant', (t) => {
   t.is(tableOf([]).findTenant('k')?.name, 't');
   t.is(tableOf([]).findTenant('other'), undefined);
 });
 
-test('weighted services are drawn in proportion', (t) => {
+test('services are picked in proportion to their weights', (t) => {
   const services = [
     { service: 'a', weight: 90 },
     { service: 'b', weight: 10 },
--- a/test/support/rollout-fleet.ts
+++ b/test/support/rollout-fleet.ts
@@ -9,53 +9,56 @@
 import { at } from './positions.js';
 import type { StorePosition } from '../../src/cluster/store-position.js';
 
-/** How the target version behaves. */
+/** Failure behaviour of the target version. */
 export interface VersionBehaviour {
-  /** Share of its requests that go badly, at a part of the order's time and on a route. */
+  /** Share of bad requests on a route, at `part`, a fraction of the order's time. */
   badShare(part: number, route: string): number;
 }
 
-/** What happens to the gateways meanwhile. */
-export interface FleetTroubles {
-  /** Gateways that the store turns away. */
-  readonly turnedAway?: number;
-  /** Part of the order's time at which every gateway is restarted. */
+/** Faults injected during the roll-out. */
+export interface FleetFaults {
+  /** Number of gateways whose writes the store rejects. */
+  readonly rejectedGateways?: number;
+  /** Fraction of the order's time at which every gateway restarts. */
   readonly restartAllAt?: number;
-  /** Part of the order's time until which the store takes no writes. */
-  readonly storeAwayUntil?: number;
+  /** Fraction of the order's time until which the store rejects all writes. */
+  readonly storeUnavailableUntil?: number;
 }
 
-/** What a run showed. */
+/** Result of a run. */
 export interface RolloutRun {
   readonly state: RolloutState | undefined;
   /** Every state that was written, in order. */
   readonly written: RolloutState[];
-  /** Part of the order's time at which the last state was written. */
+  /** Fraction of the order's time at which the last state was written. */
   readonly endedAt: number;
-  /** Requests of the service, and those that the target version got, from the order to its deadline. */
+  /**
+   * Requests of the service and, of those, requests sent to the target version, from the order to
+   * its deadline.
+   */
   readonly sent: number;
-  readonly exposed: number;
-  /** Bad answers of the target version after the fiftieth one's time plus five seconds. */
-  readonly sentLongAfterFifty: number;
-  /** Requests that ran at old back ends when the roll-out was said to be completed. */
-  readonly cutOff: number;
+  readonly targetSent: number;
+  /** Requests sent to the target version over five seconds after its fiftieth bad response. */
+  readonly sentAfterRollbackLimit: number;
+  /** Requests in flight at old back ends when the roll-out was reported as completed. */
+  readonly oldInFlightAtCompletion: number;
 }
 
 const GATEWAYS = 6;
 const ROUTES = ['first', 'second', 'third'];
-const USUAL_BAD_SHARE = 0.02;
+const BASELINE_BAD_SHARE = 0.02;
 const REQUESTS_PER_S = 200;
-/** Shortest and longest time of a request at a back end. */
-const WORK_MIN_MS = 100;
-const WORK_MAX_MS = 1_500;
+/** Minimum and maximum service time of a request. */
+const MIN_REQUEST_MS = 100;
+const MAX_REQUEST_MS = 1_500;
 const TICK_MS = 100;
-const BEAT_MS = 400;
-const STORE_MS = 10;
-const ROLLBACK_MS = 5_000;
-const OLD: Backend = backendOf('old', { version: 'v1' });
-const NEW: Backend = backendOf('new', { version: 'v2' });
+const HEARTBEAT_MS = 400;
+const STORE_DELAY_MS = 10;
+const ROLLBACK_LIMIT_MS = 5_000;
+const OLD_BACKEND: Backend = backendOf('old', { version: 'v1' });
+const NEW_BACKEND: Backend = backendOf('new', { version: 'v2' });
 
-/** Gateways that roll a version out, on the virtual clock. */
+/** Simulates the gateways of a roll-out on the virtual clock. */
 export class RolloutFleet {
   private readonly clock = new VirtualClock();
   private readonly random: SeededRandom;
@@ -65,34 +68,34 @@
   private revision = 10;
   private endedAtMs = 0;
   private sent = 0;
-  private exposed = 0;
+  private targetSent = 0;
   private badAnswers = 0;
-  private fiftiethAtMs = Infinity;
-  private sentLongAfterFifty = 0;
-  private atOld = 0;
-  private cutOff = 0;
-  private lives = 0;
+  private fiftiethBadAtMs = Infinity;
+  private sentAfterRollbackLimit = 0;
+  private oldInFlight = 0;
+  private oldInFlightAtCompletion = 0;
+  private startCount = 0;
 
   constructor(
     seed: number,
     private readonly order: RolloutOrder,
     private readonly behaviour: VersionBehaviour,
-    private readonly troubles: FleetTroubles = {},
+    private readonly faults: FleetFaults = {},
   ) {
     this.random = new SeededRandom(seed);
   }
 
-  /** Plays the order to some time after its deadline. */
+  /** Runs the order until some time after its deadline. */
   async run(): Promise<RolloutRun> {
     const { durationMs } = this.order;
     for (let index = 0; index < GATEWAYS; index += 1) {
       this.gateways.push(this.start(index));
     }
     this.tick();
-    this.beat();
+    this.exchangeReports();
     this.request();
-    if (this.troubles.restartAllAt !== undefined) {
-      this.clock.setTimeout(() => this.restartAll(), durationMs * this.troubles.restartAllAt);
+    if (this.faults.restartAllAt !== undefined) {
+      this.clock.setTimeout(() => this.restartAll(), durationMs * this.faults.restartAllAt);
     }
     await this.clock.runUntil(durationMs * 1.2);
     return {
@@ -100,20 +103,20 @@
       written: this.written,
       endedAt: this.endedAtMs / durationMs,
       sent: this.sent,
-      exposed: this.exposed,
-      sentLongAfterFifty: this.sentLongAfterFifty,
-      cutOff: this.cutOff,
+      targetSent: this.targetSent,
+      sentAfterRollbackLimit: this.sentAfterRollbackLimit,
+      oldInFlightAtCompletion: this.oldInFlightAtCompletion,
     };
   }
 
-  private get part(): number {
+  private get elapsedFraction(): number {
     return this.clock.now() / this.order.durationMs;
   }
 
   private start(index: number): Rollouts {
-    this.lives += 1;
+    this.startCount += 1;
     const rollouts = new Rollouts(
-      `g${index}.${this.lives}`,
+      `g${index}.${this.startCount}`,
       {
         countReady: () => ({ target: 3, others: 3 }),
         countGateways: () => GATEWAYS,
@@ -135,9 +138,9 @@
 
   private write(index: number, state: RolloutState, follows: StorePosition) {
     this.clock.notePromise();
-    const isAway = this.part < (this.troubles.storeAwayUntil ?? 0);
-    if (isAway || index < (this.troubles.turnedAway ?? 0)) {
-      return Promise.resolve(err(new StoreUnavailableError('turned away')));
+    const isUnavailable = this.elapsedFraction < (this.faults.storeUnavailableUntil ?? 0);
+    if (isUnavailable || index < (this.faults.rejectedGateways ?? 0)) {
+      return Promise.resolve(err(new StoreUnavailableError('write rejected')));
     }
     if ((this.status?.revision ?? 0) !== follows.revision) {
       return Promise.resolve(err(new StoreConflictError('changed')));
@@ -147,12 +150,12 @@
     this.written.push(state);
     this.endedAtMs = this.clock.now();
     if (state === 'completed') {
-      this.cutOff = this.atOld;
+      this.oldInFlightAtCompletion = this.oldInFlight;
     }
     const { status } = this;
     this.clock.setTimeout(() => {
       this.gateways.forEach((gateway) => gateway.takeStatus(status));
-    }, STORE_MS);
+    }, STORE_DELAY_MS);
     return Promise.resolve(ok(at(this.revision)));
   }
 
@@ -161,53 +164,55 @@
     this.clock.setTimeout(() => this.tick(), TICK_MS);
   }
 
-  private beat(): void {
+  private exchangeReports(): void {
     this.gateways.forEach((gateway, from) => {
-      const told = gateway.tell();
-      if (told !== undefined) {
+      const reports = gateway.tell();
+      if (reports !== undefined) {
         this.gateways
           .filter((_peer, index) => index !== from)
-          .forEach((peer) => peer.hear(`g${from}.peer`, told));
+          .forEach((peer) => peer.hear(`g${from}.peer`, reports));
       }
     });
-    this.clock.setTimeout(() => this.beat(), BEAT_MS);
+    this.clock.setTimeout(() => this.exchangeReports(), HEARTBEAT_MS);
   }
 
   private request(): void {
     this.send();
-    const pauseMs = (-Math.log(1 - this.random.next()) * 1_000) / REQUESTS_PER_S;
-    this.clock.setTimeout(() => this.request(), pauseMs);
+    const delayMs = (-Math.log(1 - this.random.next()) * 1_000) / REQUESTS_PER_S;
+    this.clock.setTimeout(() => this.request(), delayMs);
   }
 
   private send(): void {
     const gateway = this.gateways[Math.floor(this.random.next() * GATEWAYS)]!;
-    const isTarget = gateway.useOf(NEW) !== 'closed' && this.prefersTarget(gateway);
-    const backend = isTarget ? NEW : OLD;
+    const isTarget = gateway.useOf(NEW_BACKEND) !== 'closed' && this.prefersTarget(gateway);
+    const backend = isTarget ? NEW_BACKEND : OLD_BACKEND;
     const route = ROUTES[Math.floor(this.random.next() * ROUTES.length)]!;
     const nowMs = this.clock.now();
     gateway.noteSent(backend);
-    this.atOld += isTarget ? 0 : 1;
-    if (this.part <= 1) {
+    this.oldInFlight += isTarget ? 0 : 1;
+    if (this.elapsedFraction <= 1) {
       this.sent += 1;
-      this.exposed += isTarget ? 1 : 0;
+      this.targetSent += isTarget ? 1 : 0;
     }
-    if (isTarget && nowMs > this.fiftiethAtMs + ROLLBACK_MS) {
-      this.sentLongAfterFifty += 1;
+    if (isTarget && nowMs > this.fiftiethBadAtMs + ROLLBACK_LIMIT_MS) {
+      this.sentAfterRollbackLimit += 1;
     }
-    const badShare = isTarget ? this.behaviour.badShare(this.part, route) : USUAL_BAD_SHARE;
+    const badShare = isTarget
+      ? this.behaviour.badShare(this.elapsedFraction, route)
+      : BASELINE_BAD_SHARE;
     const isBad = this.random.next() < badShare;
-    const workMs = WORK_MIN_MS + (WORK_MAX_MS - WORK_MIN_MS) * this.random.next() ** 2;
+    const durationMs = MIN_REQUEST_MS + (MAX_REQUEST_MS - MIN_REQUEST_MS) * this.random.next() ** 2;
     this.clock.setTimeout(() => {
-      this.atOld -= isTarget ? 0 : 1;
+      this.oldInFlight -= isTarget ? 0 : 1;
       if (isTarget && isBad) {
         this.badAnswers += 1;
-        this.fiftiethAtMs = this.badAnswers === 50 ? this.clock.now() : this.fiftiethAtMs;
+        this.fiftiethBadAtMs = this.badAnswers === 50 ? this.clock.now() : this.fiftiethBadAtMs;
       }
       gateway.noteEnded(backend, route, isBad);
-    }, workMs);
+    }, durationMs);
   }
 
   private prefersTarget(gateway: Rollouts): boolean {
-    return gateway.useOf(NEW) === 'limited' || gateway.useOf(OLD) === 'closed';
+    return gateway.useOf(NEW_BACKEND) === 'limited' || gateway.useOf(OLD_BACKEND) === 'closed';
   }
 }
--- a/test/zone-evacuation.test.ts
+++ b/test/zone-evacuation.test.ts
@@ -10,8 +10,8 @@
 import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
 import { at } from './support/positions.js';
 
-const UNSAFE = routeOf({ kind: 'unsafe', targetLatencyMs: 1_000 });
-const STREAM = routeOf({ kind: 'stream', isResumable: true });
+const UNSAFE_ROUTE = routeOf({ kind: 'unsafe', targetLatencyMs: 1_000 });
+const STREAM_ROUTE = routeOf({ kind: 'stream', isResumable: true });
 
 function usedBackends(world: GatewayWorld): string[] {
   return world.attempts.map(({ backend }) => backend.id);
@@ -28,7 +28,7 @@
   };
 }
 
-/** A gateway before one engine in each of two zones; both are full, and their agents are connected. */
+/** A gateway with one full engine in each of two zones, whose agents are connected. */
 function worldOfFullEngines(): GatewayWorld {
   const world = new GatewayWorld(backendOf('a', { zone: 'za' }), backendOf('b', { zone: 'zb' }));
   world.engines = true;
@@ -46,7 +46,7 @@
   return demands.at(-1);
 }
 
-test('a further try does not go to a zone that was evacuated meanwhile', (t) => {
+test('a retry does not go to a zone that was evacuated in the meantime', (t) => {
   const world = new GatewayWorld(
     backendOf('a', { zone: 'za' }),
     backendOf('b', { zone: 'zb' }),
@@ -60,9 +60,9 @@
   t.deepEqual(usedBackends(world), [first, next[1]]);
 });
 
-test('a stream that breaks is not resumed in a zone that was evacuated meanwhile', (t) => {
+test('an interrupted stream is not resumed in a zone that was evacuated in the meantime', (t) => {
   const world = new GatewayWorld(backendOf('a', { zone: 'za' }), backendOf('b', { zone: 'zb' }));
-  const { reply } = world.request({ route: STREAM });
+  const { reply } = world.request({ route: STREAM_ROUTE });
   const [first] = usedBackends(world);
   world.order(first === 'a' ? 'zb' : 'za', true);
   const { handlers } = world.attempts[0]!;
@@ -74,7 +74,7 @@
   t.true(reply.isAborted);
 });
 
-test('what runs in an evacuated zone goes on to its end', (t) => {
+test('a request in flight in an evacuated zone runs to completion', (t) => {
   const world = new GatewayWorld(backendOf('a', { zone: 'za' }));
   const { reply } = world.request();
   world.order('za', true);
@@ -83,10 +83,10 @@
   t.is(reply.body, 'whole');
 });
 
-test('a request that waits for a connection to an evacuated zone goes elsewhere, unsent', (t) => {
+test('an unsent request that waits for a connection to an evacuated zone is sent elsewhere', (t) => {
   const world = new GatewayWorld(backendOf('a', { zone: 'za', slots: 1 }));
   world.connecting.add('a');
-  const { request } = world.request({ route: UNSAFE });
+  const { request } = world.request({ route: UNSAFE_ROUTE });
   world.dispatcher.updateBackend('b', backendOf('b', { zone: 'zb' }), 0);
   t.false(request.withdrawUnsent());
   world.order('za', true);
@@ -95,19 +95,26 @@
   t.deepEqual(usedBackends(world), ['a', 'b']);
 });
 
-test('an order leaves alone what waits for a connection within the share of a roll-out that is used up', (t) => {
+test('an order does not withdraw a connecting request whose version’s roll-out share is used up', (t) => {
   const world = new GatewayWorld(backendOf('a', { zone: 'za' }));
   world.connecting.add('a');
-  const { request } = world.request({ route: UNSAFE });
+  const { request } = world.request({ route: UNSAFE_ROUTE });
   world.versionUses.set('v1', 'closed');
   world.order('zb', true);
   t.false(request.withdrawUnsent());
   t.false(world.attempts[0]!.isCancelled);
 });
 
-test('news that came together: evacuations first, back ends last', (t) => {
-  const news = ['backend', 'rollout-order', 'evacuation', 'configuration', 'backend', 'evacuation'];
-  const numbered = news.map((kind, index) => ({
+test('changes received together are applied with evacuations first and back ends last', (t) => {
+  const kinds = [
+    'backend',
+    'rollout-order',
+    'evacuation',
+    'configuration',
+    'backend',
+    'evacuation',
+  ];
+  const numbered = kinds.map((kind, index) => ({
     index,
     decoded: { kind } as DecodedNews['decoded'],
   }));
@@ -117,17 +124,17 @@
   );
 });
 
-test('a request that was sent to an evacuated zone is not sent a second time', (t) => {
+test('a request already sent to a zone that is then evacuated is not sent a second time', (t) => {
   const world = new GatewayWorld(backendOf('a', { zone: 'za' }), backendOf('b', { zone: 'zb' }));
-  const { request } = world.request({ route: UNSAFE });
+  const { request } = world.request({ route: UNSAFE_ROUTE });
   world.order(world.attempts[0]!.backend.zone, true);
   t.false(request.withdrawUnsent());
   t.is(world.attempts.length, 1);
 });
 
-test('a grant of an engine in an evacuated zone is given back', (t) => {
+test('a grant of an engine in an evacuated zone is returned', (t) => {
   const world = worldOfFullEngines();
-  world.request({ route: UNSAFE });
+  world.request({ route: UNSAFE_ROUTE });
   world.order('za', true);
   world.dispatcher.receiveFromAgent('a', { kind: 'granted' }, 0);
   t.deepEqual(world.toAgents.at(-1), ['a', { kind: 'grant-returned' }]);
@@ -136,41 +143,41 @@
   t.deepEqual(usedBackends(world), ['b']);
 });
 
-test('agents of an evacuated zone are told that nothing waits for them, and all again afterwards', (t) => {
+test('agents of an evacuated zone get empty demand, and the full demand again afterwards', (t) => {
   const world = worldOfFullEngines();
-  world.request({ route: UNSAFE });
+  world.request({ route: UNSAFE_ROUTE });
   t.is(lastDemand(world, 'a')?.ranks.length, 1);
   world.order('za', true);
   t.deepEqual(lastDemand(world, 'a')?.ranks, []);
   t.is(lastDemand(world, 'b')?.ranks.length, 1);
-  world.request({ route: UNSAFE });
+  world.request({ route: UNSAFE_ROUTE });
   t.deepEqual(lastDemand(world, 'a')?.ranks, []);
   world.order('za', false);
   t.is(lastDemand(world, 'a')?.ranks.length, 2);
 });
 
-test('an agent is told of no request that may not be served in its region', (t) => {
+test('demand to an agent excludes requests that may not be served in its region', (t) => {
   const world = worldOfFullEngines();
   world.regions.set('za', 'east').set('zb', 'west');
-  world.request({ route: UNSAFE, allowedRegions: new Set(['east']) });
+  world.request({ route: UNSAFE_ROUTE, allowedRegions: new Set(['east']) });
   t.is(lastDemand(world, 'a')?.ranks.length, 1);
   t.is(lastDemand(world, 'b'), undefined);
 });
 
-test('what waits is served at once by a zone that is taken back', (t) => {
+test('a waiting request is sent at once to a zone whose evacuation ends', (t) => {
   const world = new GatewayWorld(
     backendOf('a', { zone: 'za' }),
     backendOf('b', { zone: 'zb', slots: 1 }),
   );
   world.order('za', true);
-  world.request({ route: UNSAFE });
-  world.request({ route: UNSAFE });
+  world.request({ route: UNSAFE_ROUTE });
+  world.request({ route: UNSAFE_ROUTE });
   t.deepEqual(usedBackends(world), ['b']);
   world.order('za', false);
   t.deepEqual(usedBackends(world), ['b', 'a']);
 });
 
-test('a back end that left the list lately is not used in an evacuated zone', (t) => {
+test('a recently removed back end in an evacuated zone is not used', (t) => {
   const world = new GatewayWorld(backendOf('a', { zone: 'za' }));
   world.order('za', true);
   world.dispatcher.updateBackend('a', undefined, 0);
@@ -178,7 +185,7 @@
   t.is(world.attempts.length, 0);
 });
 
-test('a gateway in an evacuated zone works with engines of others in place of its own', (t) => {
+test('a gateway in an evacuated zone uses engines of other zones instead of its own', (t) => {
   const world = new GatewayWorld();
   world.engines = true;
   for (const zone of ['z', 'zb', 'zc']) {
@@ -187,31 +194,31 @@
       world.dispatcher.updateBackend(id, backendOf(id, { zone }), 0);
     }
   }
-  const zonesWorkedWith = () =>
+  const subsetZones = () =>
     world.directory.list().flatMap(({ isAssigned, backend }) => (isAssigned ? backend.zone : []));
-  const before = zonesWorkedWith();
+  const before = subsetZones();
   t.true(before.filter((zone) => zone === 'z').length >= 16);
   world.order('z', true);
-  t.false(zonesWorkedWith().includes('z'));
-  t.true(zonesWorkedWith().length >= 16);
+  t.false(subsetZones().includes('z'));
+  t.true(subsetZones().length >= 16);
   world.order('z', false);
-  t.deepEqual(zonesWorkedWith(), before);
+  t.deepEqual(subsetZones(), before);
 });
 
-test('engines of a zone that is taken back get nothing until their agents are connected', async (t) => {
+test('engines of a zone whose evacuation ends get nothing until their agents connect', async (t) => {
   const world = new GatewayWorld(backendOf('a', { zone: 'za' }));
   world.engines = true;
   await world.clock.runUntil(1_000);
   world.order('za', true);
   world.order('za', false);
-  world.request({ route: UNSAFE });
+  world.request({ route: UNSAFE_ROUTE });
   t.is(world.attempts.length, 0);
   world.dispatcher.connectAgent('a', 1_005);
   world.dispatcher.tick(1_005);
   t.deepEqual(usedBackends(world), ['a']);
 });
 
-test('only back ends that are permitted count in what is expected', (t) => {
+test('expected answer times count only permitted back ends', (t) => {
   const world = new GatewayWorld(backendOf('a', { zone: 'za' }), backendOf('b', { zone: 'zb' }));
   world.dispatcher.learnSpeed('a', 1, 10);
   world.dispatcher.learnSpeed('b', 1, 50);
@@ -223,39 +230,39 @@
   t.is(world.directory.countSlots('s'), 2);
 });
 
-test('a service whose zones are all evacuated refuses at once, as not run, and says when to come back', async (t) => {
+test('a request to a service whose zones are all evacuated gets 503 at once with retry-after-ms', async (t) => {
   const world = new GatewayWorld(backendOf('a', { zone: 'za' }), backendOf('b', { zone: 'zb' }));
   world.order('za', true);
   world.order('zb', true);
-  const { reply } = world.request({ route: UNSAFE });
+  const { reply } = world.request({ route: UNSAFE_ROUTE });
   t.is(reply.status, 503);
   t.is(world.ends[0]?.reason, 'zone-evacuated');
   t.is(reply.headers[0], 'retry-after-ms');
   t.true(Number(reply.headers[1]) > 300);
   t.deepEqual(world.kept, ['zone-evacuated']);
   world.order('zb', false);
-  world.request({ route: UNSAFE });
+  world.request({ route: UNSAFE_ROUTE });
   t.deepEqual(usedBackends(world), ['b']);
   await world.clock.runUntil(100);
 });
 
-test('a request that waits when the last zone is evacuated is refused at its next look', async (t) => {
+test('a request that is waiting when the last zone is evacuated is refused at its next check', async (t) => {
   const world = new GatewayWorld(backendOf('a', { zone: 'za', slots: 1 }));
-  world.request({ route: UNSAFE });
-  const { reply } = world.request({ route: UNSAFE });
+  world.request({ route: UNSAFE_ROUTE });
+  const { reply } = world.request({ route: UNSAFE_ROUTE });
   world.order('za', true);
   await world.clock.runUntil(101);
   t.is(reply.status, 503);
   t.is(world.ends[0]?.reason, 'zone-evacuated');
 });
 
-test('without any back end a service is not called evacuated', (t) => {
+test('a service without back ends does not count as evacuated', (t) => {
   const world = new GatewayWorld();
   world.order('za', true);
   t.false(world.directory.isEvacuated('s', undefined));
 });
 
-test('evacuations outside the regions that a request allows are not its reason', (t) => {
+test('evacuations outside the allowed regions of a request do not make its service evacuated', (t) => {
   const world = new GatewayWorld(backendOf('a', { zone: 'za' }), backendOf('b', { zone: 'zb' }));
   world.regions.set('za', 'east').set('zb', 'west');
   world.order('zb', true);
@@ -264,7 +271,7 @@
   t.false(world.directory.isEvacuated('s', new Set(['north'])));
 });
 
-test('slots that an order takes away are missed before the queue shows it, and come back with them', (t) => {
+test('the slot-supply estimate is scaled when an order removes slots and when they return', (t) => {
   const supply = new SlotSupply();
   supply.noteWaiting(true, 0);
   for (let atMs = 10; atMs <= 1_000; atMs += 10) {
@@ -278,13 +285,13 @@
   t.true(Math.abs(supply.slotsPerMs(1_000)! - before) < before * 0.01);
 });
 
-test('a dispatcher expects longer waits as soon as a zone is evacuated', async (t) => {
+test('the wait forecast increases as soon as a zone is evacuated', async (t) => {
   const world = new GatewayWorld(
     backendOf('a', { zone: 'za', slots: 3 }),
     backendOf('b', { zone: 'zb', slots: 1 }),
   );
   for (let index = 0; index < 8; index += 1) {
-    world.request({ route: UNSAFE });
+    world.request({ route: UNSAFE_ROUTE });
   }
   await world.clock.runUntil(60);
   world.answer(0, 200, '');
@@ -296,7 +303,7 @@
   t.true(waitMs() > before * 1.5, `${waitMs()} after ${before}`);
 });
 
-test('whatever orders come in whatever order, no request is sent to a zone that is evacuated then', (t) => {
+test('no request is sent to an evacuated zone under random orders, grants and failures', (t) => {
   const zones = ['za', 'zb', 'zc'];
   const step = fc.oneof(
     fc.record({
@@ -309,14 +316,14 @@
     fc.record({ kind: fc.constant('grant' as const), zone: fc.constantFrom(...zones) }),
     fc.record({ kind: fc.constant('leave' as const), zone: fc.constantFrom(...zones) }),
   );
-  const holds = fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
+  const property = fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
     const world = new GatewayWorld(...zones.map((zone) => backendOf(zone, { zone })));
     world.engines = true;
     world.dispatcher.connectAgent('za', 0);
-    let isKept = true;
+    let isHonored = true;
     const send = world.send.bind(world);
     world.send = (attempt, handlers) => {
-      isKept &&= !world.isEvacuated(attempt.backend.zone);
+      isHonored &&= !world.isEvacuated(attempt.backend.zone);
       return send(attempt, handlers);
     };
     const ended = new Set<number>();
@@ -324,7 +331,7 @@
       if (each.kind === 'order') {
         world.order(each.zone, each.isOrdered);
       } else if (each.kind === 'request') {
-        world.request({ route: each.isUnsafe ? UNSAFE : routeOf({ maxAttempts: 3 }) });
+        world.request({ route: each.isUnsafe ? UNSAFE_ROUTE : routeOf({ maxAttempts: 3 }) });
       } else if (each.kind === 'grant') {
         world.dispatcher.receiveFromAgent(each.zone, { kind: 'granted' }, 0);
       } else if (each.kind === 'leave') {
@@ -334,13 +341,13 @@
         world.answer(each.index, each.isBad ? 500 : 200, '');
       }
     }
-    return isKept;
+    return isHonored;
   });
-  fc.assert(holds, { numRuns: 200 });
+  fc.assert(property, { numRuns: 200 });
   t.pass();
 });
 
-test('a directory without orders permits every ready back end', (t) => {
+test('a directory without evacuations permits every ready back end', (t) => {
   const directory = new BackendDirectory(
     { name: 'g', zone: 'z' },
     {
@@ -354,7 +361,7 @@
   t.is(directory.permitted('s', undefined).length, 1);
 });
 
-/** A gateway's evacuations before the world's back ends, and the lines that they write. */
+/** Evacuations that act on the back ends of `world`, and the log lines that they write. */
 function evacuationsOf(world: GatewayWorld) {
   const lines: Array<Readonly<Record<string, unknown>>> = [];
   const evacuations = new GatewayEvacuations({
@@ -370,7 +377,7 @@
   return { evacuations, lines };
 }
 
-test('each order is told once: when it is acted on, when nothing runs there any more, and its end', async (t) => {
+test('each order is logged once when applied, when the zone has drained, and when it ends', async (t) => {
   const world = new GatewayWorld(backendOf('a', { zone: 'za' }));
   const { evacuations, lines } = evacuationsOf(world);
   world.request();
@@ -409,7 +416,7 @@
   t.is(world.attempts.length, 2);
 });
 
-test('an order that is taken back and given anew at once stands', (t) => {
+test('an order renewed after a removal stays in force if the removal arrives last', (t) => {
   const world = new GatewayWorld(backendOf('a', { zone: 'za' }));
   const { evacuations } = evacuationsOf(world);
   evacuations.take({ zone: 'za', isOrdered: true, ...at(5) });
@@ -419,7 +426,7 @@
   t.is(world.attempts.length, 0);
 });
 
-test('an order for a zone that nobody knows says so once and changes nothing', (t) => {
+test('an order for an unknown zone is logged once as such and has no effect', (t) => {
   const world = new GatewayWorld(backendOf('a', { zone: 'za' }));
   const { evacuations, lines } = evacuationsOf(world);
   evacuations.take({ zone: 'nowhere', isOrdered: true, ...at(5) });
@@ -436,7 +443,7 @@
   t.is(world.attempts.length, 1);
 });
 
-test('an order that a listing names before the back ends of its zone is not taken for one of an unknown zone', (t) => {
+test('a zone counts as known if its order is listed before its back ends', (t) => {
   const world = new GatewayWorld();
   const { evacuations, lines } = evacuationsOf(world);
   evacuations.take({ zone: 'zb', isOrdered: true, ...at(5) });
