--- a/src/slot-agent/engine-coldness.ts
+++ b/src/slot-agent/engine-coldness.ts
@@ -1,4 +1,7 @@
-/** Whether the engine beside an agent is, or may be, cold, and the bound of its service. */
+/**
+ * Tracks whether an agent's engine is, or may be, cold (recently started, so that it can handle
+ * only a limited rate of new requests), and the start rate limits of its service.
+ */
 import { ColdPeriod, coldStartBound } from '../routing/cold-start.js';
 import type { ColdStartBound, ColdStartLimits, Coldness } from '../routing/cold-start.js';
 import { isSamePosition } from '../cluster/store-position.js';
@@ -8,94 +11,105 @@
 import type { ColdStartHello } from './slot-messages.js';
 import type { StartRules } from './start-limiter.js';
 
-/** What the agent's own replica says of the engine. */
+/** Records about the engine in the agent's own replica of the store. */
 export interface EngineRecords {
   readonly service: Service | undefined;
   readonly backend: Backend | undefined;
-  /** When this process learned that the engine's zone is in use again; undefined if it never was not. */
+  /**
+   * When this process learned that the evacuation of the engine's zone ended; undefined if it never
+   * was evacuated.
+   */
   readonly zoneReturnedAtMs: number | undefined;
 }
 
-/** What an agent believes of its engine's starts. */
+/** Cold-start state of one engine as its agent estimates it. */
 export class EngineColdness {
-  private readonly period = new ColdPeriod();
+  private readonly coldPeriod = new ColdPeriod();
   private announcement: Backend | undefined;
-  private isGone = false;
-  /** What a gateway said of the service; used while the agent's own replica does not know it. */
-  private heardBound: ColdStartBound | undefined;
+  private isUnreachable = false;
+  /** Bound from a gateway's hello; used while the agent's own replica does not hold the service. */
+  private gatewayBound: ColdStartBound | undefined;
 
   constructor(
     private readonly records: () => EngineRecords,
     private readonly limits: ColdStartLimits,
     startedAtMs: number,
   ) {
-    this.period.suspect('not-known', startedAtMs);
+    this.coldPeriod.suspect('not-known', startedAtMs);
   }
 
-  /** The replica has news. */
-  noteRecords(nowMs: number): void {
+  /** Applies the engine's current announcement in the replica if it changed. */
+  updateFromRecords(nowMs: number): void {
     const { backend } = this.records();
-    if (backend === undefined || this.isAnnounced(backend)) {
+    if (backend === undefined || this.isLatestAnnouncement(backend)) {
       return;
     }
     const earlier = this.announcement;
     this.announcement = backend;
     if (earlier === undefined) {
-      this.period.noteFirstAnnounced(backend.remainingColdMs, nowMs);
+      this.coldPeriod.noteFirstAnnounced(backend.remainingColdMs, nowMs);
       return;
     }
     if (backend.id !== earlier.id) {
-      this.period.noteIncarnation(nowMs);
+      this.coldPeriod.noteIncarnation(nowMs);
     }
-    this.period.noteAnnounced(backend.remainingColdMs, nowMs);
+    this.coldPeriod.noteAnnounced(backend.remainingColdMs, nowMs);
   }
 
-  private isAnnounced(backend: Backend): boolean {
+  private isLatestAnnouncement(backend: Backend): boolean {
     return this.announcement !== undefined && isSamePosition(backend, this.announcement);
   }
 
-  /** Looks at the engine found it gone, or there: one that was gone may have been started anew. */
-  noteGone(isGone: boolean, nowMs: number): void {
-    if (this.isGone && !isGone) {
-      this.period.suspect('was-gone', nowMs);
+  /**
+   * Records whether probes reach the engine; one that becomes reachable again may have been
+   * restarted.
+   */
+  setUnreachable(isUnreachable: boolean, nowMs: number): void {
+    if (this.isUnreachable && !isUnreachable) {
+      this.coldPeriod.suspect('was-gone', nowMs);
     }
-    this.isGone = isGone;
+    this.isUnreachable = isUnreachable;
   }
 
-  /** A gateway takes the engine for cold. */
+  /**
+   * Extends the cold period to what a gateway reports; undefined if the gateway considers the
+   * engine warm.
+   */
   noteTold(coldMs: number | undefined, nowMs: number): void {
     if (coldMs !== undefined) {
-      this.period.tell(coldMs, nowMs);
+      this.coldPeriod.tell(coldMs, nowMs);
     }
   }
 
-  /** A gateway said what the service bears. */
+  /** Stores the cold-start settings of the service from a gateway's hello. */
   noteService(hello: ColdStartHello | undefined): void {
     if (hello !== undefined) {
-      this.heardBound = coldStartBound({ ...hello, isEngine: true }, this.limits);
+      this.gatewayBound = coldStartBound({ ...hello, isEngine: true }, this.limits);
     }
   }
 
-  /** The bound of the service; undefined where it has none, or nobody said so yet. */
+  /** Start rate bound of the service; undefined if it has none or none is known yet. */
   get bound(): ColdStartBound | undefined {
     const { service } = this.records();
-    return service === undefined ? this.heardBound : coldStartBound(service, this.limits);
+    return service === undefined ? this.gatewayBound : coldStartBound(service, this.limits);
   }
 
-  /** How the engine may be given requests now; undefined where any number will do. */
+  /** Limits on starting requests at the engine now; undefined if the rate is unlimited. */
   rules(nowMs: number): StartRules | undefined {
     const { bound } = this;
-    return bound && { bound, isCold: this.coldness(nowMs) !== undefined };
+    return bound && { bound, isCold: this.coldState(nowMs) !== undefined };
   }
 
-  /** Why the engine is taken for cold; undefined while it is not. */
-  coldness(nowMs: number): Coldness | undefined {
+  /** Why and until when the engine is considered cold; undefined while it is warm. */
+  coldState(nowMs: number): Coldness | undefined {
     const { bound } = this;
-    return bound && this.period.coldness(bound.coldStartMs, this.records().zoneReturnedAtMs, nowMs);
+    return (
+      bound && this.coldPeriod.coldness(bound.coldStartMs, this.records().zoneReturnedAtMs, nowMs)
+    );
   }
 
-  /** Position in the store of the announcement that the engine is known by; undefined while none is. */
-  get position(): StorePosition | undefined {
+  /** Store position of the engine's current announcement; undefined while there is none. */
+  get announcementPosition(): StorePosition | undefined {
     return this.announcement;
   }
 }
--- a/src/slot-agent/engine-knowledge.ts
+++ b/src/slot-agent/engine-knowledge.ts
@@ -1,6 +1,7 @@
 /**
- * What an agent's own replica of the store says of the engine beside it: its announcement, its service,
- * the operators' orders for its zone. By it the agent checks for itself what gateways may send there.
+ * An agent's view of its engine from its own replica of the store: the engine's announcement, its
+ * service and the evacuation orders for its zone. The agent uses it to check independently which
+ * requests gateways may send to the engine.
  */
 import { isLater, NO_POSITION } from '../cluster/store-position.js';
 import { BackendLives } from '../routing/backend-lives.js';
@@ -16,41 +17,45 @@
 import type { AgentHomes } from './slot-messages.js';
 import { ZoneEvacuations } from '../routing/zone-evacuations.js';
 
-/** Where the engine is. */
-export interface EnginePlace {
+/** Network address and zone of an engine. */
+export interface EngineLocation {
   /** IPv4 address and port of the engine. */
   readonly address: string;
   readonly zone: string;
 }
 
-/** What an agent knows of its engine. */
+/** Replicated state that concerns one engine. */
 export class EngineKnowledge {
   readonly evacuations = new ZoneEvacuations();
-  private readonly lives = new BackendLives();
-  private readonly announced = new Map<string, Backend>();
+  private readonly incarnations = new BackendLives();
+  private readonly announcedBackends = new Map<string, Backend>();
   private configuration: RoutingConfiguration | undefined;
   private homes: NamedHomes | undefined;
 
   constructor(
-    private readonly place: EnginePlace,
+    private readonly location: EngineLocation,
     private readonly places: Places,
   ) {}
 
-  /** Takes in a record. */
+  /** Applies a decoded record of the store. */
   take(decoded: DecodedRecord, nowMs: number): void {
     if (decoded.kind === 'evacuation') {
       this.evacuations.take(decoded.change, nowMs);
     } else if (decoded.kind === 'backend') {
-      for (const { id, backend } of this.lives.take(decoded.name, decoded.announcement).changes) {
-        this.takeBackend(id, backend);
+      for (const { id, backend } of this.incarnations.take(decoded.name, decoded.announcement)
+        .changes) {
+        this.applyBackend(id, backend);
       }
     } else if (decoded.kind === 'configuration') {
-      this.takeConfiguration(decoded.configuration);
+      this.applyConfiguration(decoded.configuration);
     }
   }
 
-  /** As gateways do it: a newer one counts, unless it names an unknown home and another is in force. */
-  private takeConfiguration(configuration: RoutingConfiguration): void {
+  /**
+   * Installs a newer configuration. Like gateways, rejects one that names an unknown home region
+   * while another is in force.
+   */
+  private applyConfiguration(configuration: RoutingConfiguration): void {
     const { configuration: inForce } = this;
     const isNewer = inForce === undefined || configuration.version > inForce.version;
     const isRefused = inForce !== undefined && findUnknownHome(configuration, this.places);
@@ -60,10 +65,10 @@
     }
   }
 
-  /** The newest announcement at the engine's address; undefined while none is known. */
+  /** Latest announcement for the engine's address; undefined while there is none. */
   get backend(): Backend | undefined {
     let newest: Backend | undefined;
-    for (const backend of this.announced.values()) {
+    for (const backend of this.announcedBackends.values()) {
       if (newest === undefined || isLater(backend, newest)) {
         newest = backend;
       }
@@ -71,53 +76,58 @@
     return newest;
   }
 
-  /** The engine's service; undefined while it is not known. */
+  /** Service that the engine belongs to; undefined while it is unknown. */
   get service(): Service | undefined {
     const name = this.backend?.service;
     return this.configuration?.services.find((service) => service.name === name);
   }
 
   /**
-   * Why a request must not be sent to the engine; undefined where it may, or where nothing is known.
+   * Returns why a request must not be sent to the engine; undefined if it may, or if no restriction
+   * is known.
    *
-   * @param allowedRegions - as the gateway states them
-   * @param homeOwner - whose regions the agent's own configuration is asked for beside these
+   * @param allowedRegions - regions that the gateway states for the request
+   * @param homeOwner - route and tenant whose regions in the agent's own configuration apply in
+   * addition
    */
   restriction(
     allowedRegions: AllowedRegions,
     homeOwner?: HomeOwner,
   ): RestrictionReason | undefined {
-    const { address, zone } = this.place;
-    const known = homeOwner === undefined ? undefined : this.homes?.allowed(homeOwner);
-    const backend = this.backend ?? unannounced(address, zone);
-    return restrictionOf({ ...backend, zone }, narrow(allowedRegions, known), {
-      isEvacuated: (asked) => this.evacuations.isEvacuated(asked),
-      regionOf: (asked) => this.places.regionOf(asked),
-      // Only gateways know the shares of a roll-out.
+    const { address, zone } = this.location;
+    const configuredRegions = homeOwner === undefined ? undefined : this.homes?.allowed(homeOwner);
+    const backend = this.backend ?? placeholderBackend(address, zone);
+    return restrictionOf({ ...backend, zone }, narrow(allowedRegions, configuredRegions), {
+      isEvacuated: (zoneName) => this.evacuations.isEvacuated(zoneName),
+      regionOf: (zoneName) => this.places.regionOf(zoneName),
+      // Version weights of a roll-out are enforced by gateways only.
       versionUse: () => 'open',
     });
   }
 
-  /** What gateways are told of homes; undefined while the configuration names none. */
-  get homesToTell(): AgentHomes | undefined {
+  /**
+   * Region information sent to gateways; undefined while the configuration restricts no request to
+   * regions.
+   */
+  get regionInfo(): AgentHomes | undefined {
     const { configuration, homes } = this;
     if (configuration === undefined || !homes?.hasAny) {
       return undefined;
     }
-    const region = this.places.regionOf(this.place.zone);
+    const region = this.places.regionOf(this.location.zone);
     return { region, configuration: configuration.version };
   }
 
-  private takeBackend(id: string, backend: Backend | undefined): void {
-    if (backend?.address === this.place.address) {
-      this.announced.set(id, backend);
+  private applyBackend(id: string, backend: Backend | undefined): void {
+    if (backend?.address === this.location.address) {
+      this.announcedBackends.set(id, backend);
     } else {
-      this.announced.delete(id);
+      this.announcedBackends.delete(id);
     }
   }
 }
 
-function unannounced(address: string, zone: string): Backend {
+function placeholderBackend(address: string, zone: string): Backend {
   return {
     id: '',
     name: '',
--- a/src/slot-agent/engine-look.ts
+++ b/src/slot-agent/engine-look.ts
@@ -1,40 +1,44 @@
-/** Looks at an engine by its own report over HTTP. */
+/** Probes an engine by requesting its status report over HTTP. */
 import { Agent } from 'node:http';
 import { callJson } from '../cluster/json-call.js';
 import type { JsonCall } from '../cluster/json-call.js';
 import type { EngineReading } from './engine-watch.js';
 import type { EngineReport } from './slot-agent-role.js';
 
-/** Longest time for a look, in milliseconds: an engine on the same machine answers within a few. */
-const REPORT_TIMEOUT_MS = 200;
+/** Timeout of a probe, in milliseconds; an engine on the same machine responds within a few. */
+const PROBE_TIMEOUT_MS = 200;
 
-/** Looks by `call`; `read` takes what the engine answers, undefined where that is nothing. */
+/**
+ * Creates a probe that issues `call` and decodes the response body with `read`; the body is
+ * undefined if the response has none.
+ */
 export function createEngineLook(
   call: JsonCall,
   read: (body: unknown) => EngineReading,
 ): EngineReport {
-  const kept = new Agent({ keepAlive: true });
+  const keepAliveAgent = new Agent({ keepAlive: true });
   return async () => {
-    const answer = await callJson(call, REPORT_TIMEOUT_MS, kept);
-    if (answer.ok) {
-      return read(answer.val.body);
+    const response = await callJson(call, PROBE_TIMEOUT_MS, keepAliveAgent);
+    if (response.ok) {
+      return read(response.val.body);
     }
-    const { reason } = answer.val;
+    const { reason } = response.val;
     if (reason === 'closed' || reason === 'silent') {
       return { kind: reason };
     }
-    // The connection that was kept may have been the old process's: a new one tells whether there is another.
-    return lookAnew(call, read);
+    // The kept-alive connection may lead to an exited process; a new one shows whether another
+    // listens.
+    return probeOnNewConnection(call, read);
   };
 }
 
-async function lookAnew(
+async function probeOnNewConnection(
   call: JsonCall,
   read: (body: unknown) => EngineReading,
 ): Promise<EngineReading> {
-  const answer = await callJson(call, REPORT_TIMEOUT_MS, new Agent());
-  if (answer.ok) {
-    return read(answer.val.body);
+  const response = await callJson(call, PROBE_TIMEOUT_MS, new Agent());
+  if (response.ok) {
+    return read(response.val.body);
   }
-  return { kind: answer.val.reason === 'closed' ? 'closed' : 'silent' };
+  return { kind: response.val.reason === 'closed' ? 'closed' : 'silent' };
 }
--- a/src/slot-agent/engine-watch.ts
+++ b/src/slot-agent/engine-watch.ts
@@ -1,90 +1,98 @@
 /**
- * Decides, from the engine's own reports and from requests that failed, whether the engine beside an
- * agent can be given requests, without I/O.
+ * Health state machine of an agent's engine: decides from probe results and failed requests whether
+ * the engine may be sent requests, without I/O.
  *
- * When an engine crashes or breaks off whatever it is given, its requests fail at once and free their
- * slots at once, so that an engine that answers nobody would be handed more requests than any other. A
- * failed request therefore stops the grants until a look has shown that the engine is there; several
- * in a row let it rest, whatever its report says, and then one request tries it.
+ * The requests of an engine that crashes or aborts every request fail and free their slots
+ * immediately, so such an engine would attract more requests than any healthy one. A failed request
+ * therefore suspends grants until a probe succeeds. Several consecutive failures eject the engine
+ * for a back-off period, whatever its status report says; after that a single trial request
+ * decides, as in a half-open circuit breaker.
  */
 
-/** What a look at the engine brought. */
+/** Result of one probe of an engine. */
 export type EngineReading =
-  /** Requests that run or wait there, and the engine's start by its own clock, where it tells. */
+  /** Requests that run or wait in the engine, and its start time on its own clock, if reported. */
   | { readonly kind: 'load'; readonly requests: number; readonly bornAtMs?: number | undefined }
-  /** Nothing listens at its address. */
+  /** Connection refused: nothing listens at its address. */
   | { readonly kind: 'closed' }
-  /** No answer in time, or a broken one. */
+  /** Timeout, or an invalid response. */
   | { readonly kind: 'silent' };
 
-/** Whether gateways may use an engine. */
+/** Whether gateways may send requests to an engine. */
 export type EngineAvailability =
   | 'open'
-  /** One request at a time, to see whether it answers. */
+  /** One request at a time, to test whether it responds. */
   | 'trial'
-  /** Nothing is to be sent there. */
+  /** No requests. */
   | 'closed';
 
-/** Why an engine is closed: it ended, answers nobody, or rests after failures in a row. */
+/**
+ * Why an engine is closed: its process exited, it is unresponsive, or it is ejected after
+ * consecutive failures.
+ */
 export type ClosedCause = 'port-closed' | 'silent' | 'failing';
 
-/** What is believed of an engine. */
+/** Internal health state. */
 type EngineState =
   | 'serving'
-  /** A request failed there since it was looked at last. */
+  /** A request failed since the last successful probe. */
   | 'suspect'
-  /** It failed several requests in a row. */
+  /** Ejected after consecutive failures, until the back-off ends. */
   | 'resting'
-  /** It has rested; one request is tried. */
+  /** The back-off ended; a single trial request decides. */
   | 'trial'
-  /** It crashed, or answers nobody. */
+  /** Exited or unresponsive. */
   | 'gone';
 
-/** Bounds of an engine's rests. */
-export interface EngineWatchOptions {
+/** Thresholds and back-off times of the health state machine. */
+export interface EngineHealthOptions {
   /**
-   * Failures in a row after which an engine rests. Default 8: one that fails 45 in 100 of its requests
-   * does so once in 595, one that fails all loses as many beside what ran there when it began to.
+   * Consecutive failures that eject an engine. Default 8: an engine that fails 45 in 100 of its
+   * requests reaches this once in 595 requests; one that fails all of them loses 8 in addition to
+   * those already running.
    */
   readonly failuresInRow: number;
   /**
-   * First and longest rest, in milliseconds; it doubles with each trial that fails. Defaults 300 and
-   * 1,000: a trial may cost a caller its answer, a rest costs the slots of an engine that is well again.
+   * Initial and maximum back-off, in milliseconds; it doubles with each failed trial. Defaults 300
+   * and 1,000: a trial may fail a caller's request, while back-off wastes the slots of an engine
+   * that has recovered.
    */
-  readonly restMinMs: number;
-  readonly restMaxMs: number;
+  readonly backoffMinMs: number;
+  readonly backoffMaxMs: number;
   /**
-   * Looks in a row without an answer after which an engine is taken to be gone. Default 2: one may be
-   * lost to a busy process, on either side.
+   * Consecutive probes without a response after which an engine is considered unresponsive. Default
+   * 2: a single one may time out because either process is busy.
    */
-  readonly silentLooks: number;
+  readonly maxUnansweredProbes: number;
 }
 
-/** Defaults of an engine's rests. */
-export const DEFAULT_ENGINE_WATCH_OPTIONS: EngineWatchOptions = {
+/** Default thresholds and back-off times. */
+export const DEFAULT_ENGINE_WATCH_OPTIONS: EngineHealthOptions = {
   failuresInRow: 8,
-  restMinMs: 300,
-  restMaxMs: 1_000,
-  silentLooks: 2,
+  backoffMinMs: 300,
+  backoffMaxMs: 1_000,
+  maxUnansweredProbes: 2,
 };
 
-/** What an agent believes of its engine. */
+/** Health of one engine. */
 export class EngineWatch {
   private state: EngineState = 'serving';
-  private silentLooks = 0;
-  /** Whether the last look found nothing listening at its address. */
+  private unansweredProbes = 0;
+  /** Whether the last probe found nothing listening at its address. */
   private isPortClosed = false;
-  /** Whether a gateway heard nothing of it since it was looked at last; grants go on meanwhile. */
-  private isDoubted = false;
-  private failuresInRow = 0;
-  private restUntilMs = 0;
-  private restMs: number;
-
-  constructor(private readonly options: EngineWatchOptions = DEFAULT_ENGINE_WATCH_OPTIONS) {
-    this.restMs = options.restMinMs;
+  /**
+   * Whether a gateway got no response since the last successful probe; grants continue meanwhile.
+   */
+  private isProbeRequested = false;
+  private consecutiveFailures = 0;
+  private backoffUntilMs = 0;
+  private backoffMs: number;
+
+  constructor(private readonly options: EngineHealthOptions = DEFAULT_ENGINE_WATCH_OPTIONS) {
+    this.backoffMs = options.backoffMinMs;
   }
 
-  /** Whether gateways may use it. */
+  /** Whether gateways may send it requests. */
   get availability(): EngineAvailability {
     if (this.state === 'trial') {
       return 'trial';
@@ -103,78 +111,84 @@
     return this.isPortClosed ? 'port-closed' : 'silent';
   }
 
-  /** Whether a look is owed before anything is granted. */
+  /** Whether grants wait for the next successful probe. */
   get isSuspect(): boolean {
     return this.state === 'suspect';
   }
 
-  /** Whether looks are needed to find out how it is. */
-  get needsLook(): boolean {
-    return this.state !== 'serving' || this.isDoubted;
+  /** Whether its state is uncertain until a further probe. */
+  get needsProbe(): boolean {
+    return this.state !== 'serving' || this.isProbeRequested;
   }
 
-  /** A request was answered there, or its answer began while the engine was on trial. */
-  noteAnswer(): void {
-    this.failuresInRow = 0;
+  /** Records that a request succeeded, or that the response to a trial request began. */
+  noteResponse(): void {
+    this.consecutiveFailures = 0;
     if (this.state === 'trial') {
-      this.serve();
+      this.markServing();
     }
   }
 
-  /** A gateway heard nothing of a request, which may be the doing of its path: the next look decides. */
-  noteDoubt(): void {
-    this.isDoubted = true;
+  /**
+   * Requests a probe after a gateway got no response, since the fault may be in that gateway's
+   * network path.
+   */
+  requestProbe(): void {
+    this.isProbeRequested = true;
   }
 
-  /** A request failed there. */
+  /** Records a failed request. */
   noteFailure(nowMs: number): void {
-    this.failuresInRow += 1;
-    if (this.state === 'trial' || this.isFailingAll) {
-      this.rest(nowMs);
+    this.consecutiveFailures += 1;
+    if (this.state === 'trial' || this.hasReachedFailureLimit) {
+      this.startBackoff(nowMs);
     } else if (this.state === 'serving') {
       this.state = 'suspect';
     }
   }
 
-  /** Takes in what a look brought. */
+  /** Applies the result of a probe. */
   noteReading(reading: EngineReading, nowMs: number): void {
     this.isPortClosed = reading.kind === 'closed';
     if (reading.kind !== 'load') {
-      this.noteUnanswered(reading.kind === 'closed');
+      this.noteFailedProbe(reading.kind === 'closed');
       return;
     }
-    this.silentLooks = 0;
-    this.isDoubted = false;
+    this.unansweredProbes = 0;
+    this.isProbeRequested = false;
     if (this.state === 'suspect' || this.state === 'gone') {
-      this.serve();
-    } else if (this.state === 'resting' && nowMs >= this.restUntilMs) {
+      this.markServing();
+    } else if (this.state === 'resting' && nowMs >= this.backoffUntilMs) {
       this.state = 'trial';
     }
   }
 
-  private get isFailingAll(): boolean {
+  private get hasReachedFailureLimit(): boolean {
     const isInUse = this.state === 'serving' || this.state === 'suspect';
-    return isInUse && this.failuresInRow >= this.options.failuresInRow;
+    return isInUse && this.consecutiveFailures >= this.options.failuresInRow;
   }
 
-  private noteUnanswered(isClosed: boolean): void {
-    this.silentLooks += 1;
-    if (isClosed || this.silentLooks >= this.options.silentLooks) {
+  private noteFailedProbe(isClosed: boolean): void {
+    this.unansweredProbes += 1;
+    if (isClosed || this.unansweredProbes >= this.options.maxUnansweredProbes) {
       this.state = 'gone';
     }
   }
 
-  private rest(nowMs: number): void {
+  private startBackoff(nowMs: number): void {
     this.state = 'resting';
-    this.restUntilMs = nowMs + this.restMs;
-    this.restMs = Math.min(this.restMs * 2, this.options.restMaxMs);
+    this.backoffUntilMs = nowMs + this.backoffMs;
+    this.backoffMs = Math.min(this.backoffMs * 2, this.options.backoffMaxMs);
   }
 
-  /** A crashed engine that is back is another process: what its predecessor failed says nothing of it. */
-  private serve(): void {
+  /**
+   * Returns to service. Resets failure count and back-off except after `suspect`: an engine that
+   * was gone is a new process, and failures of its predecessor do not predict its own.
+   */
+  private markServing(): void {
     if (this.state !== 'suspect') {
-      this.failuresInRow = 0;
-      this.restMs = this.options.restMinMs;
+      this.consecutiveFailures = 0;
+      this.backoffMs = this.options.backoffMinMs;
     }
     this.state = 'serving';
   }
--- a/src/slot-agent/failure-estimate.ts
+++ b/src/slot-agent/failure-estimate.ts
@@ -1,17 +1,23 @@
-/** Learns what share of the requests that a back end was given lately failed there. */
+/** Estimates the share of a back end's recent requests that failed. */
 import { DecayedSum } from '../decayed-sum.js';
 
-/** Memory of outcomes, in milliseconds: long enough for some of each engine, short enough to see a fault end. */
-const MEMORY_MS = 3_000;
-/** Answered requests that are assumed beside those that were seen, so that one failure says little. */
-const ASSUMED_ANSWERED = 4;
+/**
+ * Time constant of the decay, in milliseconds: long enough to hold several outcomes of each engine,
+ * short enough to follow the end of a fault.
+ */
+const DECAY_TIME_CONSTANT_MS = 3_000;
+/**
+ * Successes assumed in addition to the observed ones, so that a single failure changes the estimate
+ * little.
+ */
+const PRIOR_SUCCESSES = 4;
 
-/** Share of failures of one back end; it fades when nothing is given to it. */
+/** Failure share of one back end; decays while it gets no requests. */
 export class FailureEstimate {
-  private readonly failed = new DecayedSum(MEMORY_MS);
-  private readonly all = new DecayedSum(MEMORY_MS);
+  private readonly failed = new DecayedSum(DECAY_TIME_CONSTANT_MS);
+  private readonly all = new DecayedSum(DECAY_TIME_CONSTANT_MS);
 
-  /** A request ended there. */
+  /** Records the outcome of a request. */
   note(hasFailed: boolean, nowMs: number): void {
     this.all.add(1, nowMs);
     if (hasFailed) {
@@ -19,8 +25,8 @@
     }
   }
 
-  /** Share of failures, from 0 to 1. */
+  /** Estimated failure share, from 0 to 1. */
   share(nowMs: number): number {
-    return this.failed.at(nowMs) / (this.all.at(nowMs) + ASSUMED_ANSWERED);
+    return this.failed.at(nowMs) / (this.all.at(nowMs) + PRIOR_SUCCESSES);
   }
 }
--- a/src/slot-agent/gateway-account.ts
+++ b/src/slot-agent/gateway-account.ts
@@ -1,4 +1,6 @@
-/** What an agent keeps of one connected gateway: its slots, what waits there, and when it was heard. */
+/**
+ * State of one connected gateway: its slots, its waiting requests and the time of its last message.
+ */
 import type { StatedHomes, WaitingRank } from './slot-messages.js';
 import type { HomeOwner } from '../routing/named-homes.js';
 import type { AllowedRegions } from '../routing/backend-restriction.js';
@@ -6,143 +8,152 @@
 import { RoundTrip } from '../round-trip.js';
 import type { WaitingPlace } from './waiting-order.js';
 
-/** How long a gateway may be silent, in milliseconds. */
+/** Timeouts for messages from gateways, in milliseconds. */
 export interface GatewaySilenceOptions {
   /**
-   * Time after which a gateway that has not answered a grant gets no more. A gateway
-   * answers in its next turn of the loop, a few milliseconds later unless it is
-   * overloaded itself. The way there and back comes on top. Default 120.
+   * Time after which a gateway that has not answered a grant gets no further grants; the round trip
+   * is added. A gateway answers in its next event loop iteration, within a few milliseconds unless
+   * it is overloaded. Default 120.
    */
   readonly grantAnswerMs: number;
   /**
-   * Silence of a gateway that holds slots or has requests waiting; gateways speak
-   * at least each 200 ms then. Default 700.
+   * Keepalive timeout of a gateway that holds slots or has requests waiting; it then sends a
+   * message at least every 200 ms. Default 700.
    */
   readonly silenceMs: number;
 }
 
-/** Defaults of the silence of gateways. */
-export const DEFAULT_GATEWAY_SILENCE_OPTIONS: GatewaySilenceOptions = {
+/** Default timeouts for messages from gateways. */
+export const DEFAULT_GATEWAY_TIMEOUT_OPTIONS: GatewaySilenceOptions = {
   grantAnswerMs: 120,
   silenceMs: 700,
 };
 
-/** A request that waits in a gateway. */
+/** A request queued in a gateway. */
 export interface WaitingRequest extends WaitingPlace {
   readonly allowedRegions: AllowedRegions;
   readonly homeOwner?: HomeOwner | undefined;
 }
 
-/** Least change of a round trip that is told to the gateway, in milliseconds. */
-const ROUND_TRIP_NEWS_MS = 1;
+/** Smallest change of the round trip time that is reported to the gateway, in milliseconds. */
+const MIN_ROUND_TRIP_CHANGE_MS = 1;
 
-/** One connected gateway. */
-export class GatewayAccount {
-  /** Waiting requests in the gateway's order, on this process's clock. */
+/** Session of one connected gateway. */
+export class GatewaySession {
+  /** Waiting requests in the gateway's order; times are on this process's clock. */
   waiting: WaitingRequest[] = [];
-  /** Messages heard after the hello. */
+  /** Messages received after the hello. */
   messagesSeen = 0;
-  /** Whether it took slots since it was told a count; it adds them to the count that it knows. */
-  hasUntoldTakes = false;
-  /** The latest time of its own clock that it told, in milliseconds. */
+  /**
+   * Whether it took slots since the last state message sent to it. Until the next one it adds them
+   * to the count that it last received.
+   */
+  hasUnreportedTakes = false;
+  /** Latest reading of the gateway's own clock that it sent, in milliseconds. */
   clockMs: number | undefined;
   private readonly roundTrip: RoundTrip;
-  private toldRoundTripMs: number | undefined;
+  private reportedRoundTripMs: number | undefined;
   private grantsIssued = 0;
-  /** When each grant was issued that the gateway has not answered, oldest first. */
-  private readonly unansweredSinceMs: number[] = [];
+  /** Issue times of grants that the gateway has not answered, oldest first. */
+  private readonly unansweredGrantsAtMs: number[] = [];
 
   constructor(
     readonly name: string,
-    /** Slots that the gateway's requests occupy, and those granted to it. */
+    /** Slots that the gateway's requests occupy or that are granted to it. */
     public held: number,
-    private heardAtMs: number,
+    private lastMessageAtMs: number,
     distance: Distance = 'same-zone',
   ) {
     this.roundTrip = new RoundTrip(distance);
   }
 
-  /** A message arrived. */
-  hear(nowMs: number): void {
+  /** Records that a message arrived. */
+  noteMessage(nowMs: number): void {
     this.messagesSeen += 1;
-    this.heardAtMs = nowMs;
+    this.lastMessageAtMs = nowMs;
   }
 
   /**
-   * Takes in what waits now; grants still on their way answer the first of the requests named. A slot that is
-   * granted over a long way lies idle for the way there and back, so a request counts as later by that: among
-   * equals gateways near by are first, for no longer than this.
+   * Replaces the waiting requests; grants in flight are matched to the first of `ranks`. A slot
+   * granted over a long link is idle for the round trip, so the arrival of each request is moved
+   * later by that cost: among requests of equal priority nearby gateways come first, by no more
+   * than this.
    */
   setWaiting(ranks: readonly WaitingRank[], grantsSeen: number, nowMs: number): void {
-    const grantsUnderWay = Math.max(0, this.grantsIssued - grantsSeen);
-    const countsFromMs = nowMs + this.roundTrip.costMs;
-    this.waiting = ranks
-      .slice(grantsUnderWay)
-      .map((rank) => ({ ...placeOf(rank, nowMs), arrivedAtMs: countsFromMs - rank.waitedMs }));
+    const grantsInFlight = Math.max(0, this.grantsIssued - grantsSeen);
+    const adjustedNowMs = nowMs + this.roundTrip.costMs;
+    this.waiting = ranks.slice(grantsInFlight).map((rank) => ({
+      ...toWaitingRequest(rank, nowMs),
+      arrivedAtMs: adjustedNowMs - rank.waitedMs,
+    }));
   }
 
-  /** A waiting request gets a slot. */
+  /** Assigns a slot to a waiting request. */
   grant(request: WaitingRequest, nowMs: number): void {
     this.waiting = this.waiting.filter((other) => other !== request);
     this.held += 1;
     this.grantsIssued += 1;
-    this.unansweredSinceMs.push(nowMs);
+    this.unansweredGrantsAtMs.push(nowMs);
   }
 
-  /** The gateway answered its oldest grant. */
+  /** Records the answer to the oldest unanswered grant and samples the round trip. */
   noteGrantAnswered(nowMs: number): void {
-    const grantedAtMs = this.unansweredSinceMs.shift();
+    const grantedAtMs = this.unansweredGrantsAtMs.shift();
     if (grantedAtMs !== undefined) {
       this.roundTrip.learn(nowMs - grantedAtMs);
     }
   }
 
-  /** The time of a message there and back, where it changed since this was asked last. */
-  takeRoundTripNews(): number | undefined {
+  /**
+   * Returns the round trip time in milliseconds if it was measured and changed since the last call
+   * that returned one.
+   */
+  takeRoundTripUpdate(): number | undefined {
     const { ms, isMeasured } = this.roundTrip;
-    const isNews = Math.abs(ms - (this.toldRoundTripMs ?? -Infinity)) >= ROUND_TRIP_NEWS_MS;
-    if (!isMeasured || !isNews) {
+    const hasChanged =
+      Math.abs(ms - (this.reportedRoundTripMs ?? -Infinity)) >= MIN_ROUND_TRIP_CHANGE_MS;
+    if (!isMeasured || !hasChanged) {
       return undefined;
     }
-    this.toldRoundTripMs = ms;
+    this.reportedRoundTripMs = ms;
     return ms;
   }
 
-  /** It took a free slot. */
+  /** Records that the gateway took a free slot without a grant. */
   take(): void {
     this.held += 1;
-    this.hasUntoldTakes = true;
+    this.hasUnreportedTakes = true;
   }
 
-  /** A slot is given back. */
+  /** Records that the gateway gave back a slot. */
   release(): void {
     this.held = Math.max(0, this.held - 1);
   }
 
-  /** Whether silence would tell anything: it holds slots, or waits for some. */
-  get isExpectedToSpeak(): boolean {
+  /** Whether the gateway must send keepalives, since it holds slots or has requests waiting. */
+  get isKeepaliveExpected(): boolean {
     return this.held > 0 || this.waiting.length > 0;
   }
 
-  /** Whether it left a grant unanswered for too long to be given another. */
-  hasLapsedGrant(nowMs: number, { grantAnswerMs }: GatewaySilenceOptions): boolean {
-    const grantedAtMs = this.unansweredSinceMs[0];
+  /** Whether its oldest unanswered grant is overdue, so that it gets no further grants. */
+  hasOverdueGrant(nowMs: number, { grantAnswerMs }: GatewaySilenceOptions): boolean {
+    const grantedAtMs = this.unansweredGrantsAtMs[0];
     return grantedAtMs !== undefined && nowMs - grantedAtMs > grantAnswerMs + this.roundTrip.ms;
   }
 
-  /** Whether it should have spoken since and is taken for gone. */
-  isSilent(nowMs: number, { silenceMs }: GatewaySilenceOptions): boolean {
-    return this.isExpectedToSpeak && nowMs - this.heardAtMs > silenceMs;
+  /** Whether an expected keepalive is overdue, so that the gateway is considered lost. */
+  isTimedOut(nowMs: number, { silenceMs }: GatewaySilenceOptions): boolean {
+    return this.isKeepaliveExpected && nowMs - this.lastMessageAtMs > silenceMs;
   }
 }
 
-/** The regions that a message states. */
+/** Returns the allowed regions that a message states; undefined for any region. */
 export function regionsOf({ allowedRegions }: StatedHomes): AllowedRegions {
   return allowedRegions === undefined ? undefined : new Set(allowedRegions);
 }
 
-/** A rank on this process's clock. */
-function placeOf(rank: WaitingRank, nowMs: number): WaitingRequest {
+/** Converts the relative times of a rank to this process's clock. */
+function toWaitingRequest(rank: WaitingRank, nowMs: number): WaitingRequest {
   const { tier, rankInTier, waitedMs, startInMs, homeOwner } = rank;
   return {
     tier,
--- a/src/slot-agent/silence-reports.ts
+++ b/src/slot-agent/silence-reports.ts
@@ -1,44 +1,53 @@
 /**
- * What gateways' words of silence say of an engine, without I/O.
+ * Evaluates gateways' reports that an engine did not respond to a request, without I/O.
  *
- * A gateway that hears nothing of a request cannot tell an engine that hangs from a path that is cut.
- * The agent can: while any gateway is answered, the engine answers and it is the path of the other that
- * fails. Only silence that several gateways meet, with no answer to anyone between, speaks against the engine.
+ * A gateway without a response cannot distinguish a hung engine from a broken network path. The
+ * agent can: while the engine responds to any gateway, the path of the other one is at fault.
+ * Reports count as a failure of the engine only if they come from several gateways with no response
+ * to any of them in between.
  */
 
-/** Bounds of what silence says. */
-export interface SilenceReportOptions {
-  /** Gateways that must meet silence before it speaks against the engine. Default 2: one path may be cut. */
+/** Thresholds for reports of missing responses. */
+export interface NoResponseOptions {
+  /**
+   * Gateways that must report before the engine counts as failed. Default 2: a single path may be
+   * broken.
+   */
   readonly minGateways: number;
   /**
-   * How long a report counts, in milliseconds. Default 3,000: two gateways that each wait 1,200 for a
-   * silent stream are both heard in it.
+   * How long a report counts, in milliseconds. Default 3,000: covers the reports of two gateways
+   * that each wait 1,200 for the next event of a stream.
    */
-  readonly memoryMs: number;
+  readonly reportLifetimeMs: number;
 }
 
-/** Defaults of what silence says. */
-export const DEFAULT_SILENCE_REPORT_OPTIONS: SilenceReportOptions = {
+/** Default thresholds for reports of missing responses. */
+export const DEFAULT_NO_RESPONSE_OPTIONS: NoResponseOptions = {
   minGateways: 2,
-  memoryMs: 3_000,
+  reportLifetimeMs: 3_000,
 };
 
-/** Silence that gateways met since the engine answered last. */
-export class SilenceReports {
+/** Gateways that got no response since the engine last responded to any of them. */
+export class NoResponseReports {
   private readonly reportedAtMs = new Map<string, number>();
 
-  constructor(private readonly options: SilenceReportOptions = DEFAULT_SILENCE_REPORT_OPTIONS) {}
+  constructor(private readonly options: NoResponseOptions = DEFAULT_NO_RESPONSE_OPTIONS) {}
 
-  /** A gateway was answered: whoever heard nothing before has a path that fails. */
-  noteAnswer(): void {
+  /**
+   * Clears the reports, since a response to one gateway shows that earlier reports were due to
+   * network paths.
+   */
+  noteResponse(): void {
     this.reportedAtMs.clear();
   }
 
-  /** A gateway heard nothing; says whether that speaks against the engine. */
-  noteSilence(gateway: string, nowMs: number): boolean {
-    const { minGateways, memoryMs } = this.options;
+  /**
+   * Records that a gateway got no response; returns whether this counts as a failure of the engine.
+   */
+  noteNoResponse(gateway: string, nowMs: number): boolean {
+    const { minGateways, reportLifetimeMs } = this.options;
     for (const [name, atMs] of this.reportedAtMs) {
-      if (nowMs - atMs > memoryMs) {
+      if (nowMs - atMs > reportLifetimeMs) {
         this.reportedAtMs.delete(name);
       }
     }
--- a/src/slot-agent/slot-agent-instruments.ts
+++ b/src/slot-agent/slot-agent-instruments.ts
@@ -1,16 +1,16 @@
-/** The counters and gauges of a slot agent. */
+/** Prometheus counters and gauges of a slot agent. */
 import { Counter, Gauge, Registry } from 'prom-client';
 
-/** What the gauges show, read when the metrics are asked for. */
+/** Values of the gauges, read at each scrape. */
 export interface SlotAgentSnapshot {
   readonly slots: number;
   readonly occupied: number;
-  /** Of these, slots of requests that no connected gateway accounts for. */
+  /** Occupied slots whose requests no connected gateway accounts for. */
   readonly unaccounted: number;
   readonly gateways: number;
 }
 
-/** The counters and gauges of a slot agent. */
+/** Metrics registry of a slot agent. */
 export class SlotAgentInstruments {
   readonly registry = new Registry();
   readonly grants = new Counter({
@@ -18,7 +18,7 @@
     help: 'Slots granted to gateways',
     registers: [this.registry],
   });
-  readonly grantsHeld = new Counter({
+  readonly grantsHeldBack = new Counter({
     name: 'weirvale_grants_held_back_total',
     help: 'Times that a request waited beside a free slot for the rate at which requests may begin',
     registers: [this.registry],
@@ -39,7 +39,7 @@
     help: 'Reports that the engine did not give',
     registers: [this.registry],
   });
-  readonly engineChanges = new Counter({
+  readonly availabilityChanges = new Counter({
     name: 'weirvale_engine_changes_total',
     help: 'Changes of whether gateways may use the engine, by what it was changed to',
     labelNames: ['availability'],
--- a/src/slot-agent/slot-agent-metrics.ts
+++ b/src/slot-agent/slot-agent-metrics.ts
@@ -1,10 +1,10 @@
-/** Counters and gauges of a slot agent, served as text. */
+/** Serves the metrics of a slot agent in the Prometheus text format. */
 import { MetricsEndpoint } from '../telemetry/metrics-endpoint.js';
 import type { SlotAgentInstruments, SlotAgentSnapshot } from './slot-agent-instruments.js';
 
-/** Counters and gauges of a slot agent. */
+/** Metrics endpoint of a slot agent. */
 export class SlotAgentMetrics extends MetricsEndpoint<SlotAgentInstruments> {
-  /** Loads the library and records what was kept; `read` is asked for each reading. */
+  /** Loads the metrics library and applies buffered updates; `read` is called at each scrape. */
   async load(read: () => SlotAgentSnapshot): Promise<void> {
     const loaded = await import('./slot-agent-instruments.js');
     this.use(new loaded.SlotAgentInstruments(read));
--- a/src/slot-agent/slot-agent-role.ts
+++ b/src/slot-agent/slot-agent-role.ts
@@ -1,8 +1,9 @@
 /**
- * The agent beside one engine: its listener for gateways, and looks at the engine's own report.
+ * Process role of a slot agent, the sidecar of one engine: listens for gateways and probes the
+ * engine.
  *
- * It also keeps a replica of the store's records and hands it to gateways that
- * start: when all of them were killed while the store is dark, nobody else knows.
+ * It also holds a replica of the store's records and serves it to gateways that start. If all
+ * gateways were killed during an outage of the store, agents are the only source of these records.
  */
 import { createServer } from 'node:net';
 import type { Server, Socket } from 'node:net';
@@ -23,50 +24,59 @@
 import type { ClosedCause, EngineAvailability, EngineReading } from './engine-watch.js';
 import { EngineColdness } from './engine-coldness.js';
 import { EngineKnowledge } from './engine-knowledge.js';
-import type { EnginePlace } from './engine-knowledge.js';
+import type { EngineLocation } from './engine-knowledge.js';
 import type { ForbiddenTake } from './slot-ledger.js';
-import { DEFAULT_GATEWAY_SILENCE_OPTIONS } from './gateway-account.js';
+import { DEFAULT_GATEWAY_TIMEOUT_OPTIONS } from './gateway-account.js';
 import { SlotLedger } from './slot-ledger.js';
 import type { AgentRefusal, AgentToGateway, GatewayToAgent, SlotMessage } from './slot-messages.js';
 
-/** Looks at the engine's own report; ends soon, whatever the engine does. */
+/**
+ * Probes the engine's status report; resolves within a short timeout whether or not the engine
+ * responds.
+ */
 export type EngineReport = () => Promise<EngineReading>;
 
-/** Times of an agent, in milliseconds. */
+/** Intervals and delays of an agent, in milliseconds. */
 export interface SlotAgentOptions {
-  /** Pause between two looks at the report while slots are unaccounted for, or the engine is gone. Default 60. */
+  /**
+   * Interval between probes while slots are unaccounted for or the engine's health is uncertain.
+   * Default 60.
+   */
   readonly reportMs: number;
   /**
-   * Pause between two looks while requests are at work there or wait, in milliseconds: an engine that
-   * falls silent breaks no connection. Default 300.
+   * Interval between probes while requests run or wait, in milliseconds: an engine that hangs
+   * closes no connection. Default 300.
    */
-  readonly watchMs: number;
-  /** Pause between two messages that show that the agent lives. Default 300. */
+  readonly probeIntervalMs: number;
+  /** Interval between heartbeats to gateways. Default 300. */
   readonly beatMs: number;
   /**
-   * Time in which changes of the count are gathered while slots are free, in milliseconds. Default 250: below
-   * the pause between two beats, so that a busy agent tells each gateway little more often than an idle one.
+   * Delay in which changes of the occupied count are batched while slots are free, in milliseconds.
+   * Default 250: less than the heartbeat interval, so that a busy agent sends each gateway few more
+   * state messages than an idle one.
    */
   readonly tellMs: number;
-  /** Pause between two looks for silent gateways, while some hold slots or wait. Default 50. */
+  /**
+   * Interval between checks for overdue keepalives, while any gateway must send them. Default 50.
+   */
   readonly silenceCheckMs: number;
 }
 
-/** Who an agent is. */
+/** Identity and initial peers of an agent. */
 export interface SlotAgentIdentity {
   readonly name: string;
-  /** The engine that it stands beside. */
-  readonly engine: EnginePlace;
-  /** Addresses of gateways to begin with, IP:PORT. */
+  /** Engine that the agent serves. */
+  readonly engine: EngineLocation;
+  /** Addresses of the first gateways to connect to, IP:PORT. */
   readonly seeds: readonly string[];
 }
 
-/** What an agent is made from. */
-export interface SlotAgentParts {
+/** Dependencies of an agent. */
+export interface SlotAgentDependencies {
   readonly identity: SlotAgentIdentity;
   readonly places: Places;
   readonly limits: ColdStartLimits;
-  /** Reads a record of the store. */
+  /** Decodes a record of the store. */
   readonly decode: DecodeRecord;
   readonly readReport: EngineReport;
   readonly clock: Clock;
@@ -75,21 +85,21 @@
   readonly metrics: SlotAgentMetrics;
 }
 
-/** Where an agent listens. */
+/** Listen addresses of an agent. */
 export interface SlotAgentListen {
   readonly host: string;
   /** Port for gateways. */
   readonly port: number;
-  /** Port of the metrics; 0 for none. */
+  /** Port of the metrics endpoint; 0 disables it. */
   readonly metricsPort: number;
 }
 
-/** Time from the start until the library of the metrics is loaded, in milliseconds. */
-const METRICS_LOAD_MS = 5_000;
+/** Delay from the start until the metrics library is loaded, in milliseconds. */
+const METRICS_LOAD_DELAY_MS = 5_000;
 
 /**
- * Gateways that were killed start within a second; the replica must not come
- * much later. A few gateways are enough, since they tell the others.
+ * Killed gateways restart within a second, and the replica must reach them shortly after.
+ * Connections to a few gateways are enough, since gateways forward the records to each other.
  */
 const REPLICA_MESH_OPTIONS = {
   ...DEFAULT_PEER_MESH_OPTIONS,
@@ -98,43 +108,47 @@
   maxConnections: 3,
 };
 
-/** Defaults of an agent. */
+/** Default intervals and delays of an agent. */
 export const DEFAULT_SLOT_AGENT_OPTIONS: SlotAgentOptions = {
   reportMs: 60,
-  watchMs: 300,
+  probeIntervalMs: 300,
   beatMs: 300,
   tellMs: 250,
   silenceCheckMs: 50,
 };
 
-/** The agent beside one engine. */
+/** Slot agent of one engine. */
 export class SlotAgentRole {
   private readonly clock: Clock;
   private readonly server: Server;
   private readonly channels = new Map<number, MessageChannel<AgentToGateway, GatewayToAgent>>();
   private readonly ledger: SlotLedger;
-  private readonly knowledge: EngineKnowledge;
-  private readonly coldness: EngineColdness;
+  private readonly engineView: EngineKnowledge;
+  private readonly coldStart: EngineColdness;
   private wasCold = false;
   private resumeTimer: TimerHandle | undefined;
   private readonly records: ReplicatedRecords;
   private readonly exchange: RecordExchange;
   private readonly mesh: PeerMesh;
   private nextConnection = 1;
-  private isLooking = false;
-  private lookTimer: TimerHandle | undefined;
-  private lookDueAtMs = Infinity;
-  private isChecking = false;
+  private isProbing = false;
+  private probeTimer: TimerHandle | undefined;
+  private probeDueAtMs = Infinity;
+  private isKeepaliveCheckScheduled = false;
   private isStopped = false;
 
   constructor(
-    private readonly parts: SlotAgentParts,
+    private readonly dependencies: SlotAgentDependencies,
     private readonly options: SlotAgentOptions = DEFAULT_SLOT_AGENT_OPTIONS,
   ) {
-    const { identity, clock, random, metrics } = parts;
+    const { identity, clock, random, metrics } = dependencies;
     this.clock = clock;
-    this.knowledge = new EngineKnowledge(identity.engine, parts.places);
-    this.coldness = new EngineColdness(() => this.engineRecords(), parts.limits, clock.now());
+    this.engineView = new EngineKnowledge(identity.engine, dependencies.places);
+    this.coldStart = new EngineColdness(
+      () => this.engineRecords(),
+      dependencies.limits,
+      clock.now(),
+    );
     this.ledger = new SlotLedger(
       {
         send: (connection, message) => this.channels.get(connection)?.send(message),
@@ -142,25 +156,25 @@
         onChangesToTell: () =>
           clock.setTimeout(() => this.ledger.tellChanges(clock.now()), this.options.tellMs),
         onReconciled: (slots) => this.noteReconciled(slots),
-        onLookWanted: () => this.lookIn(0),
+        onLookWanted: () => this.scheduleProbe(0),
         onAvailability: (availability, cause) => this.noteAvailability(availability, cause),
         distanceTo: (zone) =>
-          distanceFrom({ zone: identity.engine.zone, places: parts.places }, zone),
+          distanceFrom({ zone: identity.engine.zone, places: dependencies.places }, zone),
         restriction: (allowedRegions, homeOwner) =>
-          this.knowledge.restriction(allowedRegions, homeOwner),
-        homesToTell: () => this.knowledge.homesToTell,
+          this.engineView.restriction(allowedRegions, homeOwner),
+        homesToTell: () => this.engineView.regionInfo,
         onForbiddenTake: (take) => this.noteForbiddenTake(take),
-        startRules: (nowMs) => this.coldness.rules(nowMs),
-        onStartsHeld: (resumeInMs) => this.resumeIn(resumeInMs),
+        startRules: (nowMs) => this.coldStart.rules(nowMs),
+        onStartsHeld: (resumeInMs) => this.scheduleResume(resumeInMs),
       },
-      DEFAULT_GATEWAY_SILENCE_OPTIONS,
+      DEFAULT_GATEWAY_TIMEOUT_OPTIONS,
       clock.now(),
     );
-    this.records = new ReplicatedRecords(createCompareByOwner(parts.decode));
+    this.records = new ReplicatedRecords(createCompareByOwner(dependencies.decode));
     this.server = createServer((socket) => this.accept(socket));
     this.exchange = new RecordExchange(
       this.records,
-      { isStoreReachable: () => false, onNews: (records) => this.learn(records) },
+      { isStoreReachable: () => false, onNews: (records) => this.applyRecords(records) },
       clock,
     );
     const { name, seeds } = identity;
@@ -185,13 +199,16 @@
 
   /** Listens for gateways. */
   start({ host, port, metricsPort }: SlotAgentListen): void {
-    const { metrics, log } = this.parts;
+    const { metrics, log } = this.dependencies;
     this.server.listen(port, host);
     this.mesh.start();
-    this.beat();
+    this.sendHeartbeats();
     if (metricsPort > 0) {
       metrics.serve(host, metricsPort);
-      this.clock.setTimeout(() => void metrics.load(() => this.ledger.snapshot), METRICS_LOAD_MS);
+      this.clock.setTimeout(
+        () => void metrics.load(() => this.ledger.snapshot),
+        METRICS_LOAD_DELAY_MS,
+      );
     }
     log.write('started', 'state', { port, metricsPort });
   }
@@ -201,21 +218,21 @@
     this.isStopped = true;
     this.server.close();
     this.mesh.stop();
-    this.parts.metrics.close();
+    this.dependencies.metrics.close();
     for (const channel of this.channels.values()) {
       channel.close();
     }
-    this.parts.log.write('stopped', 'state');
-    this.parts.log.flush();
+    this.dependencies.log.write('stopped', 'state');
+    this.dependencies.log.flush();
   }
 
-  /** Takes in records of the store that are news. */
-  private learn(news: readonly RecordNews[]): void {
-    const before = this.knowledge.homesToTell?.configuration;
-    const { decode, identity, log } = this.parts;
-    for (const record of news.filter(({ isUnchanged }) => isUnchanged !== true)) {
+  /** Applies new records of the store. */
+  private applyRecords(records: readonly RecordNews[]): void {
+    const previousVersion = this.engineView.regionInfo?.configuration;
+    const { decode, identity, log } = this.dependencies;
+    for (const record of records.filter(({ isUnchanged }) => isUnchanged !== true)) {
       const decoded = decode(record);
-      this.knowledge.take(decoded, this.clock.now());
+      this.engineView.take(decoded, this.clock.now());
       if (decoded.kind === 'evacuation' && decoded.change.zone === identity.engine.zone) {
         const { zone: evacuatedZone, isOrdered, epoch, revision } = decoded.change;
         const { snapshot } = this.ledger;
@@ -223,11 +240,11 @@
         log.write('zone-evacuation', 'state', { ...order, ...snapshot });
       }
     }
-    if (this.knowledge.homesToTell?.configuration !== before) {
-      this.ledger.followOrders(this.clock.now());
+    if (this.engineView.regionInfo?.configuration !== previousVersion) {
+      this.ledger.onRestrictionsChanged(this.clock.now());
     }
-    this.coldness.noteRecords(this.clock.now());
-    this.reviewColdness();
+    this.coldStart.updateFromRecords(this.clock.now());
+    this.logColdStateChange();
     this.ledger.resume(this.clock.now());
   }
 
@@ -236,77 +253,82 @@
     this.nextConnection += 1;
     const channel = new MessageChannel<AgentToGateway, GatewayToAgent>(socket, {
       onMessage: (message) => this.receive(connection, message),
-      onClose: () => this.forget(connection),
+      onClose: () => this.removeConnection(connection),
     });
     this.channels.set(connection, channel);
   }
 
-  private forget(connection: number): void {
+  private removeConnection(connection: number): void {
     const gateway = this.ledger.describe(connection);
     if (gateway !== undefined) {
-      this.parts.log.write('gateway-lost', 'state', gateway);
+      this.dependencies.log.write('gateway-lost', 'state', gateway);
     }
     this.channels.delete(connection);
     this.ledger.disconnect(connection, this.clock.now());
-    this.lookWhileNeeded();
+    this.scheduleNextProbe();
   }
 
   private noteReconciled(slots: number): void {
-    this.parts.metrics.record(({ slotsReconciled }) => slotsReconciled.inc(slots));
-    this.parts.log.write('slots-reconciled', 'state', { freed: slots, ...this.ledger.snapshot });
+    this.dependencies.metrics.record(({ slotsReconciled }) => slotsReconciled.inc(slots));
+    this.dependencies.log.write('slots-reconciled', 'state', {
+      freed: slots,
+      ...this.ledger.snapshot,
+    });
   }
 
   private noteForbiddenTake(take: ForbiddenTake): void {
     const { reason } = take;
-    this.parts.metrics.record(({ forbiddenTakes }) => forbiddenTakes.inc({ reason }));
-    this.parts.log.write('slot-taken-forbidden', 'failure', { ...take });
+    this.dependencies.metrics.record(({ forbiddenTakes }) => forbiddenTakes.inc({ reason }));
+    this.dependencies.log.write('slot-taken-forbidden', 'failure', { ...take });
   }
 
   private engineRecords() {
-    const { knowledge } = this;
-    const { zone } = this.parts.identity.engine;
+    const { engineView } = this;
+    const { zone } = this.dependencies.identity.engine;
     return {
-      service: knowledge.service,
-      backend: knowledge.backend,
-      zoneReturnedAtMs: knowledge.evacuations.returnedAtMs(zone),
+      service: engineView.service,
+      backend: engineView.backend,
+      zoneReturnedAtMs: engineView.evacuations.returnedAtMs(zone),
     };
   }
 
-  /** Requests wait for starts that were too many: the ledger is asked again when there is room. */
-  private resumeIn(delayMs: number): void {
+  /** Schedules another attempt to grant slots once the start rate limit permits it. */
+  private scheduleResume(delayMs: number): void {
     if (this.isStopped || this.resumeTimer !== undefined || !Number.isFinite(delayMs)) {
       return;
     }
-    this.parts.metrics.record(({ grantsHeld }) => grantsHeld.inc());
+    this.dependencies.metrics.record(({ grantsHeldBack }) => grantsHeldBack.inc());
     this.resumeTimer = this.clock.setTimeout(() => {
       this.resumeTimer = undefined;
       this.ledger.resume(this.clock.now());
     }, delayMs);
   }
 
-  /** Says so when the engine is taken for cold, or no longer. */
-  private reviewColdness(): void {
+  /** Logs when the engine becomes cold or warm. */
+  private logColdStateChange(): void {
     const nowMs = this.clock.now();
-    const coldness = this.coldness.coldness(nowMs);
-    if ((coldness !== undefined) === this.wasCold) {
+    const coldState = this.coldStart.coldState(nowMs);
+    if ((coldState !== undefined) === this.wasCold) {
       return;
     }
-    this.wasCold = coldness !== undefined;
+    this.wasCold = coldState !== undefined;
     const event = this.wasCold ? 'cold-limit-entered' : 'cold-limit-left';
-    this.parts.log.write(event, 'state', {
-      reason: coldness?.reason,
-      ageMs: coldness && nowMs - coldness.sinceMs,
-      leftMs: coldness && coldness.untilMs - nowMs,
-      epoch: this.coldness.position?.epoch,
-      revision: this.coldness.position?.revision,
+    this.dependencies.log.write(event, 'state', {
+      reason: coldState?.reason,
+      ageMs: coldState && nowMs - coldState.sinceMs,
+      leftMs: coldState && coldState.untilMs - nowMs,
+      epoch: this.coldStart.announcementPosition?.epoch,
+      revision: this.coldStart.announcementPosition?.revision,
     });
   }
 
   private noteAvailability(availability: EngineAvailability, cause: ClosedCause | undefined): void {
-    const isGone = cause === 'port-closed' || cause === 'silent';
-    this.coldness.noteGone(isGone, this.clock.now());
-    this.parts.metrics.record(({ engineChanges }) => engineChanges.inc({ availability }));
-    this.parts.log.write('engine-availability', 'state', {
+    const isUnreachable = cause === 'port-closed' || cause === 'silent';
+    this.coldStart.setUnreachable(isUnreachable, this.clock.now());
+    this.dependencies.metrics.record(({ availabilityChanges }) =>
+      availabilityChanges.inc({ availability }),
+    );
+    this.dependencies.log.write('engine-availability', 'state', {
       availability,
       cause,
       ...this.ledger.snapshot,
@@ -321,33 +343,33 @@
         this.channels.get(connection)?.send(fetch),
       );
     } else {
-      this.receiveOfSlots(connection, message);
+      this.receiveSlotMessage(connection, message);
     }
   }
 
-  private receiveOfSlots(connection: number, message: SlotMessage): void {
+  private receiveSlotMessage(connection: number, message: SlotMessage): void {
     if (message.kind === 'hello') {
       this.mesh.learnAddresses([message.peersAddress]);
-      this.coldness.noteService(message.coldStart);
-    } else if (!this.ledger.knows(connection)) {
+      this.coldStart.noteService(message.coldStart);
+    } else if (!this.ledger.isAdmitted(connection)) {
       this.refuse(connection, 'hello-missing');
       return;
     }
     if (message.kind === 'demand') {
-      this.coldness.noteTold(message.coldMs, this.clock.now());
+      this.coldStart.noteTold(message.coldMs, this.clock.now());
     }
     this.ledger.receive(connection, message, this.clock.now());
     if (message.kind === 'hello') {
-      this.parts.log.write('gateway-connected', 'state', this.ledger.describe(connection));
+      this.dependencies.log.write('gateway-connected', 'state', this.ledger.describe(connection));
     }
-    this.checkWhileNeeded();
-    this.lookWhileNeeded();
+    this.scheduleKeepaliveCheck();
+    this.scheduleNextProbe();
   }
 
-  /** Ends a connection; a gateway that still lives learns why. */
+  /** Sends the reason to the gateway, if it is still there, and closes the connection. */
   private refuse(connection: number, reason: AgentRefusal['reason']): void {
     const channel = this.channels.get(connection);
-    const { log, metrics } = this.parts;
+    const { log, metrics } = this.dependencies;
     log.write('gateway-refused', 'state', { reason, ...this.ledger.describe(connection) });
     metrics.record(({ gatewaysEnded }) => gatewaysEnded.inc({ reason }));
     channel?.send({ kind: 'refused', reason });
@@ -355,59 +377,62 @@
     channel?.close();
   }
 
-  private checkWhileNeeded(): void {
-    if (this.isStopped || this.isChecking || !this.ledger.expectsGateways) {
+  private scheduleKeepaliveCheck(): void {
+    if (this.isStopped || this.isKeepaliveCheckScheduled || !this.ledger.isAnyKeepaliveExpected) {
       return;
     }
-    this.isChecking = true;
+    this.isKeepaliveCheckScheduled = true;
     this.clock.setTimeout(() => {
-      this.isChecking = false;
+      this.isKeepaliveCheckScheduled = false;
       for (const connection of this.ledger.findSilent(this.clock.now())) {
         this.refuse(connection, 'silent');
       }
-      this.checkWhileNeeded();
+      this.scheduleKeepaliveCheck();
     }, this.options.silenceCheckMs);
   }
 
-  private beat(): void {
+  private sendHeartbeats(): void {
     if (this.isStopped) {
       return;
     }
-    this.reviewColdness();
+    this.logColdStateChange();
     this.ledger.beat(this.options.beatMs, this.clock.now());
-    this.clock.setTimeout(() => this.beat(), this.options.beatMs);
+    this.clock.setTimeout(() => this.sendHeartbeats(), this.options.beatMs);
   }
 
-  /** Goes on looking at the engine, often while something is to be found out, now and then while it works. */
-  private lookWhileNeeded(): void {
+  /**
+   * Schedules the next probe: soon while the engine's state is uncertain, at the longer interval
+   * while requests run.
+   */
+  private scheduleNextProbe(): void {
     if (this.ledger.needsReport(this.clock.now())) {
-      this.lookIn(this.options.reportMs);
-    } else if (this.ledger.expectsGateways) {
-      this.lookIn(this.options.watchMs);
+      this.scheduleProbe(this.options.reportMs);
+    } else if (this.ledger.isAnyKeepaliveExpected) {
+      this.scheduleProbe(this.options.probeIntervalMs);
     }
   }
 
-  /** Looks at the engine after `delayMs`, or sooner where that is planned. */
-  private lookIn(delayMs: number): void {
+  /** Probes the engine after `delayMs`, unless an earlier probe is scheduled. */
+  private scheduleProbe(delayMs: number): void {
     const dueAtMs = this.clock.now() + delayMs;
-    if (this.isStopped || this.isLooking || this.lookDueAtMs <= dueAtMs) {
+    if (this.isStopped || this.isProbing || this.probeDueAtMs <= dueAtMs) {
       return;
     }
-    this.clock.clearTimeout(this.lookTimer);
-    this.lookDueAtMs = dueAtMs;
-    this.lookTimer = this.clock.setTimeout(() => void this.look(), delayMs);
+    this.clock.clearTimeout(this.probeTimer);
+    this.probeDueAtMs = dueAtMs;
+    this.probeTimer = this.clock.setTimeout(() => void this.probe(), delayMs);
   }
 
-  private async look(): Promise<void> {
-    this.isLooking = true;
-    this.lookDueAtMs = Infinity;
-    const reading = await this.parts.readReport();
-    this.isLooking = false;
-    if (reading.kind !== 'load') {
-      this.parts.metrics.record(({ reportsFailed }) => reportsFailed.inc());
+  private async probe(): Promise<void> {
+    this.isProbing = true;
+    this.probeDueAtMs = Infinity;
+    const result = await this.dependencies.readReport();
+    this.isProbing = false;
+    if (result.kind !== 'load') {
+      this.dependencies.metrics.record(({ reportsFailed }) => reportsFailed.inc());
     }
-    this.ledger.takeReading(reading, this.clock.now());
-    this.checkWhileNeeded();
-    this.lookWhileNeeded();
+    this.ledger.takeReading(result, this.clock.now());
+    this.scheduleKeepaliveCheck();
+    this.scheduleNextProbe();
   }
 }
--- a/src/slot-agent/slot-ledger.ts
+++ b/src/slot-agent/slot-ledger.ts
@@ -1,12 +1,11 @@
 /**
- * The slots of one back end, shared among gateways, without I/O.
+ * Allocates the slots of one back end among gateways, without I/O.
  *
- * The ledger counts the slots that each connected gateway holds. When one is
- * free it grants it to the gateway whose waiting request comes first. A grant is
- * a short lease: a gateway that does not answer one gets no more until it does.
- * A gateway that says nothing for longer is taken for gone until it connects again;
- * what it held stays occupied only as long as the back end's own report shows
- * requests that no connected gateway accounts for.
+ * It counts the slots that each connected gateway holds, and grants a free one to the gateway whose
+ * waiting request has the highest priority. A grant is a short lease: a gateway that leaves one
+ * unanswered gets no more until it answers. A gateway whose keepalives are overdue is considered
+ * lost until it reconnects; its slots stay occupied only as long as the back end's own status
+ * report shows requests that no connected gateway accounts for.
  */
 import type { AllowedRegions, RestrictionReason } from '../routing/backend-restriction.js';
 import type { HomeOwner } from '../routing/named-homes.js';
@@ -14,7 +13,7 @@
 import { EngineWatch } from './engine-watch.js';
 import type { ClosedCause, EngineAvailability, EngineReading } from './engine-watch.js';
 import { FailureEstimate } from './failure-estimate.js';
-import { DEFAULT_GATEWAY_SILENCE_OPTIONS, GatewayAccount, regionsOf } from './gateway-account.js';
+import { DEFAULT_GATEWAY_TIMEOUT_OPTIONS, GatewaySession, regionsOf } from './gateway-account.js';
 import type { GatewaySilenceOptions, WaitingRequest } from './gateway-account.js';
 import type { SlotAgentSnapshot } from './slot-agent-instruments.js';
 import type {
@@ -26,225 +25,241 @@
   SlotTaken,
   StatedHomes,
 } from './slot-messages.js';
-import { SilenceReports } from './silence-reports.js';
-import { SlotTeller } from './slot-teller.js';
+import { NoResponseReports } from './silence-reports.js';
+import { SlotStatePublisher } from './slot-teller.js';
 import { StartLimiter } from './start-limiter.js';
 import type { GrantsOnly, StartRules } from './start-limiter.js';
 import { compareWaiting } from './waiting-order.js';
 
-/** A slot that was taken for a request that operators keep from the back end, as the agent knows it. */
+/**
+ * Report that a gateway took a slot for a request that operators' restrictions forbid at the back
+ * end.
+ */
 export interface ForbiddenTake extends StatedHomes {
   readonly gateway: string;
   readonly reason: RestrictionReason;
 }
 
-/** What a ledger does to its surroundings. */
-export interface SlotLedgerPorts {
+/** Callbacks of a slot allocator. */
+export interface SlotAllocatorPorts {
   /** Sends a message to a connected gateway. */
   send(connection: number, message: SlotAnswer): void;
-  /** A slot was granted. */
+  /** Called when a slot was granted. */
   onGranted(): void;
-  /** Gateways are to be told of changes soon, by `tellChanges`. */
+  /**
+   * Called when state changes are pending; the callee invokes `sendChanges` after a short delay.
+   */
   onChangesToTell(): void;
-  /** Slots that were thought to be taken were found free by the report of the back end. */
+  /** Called when the back end's status report showed that slots counted as occupied are free. */
   onReconciled(slots: number): void;
-  /** A request failed: the back end is to be looked at now. */
+  /**
+   * Called when the back end must be probed now, after a failed request or one without a response.
+   */
   onLookWanted(): void;
-  /** Whether gateways may use the back end changed. */
+  /** Called when the availability of the back end or the cause of its closure changed. */
   onAvailability(availability: EngineAvailability, closedCause: ClosedCause | undefined): void;
-  /** How far a zone is from the back end; missing where that is not known. */
+  /** Network distance from a zone to the back end; omitted if distances are unknown. */
   distanceTo?(zone: string): Distance;
-  /** Why operators keep a request from the back end; undefined where they do not. */
+  /** Why operators' restrictions forbid a request at the back end; undefined if it is permitted. */
   restriction(allowedRegions: AllowedRegions, homeOwner?: HomeOwner): RestrictionReason | undefined;
-  /** What gateways are told of homes; undefined while none are named. */
+  /** Region information for gateways; undefined while no request is restricted to regions. */
   homesToTell(): AgentHomes | undefined;
-  /** A gateway took a free slot for a request that operators keep from the back end. */
+  /** Called when a gateway took a free slot for a request that is not permitted at the back end. */
   onForbiddenTake(take: ForbiddenTake): void;
-  /** How fast requests may begin at the back end; undefined where any rate will do. */
+  /** Limits on starting requests at the back end; undefined if the rate is unlimited. */
   startRules(nowMs: number): StartRules | undefined;
-  /** A request waits and a slot is free, but too many began lately: `resume` is to be called then. */
+  /**
+   * Called when the start rate limit delays a waiting request beside a free slot; the callee
+   * invokes `resumeGrants` after `resumeInMs`.
+   */
   onStartsHeld(resumeInMs: number): void;
 }
 
 /**
- * How long the requests of a gateway that is gone are looked for at the back end,
- * in milliseconds: it may be cut off from this process alone and still send.
+ * How long the back end is probed for requests of a disconnected gateway, in milliseconds: the
+ * gateway may be cut off from this process only and still send requests.
  */
-const LOOK_FOR_GONE_MS = 10_000;
-/** What is told of the engine as soon as it changes. */
-type EngineCondition = Pick<EngineWatch, 'availability' | 'closedCause'>;
+const DISCONNECTED_GATEWAY_PROBE_MS = 10_000;
+/** Part of the engine's health that is sent to gateways immediately when it changes. */
+type AvailabilityAndCause = Pick<EngineWatch, 'availability' | 'closedCause'>;
 
-/** The request that a slot is granted for. */
+/** Waiting request that gets the next slot. */
 interface NextGrant {
   readonly connection: number;
-  readonly account: GatewayAccount;
+  readonly session: GatewaySession;
   readonly waiting: WaitingRequest;
 }
 
-/** The slots of one back end. */
+/** Slot allocator of one back end. */
 export class SlotLedger {
-  private readonly accounts = new Map<number, GatewayAccount>();
-  /** Gateways that went without a word, by name: until when their requests are looked for. */
-  private readonly goneUntilMs = new Map<string, number>();
+  private readonly sessions = new Map<number, GatewaySession>();
+  /**
+   * Until when the back end is probed for requests of each disconnected gateway, by gateway name.
+   */
+  private readonly probeDisconnectedUntilMs = new Map<string, number>();
   private slots = 0;
-  /** Slots occupied by requests of gateways that are not connected. */
+  /** Slots occupied by requests that no connected gateway accounts for. */
   private unaccounted = 0;
   private speed: LearnedSpeed = {};
   private readonly failures = new FailureEstimate();
-  private readonly silences = new SilenceReports();
-  private readonly engine = new EngineWatch();
-  private readonly teller: SlotTeller;
-  private readonly starts: StartLimiter;
-  private toldGrantsOnly: GrantsOnly | undefined;
-  /** The start that the engine told last, in Unix milliseconds of its own clock. */
-  private bornAtMs: number | undefined;
+  private readonly noResponseReports = new NoResponseReports();
+  private readonly engineHealth = new EngineWatch();
+  private readonly publisher: SlotStatePublisher;
+  private readonly startLimiter: StartLimiter;
+  private sentGrantsOnly: GrantsOnly | undefined;
+  /** Start time that the engine reported last, in Unix milliseconds of its own clock. */
+  private engineStartedAtMs: number | undefined;
 
   constructor(
-    private readonly ports: SlotLedgerPorts,
-    private readonly silence: GatewaySilenceOptions = DEFAULT_GATEWAY_SILENCE_OPTIONS,
+    private readonly ports: SlotAllocatorPorts,
+    private readonly timeouts: GatewaySilenceOptions = DEFAULT_GATEWAY_TIMEOUT_OPTIONS,
     startedAtMs = 0,
   ) {
-    this.starts = new StartLimiter(startedAtMs);
+    this.startLimiter = new StartLimiter(startedAtMs);
     const counts = {
       occupied: () => this.occupied,
       capacity: () => this.slots,
     };
-    this.teller = new SlotTeller(this.accounts, counts, {
-      tell: (connection, account, nowMs) => this.tell(connection, account, nowMs),
-      onChangesToTell: () => ports.onChangesToTell(),
+    this.publisher = new SlotStatePublisher(this.sessions, counts, {
+      sendState: (connection, session, nowMs) => this.sendState(connection, session, nowMs),
+      onChangesPending: () => ports.onChangesToTell(),
     });
   }
 
-  /** Whether the back end's report is needed to find out something that is not known. */
+  /** Whether a probe is needed, for the engine's health or to reconcile slots. */
   needsReport(nowMs: number): boolean {
-    return this.engine.needsLook || this.needsReconciliation(nowMs);
+    return this.engineHealth.needsProbe || this.needsReconciliation(nowMs);
   }
 
-  /** Whether something may run there that no connected gateway accounts for. */
+  /** Whether requests may run there that no connected gateway accounts for. */
   private needsReconciliation(nowMs: number): boolean {
-    for (const [name, untilMs] of this.goneUntilMs) {
+    for (const [name, untilMs] of this.probeDisconnectedUntilMs) {
       if (nowMs > untilMs) {
-        this.goneUntilMs.delete(name);
+        this.probeDisconnectedUntilMs.delete(name);
       }
     }
-    return this.unaccounted > 0 || this.goneUntilMs.size > 0;
+    return this.unaccounted > 0 || this.probeDisconnectedUntilMs.size > 0;
   }
 
-  /** What the metrics show. */
+  /** Slot counts for metrics and logs. */
   get snapshot(): SlotAgentSnapshot {
     const { slots, occupied, unaccounted } = this;
-    return { slots, occupied, unaccounted, gateways: this.accounts.size };
+    return { slots, occupied, unaccounted, gateways: this.sessions.size };
   }
 
-  /** The gateway on a connection, and what it holds; undefined before its hello. */
+  /** Log fields of the gateway on a connection; undefined before its hello. */
   describe(connection: number): { gateway: string; held: number; waiting: number } | undefined {
-    const account = this.accounts.get(connection);
-    return account === undefined
+    const session = this.sessions.get(connection);
+    return session === undefined
       ? undefined
-      : { gateway: account.name, held: account.held, waiting: account.waiting.length };
+      : { gateway: session.name, held: session.held, waiting: session.waiting.length };
   }
 
-  /** Whether some gateway must be heard of soon. */
-  get expectsGateways(): boolean {
-    return [...this.accounts.values()].some((account) => account.isExpectedToSpeak);
+  /** Whether any gateway must send keepalives. */
+  get isAnyKeepaliveExpected(): boolean {
+    return [...this.sessions.values()].some((session) => session.isKeepaliveExpected);
   }
 
-  /** Connections of gateways that are silent for too long. */
+  /** Connections of gateways whose keepalives are overdue. */
   findSilent(nowMs: number): number[] {
-    return [...this.accounts]
-      .filter(([, account]) => account.isSilent(nowMs, this.silence))
+    return [...this.sessions]
+      .filter(([, session]) => session.isTimedOut(nowMs, this.timeouts))
       .map(([connection]) => connection);
   }
 
-  /** Whether a gateway said hello on the connection. */
-  knows(connection: number): boolean {
-    return this.accounts.has(connection);
+  /** Whether a gateway sent its hello on the connection. */
+  isAdmitted(connection: number): boolean {
+    return this.sessions.has(connection);
   }
 
-  /** Occupied slots. */
+  /** Slots held by connected gateways or unaccounted for. */
   get occupied(): number {
     return this.held + this.unaccounted;
   }
 
-  /** Slots of the back end; 0 until a gateway named them. */
+  /** Slots of the back end; 0 until the first hello states them. */
   get capacity(): number {
     return this.slots;
   }
 
   private get held(): number {
     let held = 0;
-    for (const account of this.accounts.values()) {
-      held += account.held;
+    for (const session of this.sessions.values()) {
+      held += session.held;
     }
     return held;
   }
 
-  /** Takes a message of the gateway on `connection`. */
+  /** Handles a message of the gateway on `connection`. */
   receive(connection: number, message: SlotMessage, nowMs: number): void {
     if (message.kind === 'hello') {
       this.admit(connection, message, nowMs);
     } else {
-      this.receiveFromKnown(connection, message, nowMs);
+      this.receiveFromAdmitted(connection, message, nowMs);
     }
-    this.settle(nowMs);
+    this.grantAndPublish(nowMs);
   }
 
-  /** Time alone may have made room for further starts. */
+  /** Grants free slots again, after time or changed rules may have relaxed the start rate limit. */
   resume(nowMs: number): void {
-    this.settle(nowMs);
+    this.grantAndPublish(nowMs);
   }
 
-  private settle(nowMs: number): void {
-    this.grant(nowMs);
-    if (this.grantsOnly(nowMs) === this.toldGrantsOnly) {
-      this.teller.tellIfChanged(nowMs);
+  private grantAndPublish(nowMs: number): void {
+    this.grantFreeSlots(nowMs);
+    if (this.grantsOnly(nowMs) === this.sentGrantsOnly) {
+      this.publisher.publishIfChanged(nowMs);
     } else {
-      this.teller.tellAll(nowMs);
+      this.publisher.broadcast(nowMs);
     }
   }
 
   private grantsOnly(nowMs: number): GrantsOnly | undefined {
-    return this.starts.grantsOnly(this.ports.startRules(nowMs), nowMs);
+    return this.startLimiter.grantsOnly(this.ports.startRules(nowMs), nowMs);
   }
 
-  /** A connection ended; what its gateway held may still run. */
+  /** Handles the end of a connection; the requests of its gateway may still run. */
   disconnect(connection: number, nowMs: number): void {
-    const account = this.accounts.get(connection);
-    if (account === undefined) {
+    const session = this.sessions.get(connection);
+    if (session === undefined) {
       return;
     }
-    this.accounts.delete(connection);
-    this.starts.forget(connection);
-    this.unaccounted += account.held;
-    this.goneUntilMs.set(account.name, nowMs + LOOK_FOR_GONE_MS);
-    this.teller.tellIfChanged(nowMs);
+    this.sessions.delete(connection);
+    this.startLimiter.removeConnection(connection);
+    this.unaccounted += session.held;
+    this.probeDisconnectedUntilMs.set(session.name, nowMs + DISCONNECTED_GATEWAY_PROBE_MS);
+    this.publisher.publishIfChanged(nowMs);
   }
 
-  /** Takes in what a look at the back end brought. */
-  takeReading(reading: EngineReading, nowMs: number): void {
-    if (this.isOfAnotherLife(reading)) {
-      // It ended and started again between two looks: gateways hear of both.
+  /** Applies the result of a probe. */
+  takeReading(result: EngineReading, nowMs: number): void {
+    if (this.detectRestart(result)) {
+      // The engine restarted between two probes: publish its exit and its return.
       this.takeReading({ kind: 'closed' }, nowMs);
     }
-    const before = this.condition;
-    this.engine.noteReading(reading, nowMs);
-    this.tellAvailability(before, nowMs);
-    if (reading.kind === 'load' && this.needsReconciliation(nowMs)) {
-      this.reconcile(reading.requests);
+    const before = this.availabilityAndCause;
+    this.engineHealth.noteReading(result, nowMs);
+    this.publishAvailabilityChange(before, nowMs);
+    if (result.kind === 'load' && this.needsReconciliation(nowMs)) {
+      this.reconcile(result.requests);
     }
-    this.settle(nowMs);
+    this.grantAndPublish(nowMs);
   }
 
-  private isOfAnotherLife(reading: EngineReading): boolean {
-    const told = reading.kind === 'load' ? reading.bornAtMs : undefined;
-    // Anything may answer there: what is no time tells nothing.
-    const bornAtMs = Number.isSafeInteger(told) ? told : undefined;
-    const isAnother = bornAtMs !== undefined && (this.bornAtMs ?? bornAtMs) !== bornAtMs;
-    this.bornAtMs = bornAtMs ?? this.bornAtMs;
-    return isAnother;
+  /** Stores the reported start time; returns whether it differs from the previous one. */
+  private detectRestart(result: EngineReading): boolean {
+    const reported = result.kind === 'load' ? result.bornAtMs : undefined;
+    // Any process may respond at that address: ignore values that are no timestamp.
+    const startedAtMs = Number.isSafeInteger(reported) ? reported : undefined;
+    const hasRestarted =
+      startedAtMs !== undefined && (this.engineStartedAtMs ?? startedAtMs) !== startedAtMs;
+    this.engineStartedAtMs = startedAtMs ?? this.engineStartedAtMs;
+    return hasRestarted;
   }
 
-  /** Takes in the back end's own count of requests that run or wait there. */
+  /**
+   * Recomputes unaccounted slots from the back end's own count of requests that run or wait there.
+   */
   private reconcile(requestsAtBackend: number): void {
     const before = this.unaccounted;
     this.unaccounted = Math.max(0, requestsAtBackend - this.held);
@@ -255,70 +270,73 @@
 
   private admit(connection: number, hello: SlotHello, nowMs: number): void {
     const { gateway, held, slots, zone } = hello;
-    for (const [other, account] of this.accounts) {
-      if (account.name === gateway) {
+    for (const [other, session] of this.sessions) {
+      if (session.name === gateway) {
         this.disconnect(other, nowMs);
       }
     }
     const distance = zone === undefined ? undefined : this.ports.distanceTo?.(zone);
-    this.goneUntilMs.delete(gateway);
+    this.probeDisconnectedUntilMs.delete(gateway);
     this.slots = slots;
     this.unaccounted = Math.max(0, this.unaccounted - held);
-    this.accounts.set(connection, new GatewayAccount(gateway, held, nowMs, distance));
-    this.teller.owe();
+    this.sessions.set(connection, new GatewaySession(gateway, held, nowMs, distance));
+    this.publisher.forceNextUpdate();
   }
 
-  private receiveFromKnown(
+  private receiveFromAdmitted(
     connection: number,
     message: Exclude<SlotMessage, { kind: 'hello' }>,
     nowMs: number,
   ): void {
-    const account = this.accounts.get(connection);
-    if (account === undefined) {
+    const session = this.sessions.get(connection);
+    if (session === undefined) {
       return;
     }
-    account.hear(nowMs);
+    session.noteMessage(nowMs);
     switch (message.kind) {
       case 'demand':
-        account.clockMs = message.atMs ?? account.clockMs;
-        account.setWaiting(message.ranks, message.grantsSeen, nowMs);
+        session.clockMs = message.atMs ?? session.clockMs;
+        session.setWaiting(message.ranks, message.grantsSeen, nowMs);
         break;
       case 'speed':
-        this.learnSpeed(message.speed);
+        this.mergeSpeed(message.speed);
         break;
       case 'taken':
-        account.take();
-        this.checkTake(account, message);
-        this.starts.noteTaken(nowMs);
+        session.take();
+        this.reportForbiddenTake(session, message);
+        this.startLimiter.noteTaken(nowMs);
         break;
       case 'grant-used':
-        account.noteGrantAnswered(nowMs);
-        this.starts.noteUsed(connection, nowMs);
+        session.noteGrantAnswered(nowMs);
+        this.startLimiter.noteUsed(connection, nowMs);
         break;
       case 'grant-returned':
-        account.noteGrantAnswered(nowMs);
-        this.starts.noteReturned(connection);
-        account.release();
+        session.noteGrantAnswered(nowMs);
+        this.startLimiter.noteReturned(connection);
+        session.release();
         break;
       case 'released':
-        account.release();
+        session.release();
         if (message.isSilent === true) {
-          this.noteSilence(account.name, nowMs);
+          this.noteNoResponse(session.name, nowMs);
         } else {
           this.noteOutcome(message.hasFailed, nowMs);
         }
         break;
       case 'proven':
-        this.noteProven(nowMs);
+        this.noteEngineResponse(nowMs);
         break;
       case 'alive':
-        account.clockMs = message.atMs ?? account.clockMs;
+        session.clockMs = message.atMs ?? session.clockMs;
         break;
     }
   }
 
-  /** It cannot be undone, since the request is on its way: it is told, and counted. */
-  private checkTake({ name: gateway }: GatewayAccount, taken: SlotTaken): void {
+  /**
+   * Reports a take that restrictions forbid; it cannot be undone, since the request is already in
+   * flight.
+   */
+  private reportForbiddenTake({ name: gateway }: GatewaySession, taken: SlotTaken): void {
     const { allowedRegions, homeOwner } = taken;
     const reason = this.ports.restriction(regionsOf(taken), homeOwner);
     if (reason !== undefined) {
@@ -332,78 +350,81 @@
     }
     this.failures.note(hasFailed, nowMs);
     if (!hasFailed) {
-      this.noteProven(nowMs);
+      this.noteEngineResponse(nowMs);
       return;
     }
-    const before = this.condition;
-    this.engine.noteFailure(nowMs);
+    const before = this.availabilityAndCause;
+    this.engineHealth.noteFailure(nowMs);
     this.ports.onLookWanted();
-    this.tellAvailability(before, nowMs);
+    this.publishAvailabilityChange(before, nowMs);
   }
 
-  private noteSilence(gateway: string, nowMs: number): void {
-    const isEnginesOwn = this.silences.noteSilence(gateway, nowMs);
-    // The one request that tries an engine which failed before must be answered, or it rests on.
-    if (isEnginesOwn || this.engine.availability === 'trial') {
+  private noteNoResponse(gateway: string, nowMs: number): void {
+    const isEngineFailure = this.noResponseReports.noteNoResponse(gateway, nowMs);
+    // A trial request without a response counts as a failure, so that the back-off continues.
+    if (isEngineFailure || this.engineHealth.availability === 'trial') {
       this.noteOutcome(true, nowMs);
       return;
     }
-    this.engine.noteDoubt();
+    this.engineHealth.requestProbe();
     this.ports.onLookWanted();
   }
 
-  private noteProven(nowMs: number): void {
-    this.silences.noteAnswer();
-    const before = this.condition;
-    this.engine.noteAnswer();
-    this.tellAvailability(before, nowMs);
+  private noteEngineResponse(nowMs: number): void {
+    this.noResponseReports.noteResponse();
+    const before = this.availabilityAndCause;
+    this.engineHealth.noteResponse();
+    this.publishAvailabilityChange(before, nowMs);
   }
 
-  /** Gateways learn at once whether they may use the back end, and that it has ended. */
-  private tellAvailability(before: EngineCondition, nowMs: number): void {
-    const { availability, closedCause } = this.engine;
+  /** Publishes a changed availability immediately, and that the engine has exited. */
+  private publishAvailabilityChange(before: AvailabilityAndCause, nowMs: number): void {
+    const { availability, closedCause } = this.engineHealth;
     if (availability !== before.availability || closedCause !== before.closedCause) {
       this.ports.onAvailability(availability, closedCause);
-      this.teller.tellAll(nowMs);
+      this.publisher.broadcast(nowMs);
     }
   }
 
-  private get condition(): EngineCondition {
-    const { availability, closedCause } = this.engine;
+  private get availabilityAndCause(): AvailabilityAndCause {
+    const { availability, closedCause } = this.engineHealth;
     return { availability, closedCause };
   }
 
-  /** What is learned first is told at once; what changes later goes with the next count. */
-  private learnSpeed(speed: LearnedSpeed): void {
-    const isNew = this.speed.prefill === undefined && speed.prefill !== undefined;
+  /**
+   * Merges reported estimates; the first prefill speed is published immediately, later ones with
+   * the next state.
+   */
+  private mergeSpeed(speed: LearnedSpeed): void {
+    const isFirst = this.speed.prefill === undefined && speed.prefill !== undefined;
     this.speed = { ...this.speed, ...speed };
-    if (isNew) {
-      this.teller.owe();
+    if (isFirst) {
+      this.publisher.forceNextUpdate();
     }
   }
 
-  private grant(nowMs: number): void {
+  private grantFreeSlots(nowMs: number): void {
     while (this.occupied < this.grantableSlots) {
       const next = this.findFirstWaiting(nowMs);
       if (next === undefined) {
         return;
       }
-      const heldMs = this.starts.msUntilGrant(this.ports.startRules(nowMs), nowMs);
-      if (heldMs > 0) {
-        this.ports.onStartsHeld(heldMs);
+      const delayMs = this.startLimiter.msUntilGrant(this.ports.startRules(nowMs), nowMs);
+      if (delayMs > 0) {
+        this.ports.onStartsHeld(delayMs);
         return;
       }
-      const { connection, account, waiting } = next;
-      account.grant(waiting, nowMs);
-      this.starts.noteGranted(connection, nowMs);
+      const { connection, session, waiting } = next;
+      session.grant(waiting, nowMs);
+      this.startLimiter.noteGranted(connection, nowMs);
       this.ports.onGranted();
-      this.ports.send(connection, grantFor(account, waiting));
+      this.ports.send(connection, toGrantMessage(session, waiting));
     }
   }
 
-  /** Slots that may be taken now; whatever is taken beyond runs on. */
+  /** Slots that may be occupied now; requests beyond this number continue to run. */
   private get grantableSlots(): number {
-    const { availability, isSuspect } = this.engine;
+    const { availability, isSuspect } = this.engineHealth;
     if (availability === 'closed' || isSuspect) {
       return 0;
     }
@@ -412,66 +433,69 @@
 
   private findFirstWaiting(nowMs: number): NextGrant | undefined {
     let best: NextGrant | undefined;
-    for (const [connection, account] of this.accounts) {
-      const waiting = this.firstPermitted(account);
-      if (waiting === undefined || account.hasLapsedGrant(nowMs, this.silence)) {
+    for (const [connection, session] of this.sessions) {
+      const waiting = this.firstPermitted(session);
+      if (waiting === undefined || session.hasOverdueGrant(nowMs, this.timeouts)) {
         continue;
       }
       if (best === undefined || compareWaiting(waiting, best.waiting, nowMs) < 0) {
-        best = { connection, account, waiting };
+        best = { connection, session, waiting };
       }
     }
     return best;
   }
 
-  /** The gateway's first waiting request that operators permit here. */
-  private firstPermitted({ waiting }: GatewayAccount): WaitingRequest | undefined {
+  /** The gateway's first waiting request that restrictions permit here. */
+  private firstPermitted({ waiting }: GatewaySession): WaitingRequest | undefined {
     return waiting.find(
       ({ allowedRegions, homeOwner }) => !this.ports.restriction(allowedRegions, homeOwner),
     );
   }
 
-  /** Tells gateways what changed since they were told last. */
+  /** Sends state messages for changes since the last ones. */
   tellChanges(nowMs: number): void {
-    this.teller.tellChanges(nowMs);
+    this.publisher.publishChanges(nowMs);
   }
 
-  /** Operators' orders changed: gateways are told at once, and what is permitted now is granted. */
-  followOrders(nowMs: number): void {
-    this.grant(nowMs);
-    this.teller.tellAll(nowMs);
+  /**
+   * Handles changed restrictions: grants newly permitted requests and publishes the state
+   * immediately.
+   */
+  onRestrictionsChanged(nowMs: number): void {
+    this.grantFreeSlots(nowMs);
+    this.publisher.broadcast(nowMs);
   }
 
-  /** Shows gateways that the agent lives, unless they were told something in the last `quietMs`. */
+  /** Sends a state message as heartbeat unless one was broadcast in the last `quietMs`. */
   beat(quietMs: number, nowMs: number): void {
     if (this.ports.startRules(nowMs) !== undefined) {
-      this.settle(nowMs);
+      this.grantAndPublish(nowMs);
     }
-    this.teller.beat(quietMs, nowMs);
+    this.publisher.sendHeartbeat(quietMs, nowMs);
   }
 
-  private tell(connection: number, account: GatewayAccount, nowMs: number): void {
+  private sendState(connection: number, session: GatewaySession, nowMs: number): void {
     const { occupied, speed } = this;
     const homes = this.ports.homesToTell();
     const grantsOnly = this.grantsOnly(nowMs);
-    this.toldGrantsOnly = grantsOnly;
-    const roundTripMs = account.takeRoundTripNews();
+    this.sentGrantsOnly = grantsOnly;
+    const roundTripMs = session.takeRoundTripUpdate();
     this.ports.send(connection, {
       kind: 'state',
       occupied,
-      messagesSeen: account.messagesSeen,
+      messagesSeen: session.messagesSeen,
       speed,
       ...(roundTripMs === undefined ? {} : { roundTripMs }),
       failureShare: this.failures.share(nowMs),
-      availability: this.engine.availability,
-      ...(this.engine.closedCause === 'port-closed' && { hasEnded: true }),
+      availability: this.engineHealth.availability,
+      ...(this.engineHealth.closedCause === 'port-closed' && { hasEnded: true }),
       ...(homes === undefined ? {} : { homes }),
       ...(grantsOnly && { grantsOnly }),
     });
   }
 }
 
-function grantFor({ clockMs }: GatewayAccount, { homeOwner }: WaitingRequest): SlotAnswer {
+function toGrantMessage({ clockMs }: GatewaySession, { homeOwner }: WaitingRequest): SlotAnswer {
   return {
     kind: 'granted',
     ...(clockMs === undefined ? {} : { heardAtMs: clockMs }),
--- a/src/slot-agent/slot-messages.ts
+++ b/src/slot-agent/slot-messages.ts
@@ -1,179 +1,199 @@
-/** What gateways and slot agents say to each other. */
+/** Messages between gateways and slot agents. */
 import type { Service } from '../routing/configuration.js';
 import type { EngineAvailability } from './engine-watch.js';
 import type { HomeOwner } from '../routing/named-homes.js';
 import type { GrantsOnly } from './start-limiter.js';
 import type { RecordsAnswer, RecordsFetch, RecordsReach } from '../cluster/record-exchange.js';
 
-/** What a gateway says of where a request may be served. */
+/** Regions in which a request may be served, as stated by its gateway. */
 export interface StatedHomes {
-  /** Regions in which the request may be served, as the gateway knows; missing for any. */
+  /** Allowed regions according to the gateway; omitted for any region. */
   readonly allowedRegions?: readonly string[];
-  /** Who may name regions for it, by which the agent looks for itself; missing while it knows of none. */
+  /**
+   * Route and tenant of the request, whose regions the agent looks up in its own configuration;
+   * omitted while the gateway has none.
+   */
   readonly homeOwner?: HomeOwner;
 }
 
-/** What gives a waiting request its place in the order; times are relative, since clocks differ. */
+/** Priority of a waiting request; times are relative, since clocks differ. */
 export interface WaitingRank extends StatedHomes {
   readonly tier: number;
   readonly rankInTier: number;
   /** How long the request has waited, in milliseconds. */
   readonly waitedMs: number;
-  /** How long it may still wait to be answered in time, in milliseconds; negative when it is late. */
+  /**
+   * Time left until the request must be sent to meet its deadline, in milliseconds; negative once
+   * it is late.
+   */
   readonly startInMs: number;
 }
 
-/** What the back end's service says of slow starts. */
+/** Cold-start settings of the back end's service. */
 export type ColdStartHello = Pick<Service, 'coldStartMs' | 'coldRequestsPerS'>;
 
-/** A gateway's first message on a connection. */
+/** First message of a gateway on a connection. */
 export interface SlotHello {
   readonly kind: 'hello';
   readonly gateway: string;
-  /** Zone of the gateway; missing where it is not told: it is taken to be the engine's. */
+  /** Zone of the gateway; if omitted, the engine's zone is assumed. */
   readonly zone?: string;
   /** Slots that the gateway's requests occupy at this back end. */
   readonly held: number;
-  /** Address that the gateway takes connections of peers at, IP:PORT; may be empty. */
+  /** Address on which the gateway accepts peer connections, IP:PORT; may be empty. */
   readonly peersAddress: string;
-  /** Slots of the back end, as it announced them. */
+  /** Slots of the back end according to its announcement. */
   readonly slots: number;
-  /** Missing where back ends of the service bear any rate from their start. */
+  /** Omitted if back ends of the service accept any request rate from their start. */
   readonly coldStart?: ColdStartHello;
 }
 
-/** The requests that wait in a gateway; replaces what it said before. */
+/** Requests that wait in a gateway; replaces its previous demand message. */
 export interface SlotDemand {
   readonly kind: 'demand';
-  /** The first in order, best first. */
+  /** Ranks of the first waiting requests, highest priority first. */
   readonly ranks: readonly WaitingRank[];
-  /** Grants that the gateway had received when it said so. */
+  /** Grants that the gateway had received when it sent this message. */
   readonly grantsSeen: number;
-  /** The gateway's clock, in milliseconds; missing where the rate of starts has no bound. */
+  /** The gateway's clock, in milliseconds; omitted if the start rate is unlimited. */
   readonly atMs?: number;
-  /** How much longer the gateway takes the back end for cold, in milliseconds; missing where it does not. */
+  /**
+   * How much longer the gateway considers the back end cold, in milliseconds; omitted if it is
+   * warm.
+   */
   readonly coldMs?: number;
 }
 
-/** The gateway began a request on a slot that it took for free. */
+/** The gateway sent a request to the engine on a free slot without a grant. */
 export interface SlotTaken extends StatedHomes {
   readonly kind: 'taken';
 }
 
-/** The gateway gives back a slot, since a request ended. */
+/** The gateway gives back a slot after a request ended. */
 export interface SlotReleased {
   readonly kind: 'released';
-  /** Whether the back end failed the request or answered it; undefined where its end says neither. */
+  /**
+   * Whether the back end failed the request (true) or responded to it (false); undefined if neither
+   * is known.
+   */
   readonly hasFailed?: boolean;
-  /** Whether nothing was heard of the request: the back end may hang, or the gateway's path to it be cut. */
+  /**
+   * Whether there was no response at all: the back end may hang, or the gateway's network path to
+   * it be broken.
+   */
   readonly isSilent?: boolean;
 }
 
-/** The engine on trial has begun to answer. */
-export interface EngineProven {
+/** The engine began to respond to a trial request. */
+export interface TrialResponseStarted {
   readonly kind: 'proven';
 }
 
-/** The gateway bound a request to the oldest grant that it had not answered. */
+/** Answers the oldest unanswered grant: the gateway sent a request on it. */
 export interface GrantUsed {
   readonly kind: 'grant-used';
 }
 
-/** The gateway has no use for the oldest grant that it had not answered. */
+/** Answers the oldest unanswered grant: the gateway does not need it. */
 export interface GrantReturned {
   readonly kind: 'grant-returned';
 }
 
-/** The gateway lives; sent while it holds slots or has requests waiting and nothing else was sent. */
-export interface GatewayAlive {
+/** Keepalive; sent while the gateway holds slots or has requests waiting and sends nothing else. */
+export interface GatewayKeepalive {
   readonly kind: 'alive';
   /** The gateway's clock, in milliseconds. */
   readonly atMs?: number;
 }
 
-/** Time from a send to the first event: `baseMs` and `msPerToken` for each token of the prompt, in milliseconds. */
+/**
+ * Time from send to first event: `baseMs` plus `msPerToken` for each prompt token, in milliseconds.
+ */
 export interface PrefillSpeed {
   readonly baseMs: number;
   readonly msPerToken: number;
 }
 
-/** What gateways learned of an engine's speed; each value is missing until something was learned. */
+/** Engine speed estimated by gateways; each value is omitted until there is an estimate. */
 export interface LearnedSpeed {
   readonly prefill?: PrefillSpeed;
-  /** Pause between two events of a stream, in milliseconds. */
+  /** Time between two events of a stream, in milliseconds. */
   readonly eventMs?: number;
   /** Time for one unit of work, in milliseconds. */
   readonly msPerUnit?: number;
 }
 
-/** What a gateway has learned so far; the agent hands it to gateways that start. */
-export interface SpeedLearned {
+/** Speed estimates of a gateway; the agent forwards them to gateways that connect later. */
+export interface SpeedUpdate {
   readonly kind: 'speed';
   readonly speed: LearnedSpeed;
 }
 
-/** Anything that a gateway says of slots. */
+/** Slot messages from a gateway to an agent. */
 export type SlotMessage =
   | SlotHello
   | SlotDemand
   | SlotTaken
   | SlotReleased
-  | EngineProven
+  | TrialResponseStarted
   | GrantUsed
   | GrantReturned
-  | GatewayAlive
-  | SpeedLearned;
+  | GatewayKeepalive
+  | SpeedUpdate;
 
-/** Anything that a gateway says. */
+/** All messages from a gateway to an agent. */
 export type GatewayToAgent = SlotMessage | RecordsReach | RecordsAnswer;
 
-/** The agent grants one slot to the gateway. */
+/** Grants one slot to the gateway. */
 export interface SlotGranted {
   readonly kind: 'granted';
-  /** The latest time of its own clock that the gateway had told; missing where it told none. */
+  /**
+   * Latest reading of the gateway's own clock that the agent received, by which the gateway rejects
+   * grants that are based on an outdated demand; omitted if it sent none.
+   */
   readonly heardAtMs?: number;
-  /** Whose waiting request it is granted for, where the gateway stated that. */
+  /** Route and tenant of the request that the slot is granted for, if the gateway stated them. */
   readonly homeOwner?: HomeOwner;
 }
 
-/** What an agent knows of homes; gateways check themselves by it. */
+/** Region information of an agent, which gateways check before they take a free slot. */
 export interface AgentHomes {
-  /** Region of the engine; undefined for a zone that the agent's settings do not hold. */
+  /** Region of the engine; undefined if the agent's settings do not define its zone. */
   readonly region: string | undefined;
-  /** Version of the newest configuration that the agent knows. */
+  /** Version of the latest configuration that the agent has. */
   readonly configuration: number;
 }
 
-/** How many slots are occupied. */
+/** Occupied slots and health of the engine. */
 export interface SlotState {
   readonly kind: 'state';
   readonly occupied: number;
-  /** Messages of this gateway (after its hello) that the count reflects. */
+  /** Number of messages of this gateway (after its hello) that are included in `occupied`. */
   readonly messagesSeen: number;
-  /** What gateways learned of the engine. */
+  /** Engine speed estimated by gateways. */
   readonly speed: LearnedSpeed;
-  /** Share of the requests of all gateways that failed there lately, from 0 to 1. */
+  /** Share of recent requests of all gateways that failed at the engine, from 0 to 1. */
   readonly failureShare: number;
-  /** Time of a message there and back, as the answers to grants showed; missing where it is no news. */
+  /** Round trip time in milliseconds, measured from answers to grants; omitted if unchanged. */
   readonly roundTripMs?: number;
-  /** Whether the engine may be used, as the agent beside it sees. */
+  /** Whether the engine may be sent requests, according to its agent. */
   readonly availability: EngineAvailability;
-  /** Whether the agent finds that nothing listens at the engine's address; missing for no. */
+  /** Whether nothing listens at the engine's address; omitted for false. */
   readonly hasEnded?: boolean;
-  /** Missing while the configuration that the agent knows names no homes. */
+  /** Omitted while the agent's configuration restricts no request to regions. */
   readonly homes?: AgentHomes | undefined;
-  /** Why free slots are only granted; missing while gateways may take them. */
+  /** Why slots are available by grant only; omitted while gateways may take free slots. */
   readonly grantsOnly?: GrantsOnly;
 }
 
-/** Anything that an agent says of slots. */
+/** Slot messages from an agent to a gateway. */
 export type SlotAnswer = SlotGranted | SlotState;
 
-/** The agent closes the connection. */
+/** Reason sent before the agent closes the connection. */
 export interface AgentRefusal {
   readonly kind: 'refused';
   readonly reason: 'hello-missing' | 'silent';
 }
 
-/** Anything that an agent says. */
+/** All messages from an agent to a gateway. */
 export type AgentToGateway = SlotAnswer | RecordsFetch | AgentRefusal;
--- a/src/slot-agent/slot-teller.ts
+++ b/src/slot-agent/slot-teller.ts
@@ -1,98 +1,101 @@
-/** Decides when an agent tells its gateways how many slots are occupied, without I/O. */
-import type { GatewayAccount } from './gateway-account.js';
+/** Decides when an agent sends state messages to its gateways, without I/O. */
+import type { GatewaySession } from './gateway-account.js';
 
-/** Counts that gateways are told of. */
+/** Slot counts of the engine. */
 export interface SlotCounts {
-  /** Occupied slots. */
+  /** Slots in use or granted. */
   occupied(): number;
-  /** All slots. */
+  /** Total slots. */
   capacity(): number;
 }
 
-/** How gateways are told. */
-export interface SlotTellerPorts {
-  /** Tells one gateway how things stand. */
-  tell(connection: number, account: GatewayAccount, nowMs: number): void;
-  /** Gateways are to be told of changes soon, by `tellChanges`. */
-  onChangesToTell(): void;
+/** Callbacks of the publisher. */
+export interface SlotStatePublisherPorts {
+  /** Sends a state message to one gateway. */
+  sendState(connection: number, session: GatewaySession, nowMs: number): void;
+  /** Called when changes are pending; the callee invokes `publishChanges` after a short delay. */
+  onChangesPending(): void;
 }
 
-/** Free slots up to which every change is told at once. */
+/** Number of free slots at or below which every change is sent immediately. */
 const NEAR_FULL_SLOTS = 1;
 
-/** Tells gateways of slots. */
-export class SlotTeller {
-  /** Below 0 while some gateway is owed a first word. */
-  private lastToldOccupied = -1;
-  private toldAllAtMs = -Infinity;
-  private isTellingPlanned = false;
+/** Publishes the slot state to gateways. */
+export class SlotStatePublisher {
+  /** Occupied count of the last broadcast; below 0 forces the next update. */
+  private lastSentOccupied = -1;
+  private lastBroadcastAtMs = -Infinity;
+  private isUpdateScheduled = false;
 
   constructor(
     /** The connected gateways, by connection. */
-    private readonly accounts: ReadonlyMap<number, GatewayAccount>,
+    private readonly sessions: ReadonlyMap<number, GatewaySession>,
     private readonly counts: SlotCounts,
-    private readonly ports: SlotTellerPorts,
+    private readonly ports: SlotStatePublisherPorts,
   ) {}
 
-  /** A gateway connected, or something beside the count is news to all: the next word is owed at once. */
-  owe(): void {
-    this.lastToldOccupied = -1;
+  /**
+   * Makes the next update a broadcast, after a gateway connected or something other than the count
+   * changed.
+   */
+  forceNextUpdate(): void {
+    this.lastSentOccupied = -1;
   }
 
   /**
-   * Tells what changed. A count near the capacity is told at once, since gateways that believe in a free
-   * slot take it. Others can wait, and several changes are told as one.
+   * Publishes changes. A count near the capacity is sent immediately, since gateways take a slot
+   * that they consider free. Other changes are delayed and batched.
    */
-  tellIfChanged(nowMs: number): void {
+  publishIfChanged(nowMs: number): void {
     const occupied = this.counts.occupied();
     const nearFull = this.counts.capacity() - NEAR_FULL_SLOTS;
-    const isNearFull = Math.max(occupied, this.lastToldOccupied) >= nearFull;
-    if (this.lastToldOccupied < 0 || (isNearFull && occupied !== this.lastToldOccupied)) {
-      this.tellAll(nowMs);
+    const isNearFull = Math.max(occupied, this.lastSentOccupied) >= nearFull;
+    if (this.lastSentOccupied < 0 || (isNearFull && occupied !== this.lastSentOccupied)) {
+      this.broadcast(nowMs);
       return;
     }
-    const hasChanges = occupied !== this.lastToldOccupied || this.findUntold().length > 0;
-    if (hasChanges && !this.isTellingPlanned) {
-      this.isTellingPlanned = true;
-      this.ports.onChangesToTell();
+    const hasChanges = occupied !== this.lastSentOccupied || this.findOutdated().length > 0;
+    if (hasChanges && !this.isUpdateScheduled) {
+      this.isUpdateScheduled = true;
+      this.ports.onChangesPending();
     }
   }
 
-  /** Tells gateways what changed since they were told last. */
-  tellChanges(nowMs: number): void {
-    this.isTellingPlanned = false;
-    if (this.counts.occupied() !== this.lastToldOccupied) {
-      this.tellAll(nowMs);
+  /** Sends state messages for changes since the last ones. */
+  publishChanges(nowMs: number): void {
+    this.isUpdateScheduled = false;
+    if (this.counts.occupied() !== this.lastSentOccupied) {
+      this.broadcast(nowMs);
       return;
     }
-    for (const [connection, account] of this.findUntold()) {
-      this.tell(connection, account, nowMs);
+    for (const [connection, session] of this.findOutdated()) {
+      this.send(connection, session, nowMs);
     }
   }
 
-  /** Shows gateways that the agent lives, unless they were told something in the last `quietMs`. */
-  beat(quietMs: number, nowMs: number): void {
-    if (nowMs - this.toldAllAtMs >= quietMs) {
-      this.tellAll(nowMs);
+  /** Broadcasts the state as heartbeat unless it was broadcast in the last `quietMs`. */
+  sendHeartbeat(quietMs: number, nowMs: number): void {
+    if (nowMs - this.lastBroadcastAtMs >= quietMs) {
+      this.broadcast(nowMs);
     }
   }
 
-  /** Tells every gateway how many slots are occupied. */
-  tellAll(nowMs: number): void {
-    this.toldAllAtMs = nowMs;
-    this.lastToldOccupied = this.counts.occupied();
-    for (const [connection, account] of this.accounts) {
-      this.tell(connection, account, nowMs);
+  /** Sends a state message to every gateway. */
+  broadcast(nowMs: number): void {
+    this.lastBroadcastAtMs = nowMs;
+    this.lastSentOccupied = this.counts.occupied();
+    for (const [connection, session] of this.sessions) {
+      this.send(connection, session, nowMs);
     }
   }
 
-  /** Gateways that took or returned slots of which the count that they know does not show. */
-  private findUntold(): Array<[number, GatewayAccount]> {
-    return [...this.accounts].filter(([, account]) => account.hasUntoldTakes);
+  /** Gateways that took slots which the last state message sent to them does not include. */
+  private findOutdated(): Array<[number, GatewaySession]> {
+    return [...this.sessions].filter(([, session]) => session.hasUnreportedTakes);
   }
 
-  private tell(connection: number, account: GatewayAccount, nowMs: number): void {
-    account.hasUntoldTakes = false;
-    this.ports.tell(connection, account, nowMs);
+  private send(connection: number, session: GatewaySession, nowMs: number): void {
+    session.hasUnreportedTakes = false;
+    this.ports.sendState(connection, session, nowMs);
   }
 }
--- a/src/slot-agent/start-window.ts
+++ b/src/slot-agent/start-window.ts
@@ -1,26 +1,28 @@
 /**
- * Counts requests that begin at a back end in any one second, exactly, without I/O.
+ * Sliding window that counts request starts at a back end within any one second, exactly, without
+ * I/O.
  *
- * A start may be known only as a span: a slot that was granted is used at some moment from the grant to the
- * word that it was used. It counts from when it is noted until a second after the latest moment at which it
- * may have begun. So no second, wherever it is laid, holds more starts than were ever counted at once: when
- * the last of those in it was noted, all others in it still counted.
+ * The time of a start may be known only as an interval: a granted slot is used at some time between
+ * the grant and the message that reports its use. A start counts from its registration until one
+ * second after the latest time at which it may happen. Therefore no interval of one second contains
+ * more starts than were ever counted at once: when the last of them was registered, all others
+ * still counted.
  */
 
-/** A start, or a permission for one. */
+/** A start, or a grant that may lead to one. */
 export interface Start {
-  /** The latest moment at which the request is sent, in milliseconds. */
+  /** Latest time at which the request is sent, in milliseconds. */
   latestMs: number;
 }
 
-/** A second, and a margin for clocks that round and for timers that fire early, in milliseconds. */
+/** One second plus a margin for clock rounding and timers that fire early, in milliseconds. */
 export const START_WINDOW_MS = 1_000 + 20;
 
-/** The starts of the last second. */
+/** Request starts of the last second. */
 export class StartWindow {
   private starts: Start[] = [];
 
-  /** Notes a start that happens from now until `latestMs`. */
+  /** Registers a start that happens between now and `latestMs`. */
   add(latestMs: number, nowMs: number): Start {
     while (this.starts.length > 0 && this.starts[0]!.latestMs <= nowMs - START_WINDOW_MS) {
       this.starts.shift();
@@ -30,18 +32,21 @@
     return start;
   }
 
-  /** The start never happens. */
+  /** Removes a start that will not happen. */
   remove(start: Start): void {
     this.starts = this.starts.filter((other) => other !== start);
   }
 
-  /** Starts that may lie in the second that ends now. */
+  /** Number of starts that may lie within the second that ends now. */
   count(nowMs: number): number {
     this.starts = this.starts.filter(({ latestMs }) => latestMs > nowMs - START_WINDOW_MS);
     return this.starts.length;
   }
 
-  /** Time until fewer than `limit` starts count, in milliseconds; 0 if that is so, Infinity for a limit of 0. */
+  /**
+   * Time until fewer than `limit` starts count, in milliseconds; 0 if so already, Infinity for a
+   * limit of 0.
+   */
   msUntilBelow(limit: number, nowMs: number): number {
     const excess = this.count(nowMs) - limit + 1;
     if (limit <= 0 || excess <= 0) {
--- a/src/slot-agent/waiting-order.ts
+++ b/src/slot-agent/waiting-order.ts
@@ -1,43 +1,43 @@
 /**
- * Query: the order in which waiting requests get slots; gateways and agents use the same.
+ * Priority order in which waiting requests get slots, shared by gateways and agents.
  *
- * A lower tier goes first. Inside a tier a request that can no longer be answered in time falls behind
- * the next route in rank, since a late answer is worth less, and stays before the one after that; then
- * comes age.
+ * Requests are ordered by tier, lower first, then by rank, then by arrival. Within a tier, a
+ * request that can no longer meet its deadline is ordered behind the next rank, since a late
+ * response is worth less, but before the rank after that.
  */
 
 /**
- * Ranks by which a late request falls. The users' late answers keep a tenth to a half of their worth, and
- * answers of neighbouring ranks differ two to ten times in worth, so that it falls by about one rank: a
- * half more says that an answer in time of the next rank goes first.
+ * Ranks that are added to the rank of a late request. A late response keeps a tenth to a half of
+ * its value, and the values of adjacent ranks differ by a factor of two to ten, so lateness costs
+ * about one rank; the additional half puts requests of the next rank that are in time first.
  */
-const LATE_RANKS = 1.5;
+const LATE_RANK_PENALTY = 1.5;
 
-/** What the order looks at; times are on the clock of the process that compares. */
+/** Priority of a waiting request; times are on the clock of the process that compares. */
 export interface WaitingPlace {
-  /** Lower numbers go first. */
+  /** Priority tier: lower numbers go first. */
   readonly tier: number;
-  /** Order inside a tier: lower numbers go first. */
+  /** Priority within a tier: lower numbers go first. */
   readonly rankInTier: number;
   /** When the request arrived, in milliseconds. */
   readonly arrivedAtMs: number;
-  /** When it must be sent at the latest to be answered in time, in milliseconds. */
+  /** Latest time to send the request so that it meets its deadline, in milliseconds. */
   readonly startByMs: number;
 }
 
-/** Negative when `left` goes first at `nowMs`. */
+/** Comparator: negative if `left` goes first at `nowMs`. */
 export function compareWaiting(left: WaitingPlace, right: WaitingPlace, nowMs: number): number {
   const leftRank = rankOf(left, isLate(left, nowMs));
   const rightRank = rankOf(right, isLate(right, nowMs));
   return left.tier - right.tier || leftRank - rightRank || left.arrivedAtMs - right.arrivedAtMs;
 }
 
-/** Rank inside a tier: lower numbers go first. */
+/** Effective rank within a tier, with the penalty for a late request; lower numbers go first. */
 export function rankOf({ rankInTier }: WaitingPlace, isPlaceLate: boolean): number {
-  return isPlaceLate ? rankInTier + LATE_RANKS : rankInTier;
+  return isPlaceLate ? rankInTier + LATE_RANK_PENALTY : rankInTier;
 }
 
-/** Whether it can no longer be answered in time. */
+/** Whether the request can no longer meet its deadline. */
 export function isLate(place: WaitingPlace, nowMs: number): boolean {
   return nowMs > place.startByMs;
 }
--- a/src/slot-agent/warm-ceiling.ts
+++ b/src/slot-agent/warm-ceiling.ts
@@ -1,42 +1,52 @@
 /**
- * The standing ceiling of a warm engine, which may turn cold without news, without I/O.
+ * Start rate limit of a warm engine, which may turn cold before its agent learns of it, without
+ * I/O.
  *
- * It costs nothing while the engine is needed less. Where requests go on waiting beside free slots, the engine
- * is needed for more than a cold one bears, and the ceiling is lifted: to refuse what a warm engine could serve
- * would be a certain loss for a rare one.
+ * The limit has no effect while demand is below it. If requests keep waiting beside free slots,
+ * demand exceeds what a cold engine can handle, and the limit is suspended: delaying requests that
+ * a warm engine could serve is a certain loss, while an unnoticed cold start is rare.
  */
 
-/** How long requests may wait for the ceiling's sake before it is lifted, in milliseconds. */
-const HELD_MS = 1_000;
-/** Pause without a wait after which another one counts anew, in milliseconds: some windows of a second. */
-const CALM_MS = 3_000;
-/** Time without need after which it holds again, in milliseconds: some bursts. */
-const LIFTED_MS = 10_000;
+/** How long the limit may delay requests before it is suspended, in milliseconds. */
+const MAX_DELAY_MS = 1_000;
+/**
+ * Time without a delay after which the next one starts a new period, in milliseconds: several
+ * windows of one second.
+ */
+const DELAY_RESET_MS = 3_000;
+/**
+ * Time without excess demand after which the limit applies again, in milliseconds: several bursts.
+ */
+const SUSPENSION_MS = 10_000;
 
-/** The ceiling of one engine. */
-export class WarmCeiling {
-  private heldSinceMs = -Infinity;
-  private lastHeldAtMs = -Infinity;
-  private liftedUntilMs = -Infinity;
+/** Warm start rate limit of one engine. */
+export class WarmStartLimit {
+  private delayedSinceMs = -Infinity;
+  private lastDelayedAtMs = -Infinity;
+  private suspendedUntilMs = -Infinity;
 
-  /** Whether it does not hold for now. */
-  isLifted(nowMs: number): boolean {
-    return nowMs < this.liftedUntilMs;
+  /** Whether the limit is suspended. */
+  isSuspended(nowMs: number): boolean {
+    return nowMs < this.suspendedUntilMs;
   }
 
-  /** Time until a waiting request may have a free slot, where the ceiling would let it begin in `heldMs`. */
-  msUntilGrant(heldMs: number, nowMs: number): number {
-    if (heldMs <= 0) {
+  /**
+   * Time until a waiting request may get a free slot, in milliseconds.
+   *
+   * @param limitDelayMs - time until the limit would permit it
+   */
+  msUntilGrant(limitDelayMs: number, nowMs: number): number {
+    if (limitDelayMs <= 0) {
       return 0;
     }
-    if (nowMs - this.lastHeldAtMs > CALM_MS) {
-      this.heldSinceMs = nowMs;
+    if (nowMs - this.lastDelayedAtMs > DELAY_RESET_MS) {
+      this.delayedSinceMs = nowMs;
     }
-    this.lastHeldAtMs = nowMs;
-    if (!this.isLifted(nowMs) && nowMs - this.heldSinceMs < HELD_MS) {
-      return heldMs;
+    this.lastDelayedAtMs = nowMs;
+    if (!this.isSuspended(nowMs) && nowMs - this.delayedSinceMs < MAX_DELAY_MS) {
+      return limitDelayMs;
     }
-    this.liftedUntilMs = nowMs + LIFTED_MS;
+    this.suspendedUntilMs = nowMs + SUSPENSION_MS;
     return 0;
   }
 }
--- a/test/engine-coldness.test.ts
+++ b/test/engine-coldness.test.ts
@@ -14,54 +14,54 @@
   coldRequestsPerS: 14,
 };
 
-class Records {
+class FakeRecords {
   service: Service | undefined = SERVICE;
   backend: Backend | undefined;
   zoneReturnedAtMs: number | undefined;
 }
 
-function agentAt(startedAtMs: number): { records: Records; coldness: EngineColdness } {
-  const records = new Records();
+function coldStartAt(startedAtMs: number): { records: FakeRecords; coldness: EngineColdness } {
+  const records = new FakeRecords();
   const limits = { coldOver: 1.5, coldSlack: 5 };
   return { records, coldness: new EngineColdness(() => records, limits, startedAtMs) };
 }
 
-test('an agent that has just started takes its engine for cold', (t) => {
-  const { coldness } = agentAt(100);
-  t.is(coldness.coldness(3_099)?.reason, 'not-known');
+test('an agent considers its engine cold for coldStartMs after its own start', (t) => {
+  const { coldness } = coldStartAt(100);
+  t.is(coldness.coldState(3_099)?.reason, 'not-known');
   t.true(coldness.rules(3_099)?.isCold);
   t.false(coldness.rules(3_100)?.isCold);
 });
 
-test('an engine that was gone, or whose zone is in use again, is taken for cold', (t) => {
-  const { records, coldness } = agentAt(0);
-  coldness.noteGone(false, 9_000);
-  coldness.noteGone(true, 10_000);
-  t.is(coldness.coldness(10_000), undefined);
-  coldness.noteGone(false, 11_000);
-  t.is(coldness.coldness(13_999)?.reason, 'was-gone');
-  t.is(coldness.coldness(14_000), undefined);
+test('an engine is considered cold after it was unreachable and after the evacuation of its zone ended', (t) => {
+  const { records, coldness } = coldStartAt(0);
+  coldness.setUnreachable(false, 9_000);
+  coldness.setUnreachable(true, 10_000);
+  t.is(coldness.coldState(10_000), undefined);
+  coldness.setUnreachable(false, 11_000);
+  t.is(coldness.coldState(13_999)?.reason, 'was-gone');
+  t.is(coldness.coldState(14_000), undefined);
   records.zoneReturnedAtMs = 20_000;
-  t.is(coldness.coldness(22_999)?.reason, 'zone-returned');
-  t.is(coldness.coldness(23_000), undefined);
+  t.is(coldness.coldState(22_999)?.reason, 'zone-returned');
+  t.is(coldness.coldState(23_000), undefined);
 });
 
-test('a new incarnation is cold until its announcement says that it no longer is', (t) => {
-  const { records, coldness } = agentAt(0);
+test('a new incarnation is cold until an announcement without remaining cold time', (t) => {
+  const { records, coldness } = coldStartAt(0);
   records.backend = backendOf('first', { revision: 5 });
-  coldness.noteRecords(10_000);
+  coldness.updateFromRecords(10_000);
   records.backend = backendOf('second', { revision: 6, remainingColdMs: 2_500 });
-  coldness.noteRecords(20_000);
-  coldness.noteRecords(20_500);
-  t.is(coldness.coldness(22_999)?.reason, 'new-incarnation');
-  t.is(coldness.position?.revision, 6);
+  coldness.updateFromRecords(20_000);
+  coldness.updateFromRecords(20_500);
+  t.is(coldness.coldState(22_999)?.reason, 'new-incarnation');
+  t.is(coldness.announcementPosition?.revision, 6);
   records.backend = backendOf('second', { revision: 7 });
-  coldness.noteRecords(21_000);
-  t.is(coldness.coldness(21_000), undefined);
+  coldness.updateFromRecords(21_000);
+  t.is(coldness.coldState(21_000), undefined);
 });
 
-test('a gateway whose replica is ahead tells the agent, and one that has just connected names the bound', (t) => {
-  const { records, coldness } = agentAt(0);
+test('without own records, an agent uses the bound from a hello and the cold time from a demand', (t) => {
+  const { records, coldness } = coldStartAt(0);
   records.service = undefined;
   t.is(coldness.rules(0), undefined);
   coldness.noteService({ coldStartMs: COLD_MS, coldRequestsPerS: 14 });
@@ -73,26 +73,26 @@
   t.false(coldness.rules(10_700)?.isCold);
 });
 
-test('a service without slow starts has no rules', (t) => {
-  const { records, coldness } = agentAt(0);
+test('a service without a cold-start rate has no start rules', (t) => {
+  const { records, coldness } = coldStartAt(0);
   records.service = { ...SERVICE, coldRequestsPerS: 0 };
   coldness.noteService({ coldStartMs: COLD_MS, coldRequestsPerS: 14 });
   t.is(coldness.rules(0), undefined);
 });
 
-test('the first announcement that an agent finds is trusted, also where it says that the engine is warm', (t) => {
-  const { records, coldness } = agentAt(0);
+test('the first announcement ends the initial cold period, but not one after the engine was unreachable', (t) => {
+  const { records, coldness } = coldStartAt(0);
   records.backend = backendOf('a', { revision: 5 });
-  coldness.noteRecords(100);
-  t.is(coldness.coldness(100), undefined);
-  const cold = agentAt(0);
+  coldness.updateFromRecords(100);
+  t.is(coldness.coldState(100), undefined);
+  const cold = coldStartAt(0);
   cold.records.backend = backendOf('a', { revision: 5, remainingColdMs: 2_500 });
-  cold.coldness.noteRecords(100);
-  t.is(cold.coldness.coldness(2_599)?.reason, 'announced');
-  const gone = agentAt(0);
-  gone.coldness.noteGone(true, 50);
-  gone.coldness.noteGone(false, 80);
+  cold.coldness.updateFromRecords(100);
+  t.is(cold.coldness.coldState(2_599)?.reason, 'announced');
+  const gone = coldStartAt(0);
+  gone.coldness.setUnreachable(true, 50);
+  gone.coldness.setUnreachable(false, 80);
   gone.records.backend = backendOf('a', { revision: 5 });
-  gone.coldness.noteRecords(100);
-  t.is(gone.coldness.coldness(3_079)?.reason, 'was-gone');
+  gone.coldness.updateFromRecords(100);
+  t.is(gone.coldness.coldState(3_079)?.reason, 'was-gone');
 });
--- a/test/homes-agent-socket.test.ts
+++ b/test/homes-agent-socket.test.ts
@@ -12,7 +12,7 @@
 import { at } from './support/positions.js';
 
 const HOST = '127.0.3.10';
-/** A port below those that the system hands out, on an address of this file's own. */
+/** Port below the ephemeral range, on an address that only this file uses. */
 const PORT = 29_000;
 
 const CONFIGURATION = JSON.stringify({
@@ -23,17 +23,17 @@
   ],
 });
 
-async function until(isTrue: () => boolean): Promise<void> {
-  const endAtMs = Date.now() + 5_000;
-  while (!isTrue()) {
-    if (Date.now() > endAtMs) {
-      throw new Error('did not come true in 5 s');
+async function waitUntil(condition: () => boolean): Promise<void> {
+  const timeoutAtMs = Date.now() + 5_000;
+  while (!condition()) {
+    if (Date.now() > timeoutAtMs) {
+      throw new Error('condition not met within 5 s');
     }
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
 }
 
-test('over a socket: an agent tells what it knows of homes, withholds, names whom it grants, and counts', async (t) => {
+test('over a socket, an agent reports its region info, grants permitted requests only, names their owner and counts forbidden takes', async (t) => {
   const metrics = new SlotAgentMetrics();
   const agent = new SlotAgentRole({
     identity: { name: 'agent', engine: { address: `${HOST}:1`, zone: 'b1' }, seeds: [] },
@@ -53,10 +53,10 @@
   });
   agent.start({ host: HOST, port: PORT, metricsPort: 0 });
   t.teardown(() => agent.stop());
-  const heard: AgentToGateway[] = [];
+  const received: AgentToGateway[] = [];
   const gateway = new MessageChannel<GatewayToAgent, AgentToGateway>(connect(PORT, HOST), {
     onMessage: (message) => {
-      heard.push(message);
+      received.push(message);
       if (message.kind === 'fetch') {
         const record = { key: 'op/config', ...at(1), value: CONFIGURATION };
         const { since } = message;
@@ -68,19 +68,19 @@
     onClose: () => undefined,
   });
   t.teardown(() => gateway.close());
-  const states = () => heard.flatMap((message) => (message.kind === 'state' ? [message] : []));
+  const states = () => received.flatMap((message) => (message.kind === 'state' ? [message] : []));
   gateway.send({ kind: 'hello', gateway: 'g', held: 0, peersAddress: '', slots: 1 });
-  await until(() => states().length > 0);
+  await waitUntil(() => states().length > 0);
   t.is(states()[0]?.homes, undefined);
   gateway.send({ kind: 'reach', reach: { completeTo: at(1), currentTo: at(1) } });
-  await until(() => states().at(-1)?.homes !== undefined);
+  await waitUntil(() => states().at(-1)?.homes !== undefined);
   t.deepEqual(states().at(-1)?.homes, { region: 'b', configuration: 7 });
   const rank = { tier: 0, rankInTier: 0, waitedMs: 0, startInMs: 1_000 };
   const ownerOf = (route: string) => ({ route, tenant: undefined });
   const ranks = ['bound', 'free'].map((route) => ({ ...rank, homeOwner: ownerOf(route) }));
   gateway.send({ kind: 'demand', ranks, grantsSeen: 0 });
-  await until(() => heard.some(({ kind }) => kind === 'granted'));
-  const granted = heard.filter(({ kind }) => kind === 'granted');
+  await waitUntil(() => received.some(({ kind }) => kind === 'granted'));
+  const granted = received.filter(({ kind }) => kind === 'granted');
   t.deepEqual(granted, [{ kind: 'granted', homeOwner: ownerOf('free') }]);
   await metrics.load(() => ({ slots: 1, occupied: 1, unaccounted: 0, gateways: 1 }));
   gateway.send({ kind: 'grant-used' });
@@ -88,7 +88,7 @@
   let text = '';
   const read = () =>
     metrics.record(({ registry }) => void registry.metrics().then((all) => (text = all)));
-  await until(() => {
+  await waitUntil(() => {
     read();
     return text.includes('weirvale_slots_taken_forbidden_total{reason="outside-home"} 1');
   });
--- a/test/homes-agent.test.ts
+++ b/test/homes-agent.test.ts
@@ -41,19 +41,19 @@
   };
   const decoded = decodeRecord(record);
   if (decoded.kind !== 'configuration') {
-    throw new Error('the configuration cannot be read');
+    throw new Error('the configuration record cannot be decoded');
   }
   return decoded.configuration;
 }
 
-/** A gateway, and the agent beside the engine "far" in region b, joined without a wire. */
-class Pair {
+/** A gateway and the agent of engine "far" in region b, connected by direct calls. */
+class GatewayAgentPair {
   readonly world = new GatewayWorld();
-  readonly engine = new EngineKnowledge({ address: 'far:1', zone: 'b1' }, PLACES);
-  readonly forbidden: ForbiddenTake[] = [];
+  readonly agentView = new EngineKnowledge({ address: 'far:1', zone: 'b1' }, PLACES);
+  readonly forbiddenTakes: ForbiddenTake[] = [];
   private readonly ledger: SlotLedger;
   grants = 0;
-  private toldCount = 0;
+  private deliveredCount = 0;
 
   constructor(gateway: RoutingConfiguration, agent: RoutingConfiguration) {
     this.ledger = new SlotLedger({
@@ -67,13 +67,13 @@
       onReconciled: () => undefined,
       onLookWanted: () => undefined,
       onAvailability: () => undefined,
-      restriction: (regions, owner) => this.engine.restriction(regions, owner),
+      restriction: (regions, owner) => this.agentView.restriction(regions, owner),
       startRules: () => undefined,
       onStartsHeld: () => undefined,
-      homesToTell: () => this.engine.homesToTell,
-      onForbiddenTake: (take) => this.forbidden.push(take),
+      homesToTell: () => this.agentView.regionInfo,
+      onForbiddenTake: (take) => this.forbiddenTakes.push(take),
     });
-    this.engine.take({ kind: 'configuration', configuration: agent }, 0);
+    this.agentView.take({ kind: 'configuration', configuration: agent }, 0);
     this.world.engines = true;
     this.world.version = gateway.version;
     this.world.homes = new NamedHomes(gateway);
@@ -85,55 +85,61 @@
     this.ledger.receive(1, hello, 0);
   }
 
-  /** Says something to the agent that the gateway would not. */
-  say(message: SlotMessage): void {
+  /** Sends the agent a message that the gateway itself would not send. */
+  sendToAgent(message: SlotMessage): void {
     this.ledger.receive(1, message, this.world.clock.now());
   }
 
-  /** The next configuration comes into force at one of both; the gateway has the agent's word at once. */
+  /**
+   * Installs the next configuration in the gateway or the agent; the agent's state message arrives
+   * immediately.
+   */
   install(
     at: 'gateway' | 'agent',
     configurations: readonly RoutingConfiguration[],
-    knows: Record<'gateway' | 'agent', number>,
+    installed: Record<'gateway' | 'agent', number>,
   ): void {
-    knows[at] = Math.min(configurations.length - 1, knows[at] + 1);
-    const configuration = configurations[knows[at]]!;
+    installed[at] = Math.min(configurations.length - 1, installed[at] + 1);
+    const configuration = configurations[installed[at]]!;
     if (at === 'gateway') {
       this.world.homes = new NamedHomes(configuration);
       this.world.version = configuration.version;
       this.world.dispatcher.tick(this.world.clock.now());
     } else {
-      this.engine.take({ kind: 'configuration', configuration }, 0);
-      this.ledger.followOrders(this.world.clock.now());
+      this.agentView.take({ kind: 'configuration', configuration }, 0);
+      this.ledger.onRestrictionsChanged(this.world.clock.now());
     }
   }
 
-  /** Hands the agent what the gateway said since. */
+  /** Delivers the messages that the gateway sent since the last call. */
   deliver(): void {
-    for (; this.toldCount < this.world.toAgents.length; this.toldCount += 1) {
-      this.ledger.receive(1, this.world.toAgents[this.toldCount]![1], this.world.clock.now());
+    for (; this.deliveredCount < this.world.toAgents.length; this.deliveredCount += 1) {
+      this.ledger.receive(1, this.world.toAgents[this.deliveredCount]![1], this.world.clock.now());
     }
   }
 }
 
-test('an agent with a newer configuration withholds what a gateway asks for by an old one', (t) => {
-  const pair = new Pair(configurationOf(1, ['a', 'b'], []), configurationOf(2, ['a'], []));
+test('an agent with a newer configuration grants no request that only the older one of a gateway permits', (t) => {
+  const pair = new GatewayAgentPair(
+    configurationOf(1, ['a', 'b'], []),
+    configurationOf(2, ['a'], []),
+  );
   pair.deliver();
   pair.world.request();
   pair.deliver();
   t.deepEqual(pair.world.attempts, []);
-  // What has no homes is granted by the same agent.
+  // The same agent grants a request without home regions.
   pair.world.request({ route: routeOf({ name: 'r1' }), path: '/other' });
   pair.deliver();
   t.deepEqual(
     pair.world.attempts.map(({ path }) => path),
     ['/other'],
   );
-  t.deepEqual(pair.forbidden, []);
+  t.deepEqual(pair.forbiddenTakes, []);
 });
 
-test('a gateway that knows of no homes at all is checked by an agent that does', (t) => {
-  const pair = new Pair(configurationOf(1, [], []), configurationOf(2, ['a'], []));
+test('an agent enforces home regions for a gateway whose configuration names none', (t) => {
+  const pair = new GatewayAgentPair(configurationOf(1, [], []), configurationOf(2, ['a'], []));
   pair.deliver();
   pair.world.request();
   pair.deliver();
@@ -144,22 +150,22 @@
     pair.world.attempts.map(({ path }) => path),
     ['/other'],
   );
-  t.deepEqual(pair.forbidden, []);
+  t.deepEqual(pair.forbiddenTakes, []);
 });
 
-test('a configuration that comes into force at both lets the same request pass', (t) => {
+test('a request is sent if gateway and agent have the same configuration that permits it', (t) => {
   const same = configurationOf(1, ['a', 'b'], []);
-  const pair = new Pair(same, same);
+  const pair = new GatewayAgentPair(same, same);
   pair.deliver();
   pair.world.request();
   pair.deliver();
   t.is(pair.world.attempts.length, 1);
-  t.deepEqual(pair.forbidden, []);
+  t.deepEqual(pair.forbiddenTakes, []);
 });
 
-test('a gateway with a wrong table of regions sends nothing abroad to an engine whose agent knows better', (t) => {
+test('a gateway with a wrong region for a zone sends no request outside its home regions', (t) => {
   const both = configurationOf(1, ['a']);
-  const pair = new Pair(both, both);
+  const pair = new GatewayAgentPair(both, both);
   pair.world.regions.set('b1', 'a');
   pair.deliver();
   const { reply } = pair.world.request();
@@ -169,27 +175,27 @@
   t.is(pair.world.ends[0]?.reason, 'no-backend-at-home');
 });
 
-test('an agent withholds the grant although the gateway does not heed its word', (t) => {
+test('an agent grants no forbidden request although the gateway ignores its region info', (t) => {
   const both = configurationOf(1, ['a']);
-  const pair = new Pair(both, both);
+  const pair = new GatewayAgentPair(both, both);
   const rank = { tier: 0, rankInTier: 0, waitedMs: 0, startInMs: 1_000 };
   const homeOwner = { route: 'r', tenant: undefined };
-  pair.say({ kind: 'demand', ranks: [{ ...rank, homeOwner }], grantsSeen: 0 });
+  pair.sendToAgent({ kind: 'demand', ranks: [{ ...rank, homeOwner }], grantsSeen: 0 });
   t.is(pair.grants, 0);
-  pair.say({ kind: 'demand', ranks: [{ ...rank, allowedRegions: ['a'] }], grantsSeen: 0 });
+  pair.sendToAgent({ kind: 'demand', ranks: [{ ...rank, allowedRegions: ['a'] }], grantsSeen: 0 });
   t.is(pair.grants, 0);
-  pair.say({ kind: 'demand', ranks: [rank], grantsSeen: 0 });
+  pair.sendToAgent({ kind: 'demand', ranks: [rank], grantsSeen: 0 });
   t.is(pair.grants, 1);
 });
 
-test('a slot that was taken for a request from abroad is told with who may know why', (t) => {
+test('a slot taken for a request outside its home regions is reported with route and tenant', (t) => {
   const both = configurationOf(1, ['a'], []);
-  const pair = new Pair(both, both);
+  const pair = new GatewayAgentPair(both, both);
   const homeOwner = { route: 'r', tenant: undefined };
-  pair.say({ kind: 'taken', allowedRegions: ['a', 'b'], homeOwner });
-  pair.say({ kind: 'taken', homeOwner: { route: 'r1', tenant: undefined } });
-  pair.say({ kind: 'taken' });
-  t.deepEqual(pair.forbidden, [
+  pair.sendToAgent({ kind: 'taken', allowedRegions: ['a', 'b'], homeOwner });
+  pair.sendToAgent({ kind: 'taken', homeOwner: { route: 'r1', tenant: undefined } });
+  pair.sendToAgent({ kind: 'taken' });
+  t.deepEqual(pair.forbiddenTakes, [
     { gateway: 'g', reason: 'outside-home', allowedRegions: ['a', 'b'], homeOwner },
   ]);
 });
@@ -203,7 +209,7 @@
   fc.record({ kind: fc.constant('install' as const), at: fc.constantFrom('gateway', 'agent') }),
 );
 
-test('whatever versions and tables gateway and agent hold, nothing is sent that the newer of both forbids', (t) => {
+test('no request is sent that the newer configuration of gateway and agent forbids, for any versions and region tables', (t) => {
   const runs = fc.record({
     versions: fc.array(version, { minLength: 3, maxLength: 3 }),
     gatewayAt: fc.nat(2),
@@ -214,18 +220,22 @@
   fc.assert(
     fc.property(runs, ({ versions, gatewayAt, agentAt, table, events }) => {
       const configurations = versions.map((lists, index) => configurationOf(index + 1, ...lists));
-      const knows = { gateway: gatewayAt, agent: agentAt };
-      const pair = new Pair(configurations[knows.gateway]!, configurations[knows.agent]!);
+      const installed = { gateway: gatewayAt, agent: agentAt };
+      const pair = new GatewayAgentPair(
+        configurations[installed.gateway]!,
+        configurations[installed.agent]!,
+      );
       pair.world.regions.set('b1', table);
       pair.deliver();
       let checked = 0;
       const check = () => {
         for (; checked < pair.world.attempts.length; checked += 1) {
           const isFirst = pair.world.attempts[checked]!.path === '/first';
-          const newest = versions[Math.max(knows.gateway, knows.agent)]!;
+          const newest = versions[Math.max(installed.gateway, installed.agent)]!;
           const regions = newest[isFirst ? 0 : 1];
-          // The gateway's own table is all that there is where the agent knows of no homes.
-          const isTableRight = table === 'b' || pair.engine.homesToTell !== undefined;
+          // If the agent's configuration names no home regions, only the gateway's own table
+          // applies.
+          const isTableRight = table === 'b' || pair.agentView.regionInfo !== undefined;
           if (isTableRight && regions.length > 0 && !regions.includes('b')) {
             throw new Error(`sent to b, allowed are ${regions.join()}`);
           }
@@ -245,7 +255,7 @@
             attempt.handlers.onFailure({ mayHaveRun: true, isPortClosed: false, detail: '' });
           }
         } else {
-          pair.install(one.at, configurations, knows);
+          pair.install(one.at, configurations, installed);
         }
         check();
       }
@@ -255,17 +265,17 @@
   t.pass();
 });
 
-test('messages cost nothing more where no homes are named', (t) => {
+test('messages have no additional fields if the configuration names no home regions', (t) => {
   const none = configurationOf(1, []);
-  const pair = new Pair(none, none);
+  const pair = new GatewayAgentPair(none, none);
   pair.deliver();
   pair.world.request();
   const taken = pair.world.toAgents.find(([, { kind }]) => kind === 'taken');
   t.deepEqual(taken?.[1], { kind: 'taken' });
-  t.is(pair.engine.homesToTell, undefined);
+  t.is(pair.agentView.regionInfo, undefined);
 });
 
-test('a list of regions is read, or refused with its key, what stands there and what may', (t) => {
+test('a list of regions is decoded, or rejected with its key, the value found and the values allowed', (t) => {
   t.deepEqual(readHomeRegions('k', ['a', 'b', 'a']), ['a', 'b']);
   t.is(readHomeRegions('k', undefined), undefined);
   t.is(readHomeRegions('k', []), undefined);
@@ -277,14 +287,14 @@
   }
 });
 
-test('a record whose homes are no list is not read, and says why', (t) => {
+test('a record whose allowedRegions is no list is rejected with the reason', (t) => {
   const value = JSON.stringify({ version: 2, routes: [{ name: 'r', allowedRegions: 'eu' }] });
   const decoded = decodeRecord({ key: 'op/config', ...at(1), value });
   t.is(decoded.kind, 'invalid');
   t.regex(JSON.stringify(decoded), /routes\.r\.allowedRegions is .*eu.*; allowed is a list/);
 });
 
-test('a home without any zone is found, with its key and the regions that there are', (t) => {
+test('a home region without any zone is reported with its key and the existing regions', (t) => {
   t.is(findUnknownHome(configurationOf(1, ['a'], ['a', 'b'], []), PLACES), undefined);
   const error = findUnknownHome(configurationOf(1, ['a'], ['a', 'c']), PLACES);
   t.is(error?.key, 'routes.r1.allowedRegions');
@@ -296,17 +306,17 @@
   );
 });
 
-test('an agent keeps the configuration in force when a newer one names an unknown home', (t) => {
+test('an agent rejects a newer configuration that names an unknown home region', (t) => {
   const engine = new EngineKnowledge({ address: 'far:1', zone: 'b1' }, PLACES);
   engine.take({ kind: 'configuration', configuration: configurationOf(1, ['a']) }, 0);
   engine.take({ kind: 'configuration', configuration: configurationOf(2, ['b', 'c']) }, 0);
-  t.is(engine.homesToTell?.configuration, 1);
+  t.is(engine.regionInfo?.configuration, 1);
   t.is(engine.restriction(undefined, { route: 'r', tenant: undefined }), 'outside-home');
 });
 
 test('no message to an agent carries the body, the headers, the path or the key of a request', (t) => {
   const both = configurationOf(1, ['a', 'b'], []);
-  const pair = new Pair(both, both);
+  const pair = new GatewayAgentPair(both, both);
   pair.deliver();
   const secret = 'never-leaves';
   for (let count = 0; count < 3; count += 1) {
@@ -319,13 +329,13 @@
   t.false(JSON.stringify(pair.world.toAgents).includes(secret));
 });
 
-/** Modules that speak with other machines of the product. */
-const WIRE_FOLDERS = ['src/cluster', 'src/slot-agent', 'src/gateway/links'];
-/** Modules that hold what a caller sent: heads, bodies, accepted requests. */
+/** Folders of modules that exchange messages with other processes. */
+const NETWORK_FOLDERS = ['src/cluster', 'src/slot-agent', 'src/gateway/links'];
+/** Modules that handle data of callers: headers, bodies, accepted requests. */
 const REQUEST_MODULES = /gateway\/(attempt|homes)\/|admission\/|gateway-requests/;
 
-test('what speaks with other gateways and agents never has a request in hand', (t) => {
-  for (const folder of WIRE_FOLDERS) {
+test('modules that exchange messages with gateways and agents import no module that holds request data', (t) => {
+  for (const folder of NETWORK_FOLDERS) {
     for (const name of readdirSync(folder)) {
       const text = readFileSync(join(folder, name), 'utf8');
       const imports = [...text.matchAll(/ from '([^']+)'/g)].map(([, path]) => path!);
--- a/test/slot-agent-role.test.ts
+++ b/test/slot-agent-role.test.ts
@@ -13,7 +13,7 @@
 import { at } from './support/positions.js';
 
 const HOST = '127.0.3.4';
-/** Ports below those that the system hands out, on an address of this file's own. */
+/** Ports below the ephemeral range, on an address that only this file uses. */
 let lastPort = 29_000;
 
 function nextPort(): number {
@@ -50,9 +50,9 @@
   return { port, metrics, metricsPort, stop: () => agent.stop() };
 }
 
-/** A gateway that says only what the test says. */
-class PlayedGateway {
-  readonly heard: AgentToGateway[] = [];
+/** Fake gateway that sends only the messages that the test passes to it. */
+class FakeGateway {
+  readonly received: AgentToGateway[] = [];
   readonly closed: Promise<void>;
   private readonly channel: MessageChannel<GatewayToAgent, AgentToGateway>;
 
@@ -60,57 +60,57 @@
     let onClose: () => void;
     this.closed = new Promise((resolve) => (onClose = resolve));
     this.channel = new MessageChannel(connect(port, HOST), {
-      onMessage: (message) => this.heard.push(message),
+      onMessage: (message) => this.received.push(message),
       onClose: () => onClose(),
     });
   }
 
-  say(...messages: GatewayToAgent[]): void {
+  send(...messages: GatewayToAgent[]): void {
     messages.forEach((message) => this.channel.send(message));
   }
 
-  hello(gateway: string): void {
-    this.say({ kind: 'hello', gateway, held: 0, peersAddress: '', slots: 1 });
+  sendHello(gateway: string): void {
+    this.send({ kind: 'hello', gateway, held: 0, peersAddress: '', slots: 1 });
   }
 
-  waitForSlot(): void {
+  requestSlot(): void {
     const rank = { tier: 0, rankInTier: 0, waitedMs: 0, startInMs: 1_000 };
-    this.say({ kind: 'demand', ranks: [rank], grantsSeen: 0 });
+    this.send({ kind: 'demand', ranks: [rank], grantsSeen: 0 });
   }
 
   close(): void {
     this.channel.close();
   }
 
-  async hears(kind: AgentToGateway['kind']): Promise<AgentToGateway> {
-    const endAt = Date.now() + 5_000;
+  async waitFor(kind: AgentToGateway['kind']): Promise<AgentToGateway> {
+    const timeoutAt = Date.now() + 5_000;
     for (;;) {
-      const found = this.heard.find((message) => message.kind === kind);
+      const found = this.received.find((message) => message.kind === kind);
       if (found !== undefined) {
         return found;
       }
-      if (Date.now() > endAt) {
-        throw new Error(`heard no ${kind}`);
+      if (Date.now() > timeoutAt) {
+        throw new Error(`received no ${kind} message within 5 s`);
       }
       await new Promise((resolve) => setTimeout(resolve, 5));
     }
   }
 }
 
-test('a gateway that says nothing after a grant is told so, and another gets the slot', async (t) => {
+test('a gateway without keepalives after a grant is refused as silent, and another gets its slot', async (t) => {
   const { port, stop } = startAgent(() => 0);
   t.teardown(stop);
-  const [silent, other] = [new PlayedGateway(port), new PlayedGateway(port)];
-  silent.hello('silent');
-  silent.waitForSlot();
-  await silent.hears('granted');
-  other.hello('other');
-  other.waitForSlot();
-  const alive = setInterval(() => other.say({ kind: 'alive' }), 100);
+  const [silent, other] = [new FakeGateway(port), new FakeGateway(port)];
+  silent.sendHello('silent');
+  silent.requestSlot();
+  await silent.waitFor('granted');
+  other.sendHello('other');
+  other.requestSlot();
+  const alive = setInterval(() => other.send({ kind: 'alive' }), 100);
   t.teardown(() => clearInterval(alive));
-  t.deepEqual(await silent.hears('refused'), { kind: 'refused', reason: 'silent' });
+  t.deepEqual(await silent.waitFor('refused'), { kind: 'refused', reason: 'silent' });
   await silent.closed;
-  await other.hears('granted');
+  await other.waitFor('granted');
   other.close();
 });
 
@@ -118,23 +118,23 @@
   let requestsAtEngine = 1;
   const { port, stop } = startAgent(() => requestsAtEngine);
   t.teardown(stop);
-  const [gone, other] = [new PlayedGateway(port), new PlayedGateway(port)];
-  gone.hello('gone');
-  gone.waitForSlot();
-  await gone.hears('granted');
+  const [gone, other] = [new FakeGateway(port), new FakeGateway(port)];
+  gone.sendHello('gone');
+  gone.requestSlot();
+  await gone.waitFor('granted');
   gone.close();
-  other.hello('other');
-  other.waitForSlot();
+  other.sendHello('other');
+  other.requestSlot();
   await new Promise((resolve) => setTimeout(resolve, 100));
-  t.false(other.heard.some(({ kind }) => kind === 'granted'));
+  t.false(other.received.some(({ kind }) => kind === 'granted'));
   requestsAtEngine = 0;
-  await other.hears('granted');
+  await other.waitFor('granted');
   other.close();
 });
 
-test('an agent grants nothing in an evacuated zone, whatever a gateway asks that does not know of it', async (t) => {
+test('an agent in an evacuated zone grants no slot, even to a gateway that does not know of the evacuation', async (t) => {
   const { port, stop } = startAgent(() => 0);
-  const tell = (revision: number, value: string | undefined) => ({
+  const recordsMessage = (revision: number, value: string | undefined) => ({
     kind: 'records' as const,
     since: at(0),
     completeTo: at(revision),
@@ -143,23 +143,23 @@
     records: [{ key: 'z', ...at(revision), value }],
     epochStart: at(0),
   });
-  const [informed, uninformed] = [new PlayedGateway(port), new PlayedGateway(port)];
-  informed.hello('informed');
-  informed.say(tell(7, ''), tell(6, undefined));
-  await informed.hears('state');
-  uninformed.hello('uninformed');
-  uninformed.waitForSlot();
+  const [informed, uninformed] = [new FakeGateway(port), new FakeGateway(port)];
+  informed.sendHello('informed');
+  informed.send(recordsMessage(7, ''), recordsMessage(6, undefined));
+  await informed.waitFor('state');
+  uninformed.sendHello('uninformed');
+  uninformed.requestSlot();
   await new Promise((resolve) => setTimeout(resolve, 400));
-  t.false(uninformed.heard.some(({ kind }) => kind === 'granted'));
-  informed.say(tell(8, undefined));
-  t.is((await uninformed.hears('granted')).kind, 'granted');
+  t.false(uninformed.received.some(({ kind }) => kind === 'granted'));
+  informed.send(recordsMessage(8, undefined));
+  t.is((await uninformed.waitFor('granted')).kind, 'granted');
   [informed, uninformed].forEach((gateway) => gateway.close());
   stop();
 });
 
-test('an agent heeds an order that a gateway tells of after the store came back from a copy', async (t) => {
+test('an agent applies an evacuation order from a gateway after the store was restored from a copy', async (t) => {
   const { port, stop } = startAgent(() => 0);
-  const tell = (position: StorePosition, value: string | undefined) => ({
+  const recordsMessage = (position: StorePosition, value: string | undefined) => ({
     kind: 'records' as const,
     since: at(0),
     completeTo: position,
@@ -168,36 +168,36 @@
     records: [{ key: 'z', ...position, value }],
     epochStart: at(1, position.epoch),
   });
-  const gateway = new PlayedGateway(port);
-  gateway.hello('g');
-  gateway.say(tell(at(9, 1), undefined), tell(at(4, 2), ''));
-  await gateway.hears('state');
-  gateway.waitForSlot();
+  const gateway = new FakeGateway(port);
+  gateway.sendHello('g');
+  gateway.send(recordsMessage(at(9, 1), undefined), recordsMessage(at(4, 2), ''));
+  await gateway.waitFor('state');
+  gateway.requestSlot();
   await new Promise((resolve) => setTimeout(resolve, 400));
-  t.false(gateway.heard.some(({ kind }) => kind === 'granted'));
-  gateway.say(tell(at(5, 2), undefined));
-  t.is((await gateway.hears('granted')).kind, 'granted');
+  t.false(gateway.received.some(({ kind }) => kind === 'granted'));
+  gateway.send(recordsMessage(at(5, 2), undefined));
+  t.is((await gateway.waitFor('granted')).kind, 'granted');
   gateway.close();
   stop();
 });
 
-test('a message before the hello is answered with the reason, and the connection ends', async (t) => {
+test('a message before the hello is refused with the reason, and the connection is closed', async (t) => {
   const { port, stop } = startAgent(() => 0);
   t.teardown(stop);
-  const gateway = new PlayedGateway(port);
-  gateway.say({ kind: 'taken' });
-  t.deepEqual(await gateway.hears('refused'), { kind: 'refused', reason: 'hello-missing' });
+  const gateway = new FakeGateway(port);
+  gateway.send({ kind: 'taken' });
+  t.deepEqual(await gateway.waitFor('refused'), { kind: 'refused', reason: 'hello-missing' });
   await gateway.closed;
 });
 
-test('grants and connections that were ended are counted', async (t) => {
+test('grants and closed gateway connections are counted in the metrics', async (t) => {
   const { port, metrics, metricsPort, stop } = startAgent(() => 0);
   t.teardown(stop);
   await metrics.load(() => ({ slots: 1, occupied: 1, unaccounted: 0, gateways: 1 }));
-  const gateway = new PlayedGateway(port);
-  gateway.hello('g');
-  gateway.waitForSlot();
-  await gateway.hears('refused');
+  const gateway = new FakeGateway(port);
+  gateway.sendHello('g');
+  gateway.requestSlot();
+  await gateway.waitFor('refused');
   const text = await (await request(`http://${HOST}:${metricsPort}/metrics`)).body.text();
   t.regex(text, /weirvale_slot_grants_total 1/);
   t.regex(text, /weirvale_slot_gateways_ended_total\{reason="silent"\} 1/);
--- a/test/slot-ledger-regions.test.ts
+++ b/test/slot-ledger-regions.test.ts
@@ -1,40 +1,40 @@
 import test from 'ava';
 import { Agent } from './support/played-agent.js';
 
-/** An agent whose only slot is taken, with one gateway near by and one in another region. */
+/** An agent whose only slot is taken, with a nearby gateway and one in another region. */
 function agentOverRegions(): Agent {
   const agent = new Agent();
   agent.admitFrom(1, 'far', 1);
   agent.admitFrom(2, 'near', 1);
-  agent.hear(2, { kind: 'taken' });
+  agent.receive(2, { kind: 'taken' });
   return agent;
 }
 
-test('among equals a gateway near by gets the slot before one in another region', (t) => {
+test('among requests of equal priority, a nearby gateway gets the slot before one in another region', (t) => {
   const agent = agentOverRegions();
   agent.demand(1, [1], 20);
   agent.demand(2, [1], 0);
-  agent.hear(2, { kind: 'released' }, 1_000);
+  agent.receive(2, { kind: 'released' }, 1_000);
   t.deepEqual(agent.grants(), [2]);
 });
 
-test('a request of another region that has waited longer by more than the way goes first', (t) => {
+test('a request from another region goes first if it has waited longer by more than the round trip cost', (t) => {
   const agent = agentOverRegions();
   agent.demand(1, [1], 30);
   agent.demand(2, [1], 0);
-  agent.hear(2, { kind: 'released' }, 1_000);
+  agent.receive(2, { kind: 'released' }, 1_000);
   t.deepEqual(agent.grants(), [1]);
 });
 
-test('a request of a higher tier goes first from wherever it comes', (t) => {
+test('a request with a lower tier number goes first from any region', (t) => {
   const agent = agentOverRegions();
   agent.demand(1, [0], 0);
   agent.demand(2, [1], 500);
-  agent.hear(2, { kind: 'released' }, 1_000);
+  agent.receive(2, { kind: 'released' }, 1_000);
   t.deepEqual(agent.grants(), [1]);
 });
 
-test('gateways near by do not starve one in another region, though all have requests waiting', (t) => {
+test('nearby gateways with a constant backlog do not starve one in another region', (t) => {
   const agent = agentOverRegions();
   const arrivedAtMs = new Map<number, number[]>([
     [1, []],
@@ -44,7 +44,7 @@
     [1, 0],
     [2, 0],
   ]);
-  let holder = 2;
+  let holderConnection = 2;
   // Each gateway gets a request every 10 ms, and one slot is free every 10 ms.
   for (let nowMs = 1_000; nowMs < 2_000; nowMs += 10) {
     for (const [connection, queue] of arrivedAtMs) {
@@ -53,19 +53,19 @@
         return { tier: 1, rankInTier: 0, waitedMs: nowMs - arrived, startInMs: 1_000 };
       });
       const demand = { kind: 'demand', ranks, grantsSeen: served.get(connection)! } as const;
-      agent.hear(connection, demand, nowMs);
+      agent.receive(connection, demand, nowMs);
     }
-    agent.hear(holder, { kind: 'released' }, nowMs);
-    holder = agent.grants().at(-1)!;
-    arrivedAtMs.get(holder)!.shift();
-    served.set(holder, served.get(holder)! + 1);
-    agent.hear(holder, { kind: 'grant-used' }, nowMs);
+    agent.receive(holderConnection, { kind: 'released' }, nowMs);
+    holderConnection = agent.grants().at(-1)!;
+    arrivedAtMs.get(holderConnection)!.shift();
+    served.set(holderConnection, served.get(holderConnection)! + 1);
+    agent.receive(holderConnection, { kind: 'grant-used' }, nowMs);
   }
   t.true(served.get(1)! >= 45, `${served.get(1)} of 100`);
   t.true(served.get(2)! >= 45);
 });
 
-test('a gateway in another region has the way on top of the time to answer a grant', (t) => {
+test('the timeout for answering a grant includes the round trip to the gateway', (t) => {
   for (const [connection, zone] of [
     [1, 'far'],
     [2, 'near'],
@@ -75,22 +75,22 @@
     agent.demand(connection, [1]);
     agent.demand(connection, [1], 0, 1);
     const before = agent.grants().length;
-    agent.hear(connection, { kind: 'demand', ranks: [], grantsSeen: before }, 1_130);
+    agent.receive(connection, { kind: 'demand', ranks: [], grantsSeen: before }, 1_130);
     const ranks = [{ tier: 1, rankInTier: 0, waitedMs: 0, startInMs: 1_000 }];
-    agent.hear(connection, { kind: 'released' }, 1_130);
-    agent.hear(connection, { kind: 'demand', ranks, grantsSeen: before }, 1_130);
+    agent.receive(connection, { kind: 'released' }, 1_130);
+    agent.receive(connection, { kind: 'demand', ranks, grantsSeen: before }, 1_130);
     t.is(agent.grants().length - before, zone === 'far' ? 1 : 0);
   }
 });
 
-test('a gateway is told the round trip that its answers to grants showed', (t) => {
+test('a state message reports the round trip measured from answers to grants', (t) => {
   const agent = new Agent();
   agent.admitFrom(1, 'far', 2);
   agent.demand(1, [1]);
-  agent.hear(1, { kind: 'grant-used' }, 1_010);
+  agent.receive(1, { kind: 'grant-used' }, 1_010);
   agent.ledger.beat(0, 1_010);
-  const told = agent.sent.flatMap(([, message]) =>
+  const reported = agent.sent.flatMap(([, message]) =>
     message.kind === 'state' && message.roundTripMs !== undefined ? [message.roundTripMs] : [],
   );
-  t.deepEqual(told, [13]);
+  t.deepEqual(reported, [13]);
 });
--- a/test/slot-ledger-starts.test.ts
+++ b/test/slot-ledger-starts.test.ts
@@ -7,7 +7,7 @@
   { coldOver: 1.5, coldSlack: 5 },
 )!;
 
-/** An agent whose memory of the last second is complete. */
+/** Harness with start rules and one gateway. */
 function boundedAgent(isCold: boolean): Agent {
   const agent = new Agent();
   agent.rules = { bound: BOUND, isCold };
@@ -15,76 +15,76 @@
   return agent;
 }
 
-function want(agent: Agent, count: number, nowMs: number): void {
+function sendDemand(agent: Agent, count: number, nowMs: number): void {
   const rank = { tier: 0, rankInTier: 0, waitedMs: 0, startInMs: 1_000 };
   const ranks = Array.from({ length: count }, () => rank);
   const grantsSeen = agent.grants().length;
-  agent.hear(1, { kind: 'demand', ranks, grantsSeen, atMs: nowMs }, nowMs);
+  agent.receive(1, { kind: 'demand', ranks, grantsSeen, atMs: nowMs }, nowMs);
 }
 
-test('an agent that has just started grants nothing until what went before has left the last second', (t) => {
+test('a restarted agent of a cold engine grants nothing until earlier grants have left the window', (t) => {
   const agent = boundedAgent(true);
-  want(agent, 5, 100);
+  sendDemand(agent, 5, 100);
   t.deepEqual(agent.grants(), []);
-  agent.ledger.resume(100 + agent.heldMs);
+  agent.ledger.resume(100 + agent.startDelayMs);
   t.is(agent.grants().length, BOUND.granted);
 });
 
-test('a cold engine is granted its part in each second; unanswered grants count on', (t) => {
+test('a cold engine gets at most its granted starts per second, and unanswered grants count', (t) => {
   const agent = boundedAgent(true);
-  want(agent, 8, 2_000);
+  sendDemand(agent, 8, 2_000);
   t.is(agent.grants().length, 3);
-  agent.hear(1, { kind: 'grant-used' }, 2_010);
-  agent.hear(1, { kind: 'grant-returned' }, 2_020);
-  t.is(agent.grants().length, 4, 'a returned grant began nothing');
+  agent.receive(1, { kind: 'grant-used' }, 2_010);
+  agent.receive(1, { kind: 'grant-returned' }, 2_020);
+  t.is(agent.grants().length, 4, 'a returned grant is no start');
   for (let index = 0; index < 2; index += 1) {
-    agent.hear(1, { kind: 'grant-used' }, 2_500);
+    agent.receive(1, { kind: 'grant-used' }, 2_500);
   }
   agent.ledger.resume(3_025);
   t.is(agent.grants().length, 4);
   agent.ledger.resume(3_031);
   t.is(agent.grants().length, 5, 'the first was used at 2,010');
-  agent.hear(1, { kind: 'grant-used' }, 3_040);
+  agent.receive(1, { kind: 'grant-used' }, 3_040);
   agent.ledger.resume(3_515);
   t.is(agent.grants().length, 5, 'two were granted at 2,000 and used at 2,500');
   agent.ledger.resume(3_525);
   t.is(agent.grants().length, 7);
 });
 
-test('gateways are told at once that the engine is cold, and that it no longer is', (t) => {
+test('gateways get a state message immediately when the engine becomes cold or warm', (t) => {
   const agent = boundedAgent(true);
-  t.is(agent.toldGrantsOnly(), 'cold');
+  t.is(agent.lastGrantsOnly(), 'cold');
   agent.rules = { bound: BOUND, isCold: false };
   agent.ledger.resume(2_000);
-  t.is(agent.toldGrantsOnly(), undefined);
+  t.is(agent.lastGrantsOnly(), undefined);
   for (let index = 0; index < BOUND.taken; index += 1) {
-    agent.hear(1, { kind: 'taken' }, 2_000);
+    agent.receive(1, { kind: 'taken' }, 2_000);
   }
-  t.is(agent.toldGrantsOnly(), 'busy');
-  want(agent, 8, 2_000);
+  t.is(agent.lastGrantsOnly(), 'busy');
+  sendDemand(agent, 8, 2_000);
   t.is(agent.grants().length, BOUND.warm - BOUND.taken);
   agent.ledger.beat(300, 4_000);
-  t.is(agent.toldGrantsOnly(), undefined);
+  t.is(agent.lastGrantsOnly(), undefined);
 });
 
-test('a grant names the latest word of the gateway that it rests on', (t) => {
+test('a grant carries the latest clock reading of its gateway', (t) => {
   const agent = boundedAgent(false);
-  want(agent, 1, 2_000);
+  sendDemand(agent, 1, 2_000);
   t.deepEqual(agent.sent.at(-1), [1, { kind: 'granted', heardAtMs: 2_000 }]);
-  agent.hear(1, { kind: 'grant-used' }, 2_010);
-  want(agent, 30, 2_020);
-  agent.hear(1, { kind: 'alive', atMs: 2_100 }, 2_101);
-  agent.hear(1, { kind: 'grant-returned' }, 2_102);
+  agent.receive(1, { kind: 'grant-used' }, 2_010);
+  sendDemand(agent, 30, 2_020);
+  agent.receive(1, { kind: 'alive', atMs: 2_100 }, 2_101);
+  agent.receive(1, { kind: 'grant-returned' }, 2_102);
   t.deepEqual(agent.sent.at(-1), [1, { kind: 'granted', heardAtMs: 2_100 }]);
 });
 
-test('the ceiling of a warm engine is lifted while it is needed for more, and holds again later', (t) => {
+test('the start limit of a warm engine is suspended while demand exceeds it, and applies again later', (t) => {
   const agent = boundedAgent(false);
   const serve = (count: number, nowMs: number) => {
-    want(agent, count, nowMs);
+    sendDemand(agent, count, nowMs);
     while (agent.ledger.describe(1)!.held > 0) {
-      agent.hear(1, { kind: 'grant-used' }, nowMs);
-      agent.hear(1, { kind: 'released' }, nowMs);
+      agent.receive(1, { kind: 'grant-used' }, nowMs);
+      agent.receive(1, { kind: 'released' }, nowMs);
     }
   };
   serve(20, 2_000);
@@ -92,19 +92,19 @@
   agent.ledger.resume(2_900);
   t.is(agent.grants().length, BOUND.warm);
   serve(20, 3_010);
-  t.is(agent.grants().length, BOUND.warm + 20, 'requests waited for a second');
+  t.is(agent.grants().length, BOUND.warm + 20, 'the limit delayed requests for a second');
   agent.ledger.beat(300, 3_300);
-  t.is(agent.toldGrantsOnly(), undefined);
+  t.is(agent.lastGrantsOnly(), undefined);
   serve(20, 20_000);
   t.is(agent.grants().length, 2 * BOUND.warm + 20);
-  t.is(agent.toldGrantsOnly(), 'busy');
+  t.is(agent.lastGrantsOnly(), 'busy');
   agent.rules = { bound: BOUND, isCold: true };
   agent.ledger.resume(20_100);
-  t.is(agent.toldGrantsOnly(), 'cold');
+  t.is(agent.lastGrantsOnly(), 'cold');
 });
 
-test('an agent that has just started grants slots of a warm engine at once', (t) => {
+test('a restarted agent grants slots of a warm engine immediately', (t) => {
   const agent = boundedAgent(false);
-  want(agent, 5, 100);
+  sendDemand(agent, 5, 100);
   t.is(agent.grants().length, 5);
 });
