--- a/src/cluster/cluster-store.ts
+++ b/src/cluster/cluster-store.ts
@@ -1,67 +1,74 @@
-/** The cluster's store as processes use it, and what its calls bring. */
+/** Interfaces and errors of the replicated key-value store that the cluster's processes share. */
 import type { Result } from '../result.js';
 import { WeirvaleError } from '../request/errors.js';
 import type { StoreRecord } from './replicated-records.js';
 import type { StorePosition } from './store-position.js';
 
-/** The store refused, was silent, or gave an answer that is none. */
+/** The store refused the call, did not respond in time, or sent a malformed response. */
 export class StoreUnavailableError extends WeirvaleError {
   readonly code = 'store-unavailable';
 }
 
-/** The store no longer keeps the history that a watch needs. */
+/** The store has dropped the history of changes that a watch would resume from. */
 export class StoreHistoryGoneError extends WeirvaleError {
   readonly code = 'store-history-gone';
 }
 
-/** A key was changed since the revision that a write was meant to follow. */
+/** A conditional write failed: the key has changed since the expected position. */
 export class StoreConflictError extends WeirvaleError {
   readonly code = 'store-conflict';
 }
 
-/** The store came back from a copy of an earlier state: what was asked of it before says nothing of it now. */
+/**
+ * The store was restored from a backup of an earlier state, so positions read before no longer
+ * apply to it.
+ */
 export class StoreRestoredError extends WeirvaleError {
   readonly code = 'store-restored';
 }
 
-/** Records and the store's position that they were read at. */
+/** Records and the store position at which they were read. */
 export interface StoreRead extends StorePosition {
   readonly records: readonly StoreRecord[];
 }
 
-/** Why records could not be read. */
+/** Errors of a read. */
 export type StoreReadError = StoreUnavailableError | StoreHistoryGoneError | StoreRestoredError;
 
-/** The calls of the store that a follower makes. */
+/** Read calls of the store. */
 export interface ClusterStore {
   /** Reads every record. */
   list(): Promise<Result<StoreRead, StoreReadError>>;
-  /** Waits up to `waitMs` for changes after `since`; the answer may be of a later epoch, where it says nothing of them. */
+  /**
+   * Waits up to `waitMs` for changes after `since`. A response from a later epoch does not cover
+   * the changes after `since`.
+   */
   watch(since: StorePosition, waitMs: number): Promise<Result<StoreRead, StoreReadError>>;
 }
 
-/** The call of the store by which records are written. */
+/** Write calls of the store. */
 export interface StoreWriter {
   /**
-   * Writes `text` under `key` if that is at `expected` (revision 0: does not exist in that epoch). A write without an
-   * answer may have been done, or may be done later. Nothing is sent where the store is known to be in a later epoch.
+   * Writes `text` to `key` if the key is at position `expected` (revision 0: the key does not exist
+   * in that epoch). A write without a response may have been applied, or may still be applied
+   * later. Sends nothing if the store is known to be in a later epoch than `expected`.
    *
-   * @returns the store's position of the write
+   * @returns the position of the write
    */
   put(key: string, text: string, expected: StorePosition): Promise<StoreWriteResult>;
 }
 
-/** What came of a write. */
+/** Result of a write. */
 export type StoreWriteResult = Result<
   StorePosition,
   StoreUnavailableError | StoreConflictError | StoreRestoredError
 >;
 
-/** How records came to a process. */
+/** Where a process received records from. */
 export type RecordsSource =
   | 'watch'
   | 'listing'
-  /** A listing right after an outage, which adds and removes nothing. */
+  /** A listing right after an outage or a restore; keys that it lacks are not removed. */
   | 'listing-after-outage'
-  /** Another process's replica. */
+  /** The replica of another process. */
   | 'peer';
--- a/src/cluster/epoch-watch.ts
+++ b/src/cluster/epoch-watch.ts
@@ -1,31 +1,37 @@
-/** Which epoch the answers of a store name, and whether what is known is from before it. */
+/** Tracks the newest epoch in the responses of a store, to detect positions of earlier epochs. */
 import { err, ok } from '../result.js';
 import type { Result } from '../result.js';
 import { StoreUnavailableError } from './cluster-store.js';
 import { isNoPosition, NO_EPOCH } from './store-position.js';
 import type { StorePosition } from './store-position.js';
 
-/** The epochs that the answers of one store name. */
+/** Newest epoch in the responses of one store. */
 export class EpochWatch {
-  private newest = NO_EPOCH;
+  private newestEpoch = NO_EPOCH;
 
   /**
-   * Takes in what an answer names; `NO_EPOCH` for a store that never named one.
+   * Parses the epoch of a response and records it if it is the newest.
    *
-   * @returns an error for an answer that names none, or nothing that is one, of a store that did before
+   * @returns `NO_EPOCH` if the store has never sent an epoch; an error if the value is not an
+   *   integer, or is missing although earlier responses had one
    */
-  take(named: unknown): Result<number, StoreUnavailableError> {
-    const epoch = named === undefined ? NO_EPOCH : Number(named);
-    const isMissing = named === undefined && this.newest !== NO_EPOCH;
+  take(value: unknown): Result<number, StoreUnavailableError> {
+    const epoch = value === undefined ? NO_EPOCH : Number(value);
+    const isMissing = value === undefined && this.newestEpoch !== NO_EPOCH;
     if (isMissing || !Number.isSafeInteger(epoch)) {
-      return err(new StoreUnavailableError(`the answer names no epoch of the store: ${named}`));
+      return err(
+        new StoreUnavailableError(`invalid or missing store epoch in the response: ${value}`),
+      );
     }
-    this.newest = Math.max(this.newest, epoch);
+    this.newestEpoch = Math.max(this.newestEpoch, epoch);
     return ok(epoch);
   }
 
-  /** Whether a position that a write is to follow is of an epoch that is over. */
+  /**
+   * Whether `position` belongs to an epoch before the newest one, so that a conditional write must
+   * not use it.
+   */
   isOver(position: StorePosition): boolean {
-    return !isNoPosition(position) && position.epoch < this.newest;
+    return !isNoPosition(position) && position.epoch < this.newestEpoch;
   }
 }
--- a/src/cluster/json-call.ts
+++ b/src/cluster/json-call.ts
@@ -1,4 +1,4 @@
-/** One call with a JSON answer and a bound on its whole duration. */
+/** HTTP calls with a JSON response and a timeout for the whole call. */
 import { request } from 'node:http';
 import type { Agent, IncomingHttpHeaders } from 'node:http';
 import { WeirvaleError } from '../request/errors.js';
@@ -7,14 +7,14 @@
 
 /** Why a call failed. */
 export type CallFailure =
-  /** Nothing listens at the address. */
+  /** The connection was refused: nothing listens on the address. */
   | 'closed'
-  /** No answer in time. */
+  /** The call timed out. */
   | 'silent'
-  /** The connection ended, or the answer is no JSON. */
+  /** The connection failed, or the response is not valid JSON. */
   | 'broken';
 
-/** The call brought no answer, or one that is no JSON. */
+/** A call without a response, or with one that is not valid JSON. */
 export class CallFailedError extends WeirvaleError {
   readonly code = 'call-failed';
 
@@ -26,28 +26,28 @@
   }
 }
 
-/** A JSON answer. */
-export interface JsonAnswer {
+/** A response with a JSON body. */
+export interface JsonResponse {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly body: unknown;
 }
 
-/** What is called. */
+/** Target and body of a call. */
 export interface JsonCall {
   /** IP:PORT. */
   readonly address: string;
   readonly path: string;
-  /** Sent as JSON, by POST; the call is a GET without it. */
+  /** Sent as JSON by POST; without a body, the call is a GET. */
   readonly body?: unknown;
 }
 
-/** Makes a call; ends after `timeoutMs` at the latest. */
+/** Makes a call that fails if the whole response has not arrived within `timeoutMs`. */
 export function callJson(
   { address, path, body }: JsonCall,
   timeoutMs: number,
   agent: Agent,
-): Promise<Result<JsonAnswer, CallFailedError>> {
+): Promise<Result<JsonResponse, CallFailedError>> {
   const [host, port] = address.split(':');
   const method = body === undefined ? 'GET' : 'POST';
   const headers = body === undefined ? {} : { 'Content-Type': 'application/json' };
@@ -68,25 +68,25 @@
       const chunks: Buffer[] = [];
       response.on('data', (bytes: Buffer) => chunks.push(bytes));
       response.on('error', fail);
-      response.on('close', () => fail(new Error('the connection closed')));
+      response.on('close', () => fail(new Error('connection closed before the response ended')));
       response.on('end', () => {
         clearTimeout(timer);
         const text = Buffer.concat(chunks).toString('utf8');
-        resolve(parse(response.statusCode ?? 0, response.headers, text));
+        resolve(parseResponse(response.statusCode ?? 0, response.headers, text));
       });
     });
     call.end(body === undefined ? undefined : JSON.stringify(body));
   });
 }
 
-function parse(
+function parseResponse(
   status: number,
   headers: IncomingHttpHeaders,
   text: string,
-): Result<JsonAnswer, CallFailedError> {
+): Result<JsonResponse, CallFailedError> {
   try {
     return ok({ status, headers, body: text === '' ? undefined : JSON.parse(text) });
   } catch {
-    return err(new CallFailedError(`status ${status} without JSON`, 'broken'));
+    return err(new CallFailedError(`response with status ${status} is not valid JSON`, 'broken'));
   }
 }
--- a/src/cluster/knowledge-age.ts
+++ b/src/cluster/knowledge-age.ts
@@ -1,15 +1,21 @@
-/** As of when a process knows the store's records: by an answer of the store, or by the word of one that has it. */
+/**
+ * Age of a replica: how long ago it was last confirmed up to date, by the store or by the heartbeat
+ * of a peer.
+ */
 
-/** As of when a process knows the store's records. */
+/** Tracks the time as of which a replica holds all records of the store. */
 export class KnowledgeAge {
   private confirmedAtMs = -Infinity;
 
-  /** All records were known as they were at `atMs`. */
+  /** Confirms that the replica holds all records as the store had them at `atMs`. */
   confirm(atMs: number): void {
     this.confirmedAtMs = Math.max(this.confirmedAtMs, atMs);
   }
 
-  /** Time since then, in milliseconds; undefined before the first confirmation. */
+  /**
+   * Time since the state that was last confirmed, in milliseconds; undefined before the first
+   * confirmation.
+   */
   ageMs(nowMs: number): number | undefined {
     return this.confirmedAtMs === -Infinity ? undefined : nowMs - this.confirmedAtMs;
   }
--- a/src/cluster/paged-listing.ts
+++ b/src/cluster/paged-listing.ts
@@ -1,4 +1,4 @@
-/** Reads a listing that a store hands out in pages. */
+/** Reads a paginated listing. */
 import { err, ok } from '../result.js';
 import type { Result } from '../result.js';
 import { StoreRestoredError } from './cluster-store.js';
@@ -13,12 +13,12 @@
   readonly hasMore: boolean;
 }
 
-/** Reads the page after `lastKey`, or the first one. */
+/** Reads the page after `lastKey`; the first page if it is undefined. */
 export type ReadPage<Failure> = (
   lastKey: string | undefined,
 ) => Promise<Result<ListingPage, Failure>>;
 
-/** Reads all pages. */
+/** Reads all pages; fails if the epoch of the store changes between two of them. */
 export async function listPages<Failure>(
   readPage: ReadPage<Failure>,
 ): Promise<Result<StoreRead, Failure | StoreRestoredError>> {
@@ -29,10 +29,15 @@
     if (!page.ok) {
       return err(page.val);
     }
-    // Pages are no snapshot: changes after the first page are seen again by the watch.
+    // The pages are not one snapshot. A watch from the position of the first page returns changes
+    // made while paging.
     first ??= page.val;
     if (page.val.epoch !== first.epoch) {
-      return err(new StoreRestoredError('the store came back from a copy between two pages'));
+      return err(
+        new StoreRestoredError(
+          'the store was restored from a backup between two pages of a listing',
+        ),
+      );
     }
     records.push(...page.val.records);
     if (!page.val.hasMore || page.val.records.length === 0) {
--- a/src/cluster/store-calls.ts
+++ b/src/cluster/store-calls.ts
@@ -1,4 +1,7 @@
-/** Calls of the store that are waited for until they are answered or overdue. */
+/**
+ * Calls of the store with a timeout that adapts to its response time; late responses are still
+ * processed.
+ */
 import type { Clock } from '../clock.js';
 import { sleep } from '../clock.js';
 import type { Result } from '../result.js';
@@ -6,102 +9,114 @@
 import { StoreHistoryGoneError } from './cluster-store.js';
 import type { StoreRead } from './cluster-store.js';
 
-/** A kind of call of the store. */
+/** Read calls of the store. */
 export type StoreCall = 'list' | 'watch';
 
-/** How a call of the store ended. */
+/** How a call of the store ended, for metrics. */
 export type StoreCallResult = 'answered' | 'history-gone' | 'failed';
 
-/** What came of a call by the time it was overdue. */
+/** Outcome of a call by the time that it was overdue. */
 export type CallOutcome =
   | { readonly kind: 'answered'; readonly read: StoreRead }
   | { readonly kind: 'failed'; readonly error: WeirvaleError }
   | { readonly kind: 'overdue' };
 
-/** A call of the store that is to be made. */
-export interface PlannedCall<Failure extends WeirvaleError> {
+/** A call for `StoreCaller` to make. */
+export interface StoreCallRequest<Failure extends WeirvaleError> {
   readonly call: StoreCall;
-  /** How long the store may hold it back, in milliseconds. */
+  /**
+   * How long the store may hold the call open while nothing changes, in milliseconds; 0 for a
+   * listing.
+   */
   readonly waitMs: number;
-  /** Makes the call; resolves in any case after a time. */
+  /** Sends the call; always resolves, at the latest when the client times out. */
   send(): Promise<Result<StoreRead, Failure>>;
-  /** Takes the answer in, also one that comes late. */
-  take(read: StoreRead): void;
+  /** Processes the response, including one that arrives after the call was overdue. */
+  onResponse(read: StoreRead): void;
 }
 
-/** Limits of calls. */
-export interface StoreCallsOptions {
-  /** Time beyond its wait after which a call is overdue, while answers do not take longer, in milliseconds. */
+/** Limits of the calls to the store. */
+export interface StoreCallerOptions {
+  /** Minimum time beyond `waitMs` after which a call is overdue, in milliseconds. */
   readonly overdueMs: number;
-  /** Longest such time. */
+  /** Maximum time beyond `waitMs` after which a call is overdue, in milliseconds. */
   readonly overdueMaxMs: number;
-  /** Calls that may be under way at once, overdue ones included. */
-  readonly openCalls: number;
+  /** Maximum number of calls in flight, including overdue ones. */
+  readonly maxOpenCalls: number;
 }
 
-/** Times of the usual answer after which a call is overdue. */
-const OVERDUE_TIMES_USUAL = 2;
-/** Weight of a quicker answer in the usual time; a slower one counts at once. */
-const QUICKER_WEIGHT = 0.3;
+/** A call is overdue after this multiple of the typical response time. */
+const OVERDUE_FACTOR = 2;
+/**
+ * Smoothing factor for responses faster than the typical time; a slower response replaces that time
+ * at once.
+ */
+const DECREASE_WEIGHT = 0.3;
 
-/** Makes calls of the store. */
-export class StoreCalls {
+/** Makes calls to the store and tracks its typical response time. */
+export class StoreCaller {
   private openCalls = 0;
-  /** Time that the store takes to answer beside the wait, in milliseconds. */
-  private usualAnswerMs = 0;
+  /** Estimate of the response time of the store without `waitMs`, in milliseconds. */
+  private typicalResponseMs = 0;
 
   constructor(
     private readonly clock: Clock,
-    private readonly options: StoreCallsOptions,
+    private readonly options: StoreCallerOptions,
     private readonly onCall: (call: StoreCall, result: StoreCallResult) => void,
   ) {}
 
-  /** Whether no further call may be made now. */
+  /** Whether the limit on calls in flight is reached. */
   get isFull(): boolean {
-    return this.openCalls >= this.options.openCalls;
+    return this.openCalls >= this.options.maxOpenCalls;
   }
 
   /**
-   * Makes a call and waits until it is answered or overdue. An answer that never comes says nothing, so it is not
-   * waited for to the end of its time: the process would count as one that follows the store, for itself and
-   * for others. An overdue answer is taken in when it comes.
+   * Makes a call and waits until it is answered or overdue. It does not wait for the timeout of the
+   * client: until then, the process would count as a working reader of the store, for itself and
+   * for its peers, although it receives nothing. A response that arrives after the call was overdue
+   * is still processed.
    */
-  ask<Failure extends WeirvaleError>({
+  execute<Failure extends WeirvaleError>({
     call,
     waitMs,
     send,
-    take,
-  }: PlannedCall<Failure>): Promise<CallOutcome> {
+    onResponse,
+  }: StoreCallRequest<Failure>): Promise<CallOutcome> {
     const startedAtMs = this.clock.now();
     this.openCalls += 1;
-    const answer = send().then((read): CallOutcome => {
+    const response = send().then((read): CallOutcome => {
       this.openCalls -= 1;
       this.onCall(call, callResult(read));
       if (!read.ok) {
         return { kind: 'failed', error: read.val };
       }
-      this.noteAnswer(startedAtMs, waitMs, read.val);
-      take(read.val);
+      this.updateTypicalResponse(startedAtMs, waitMs, read.val);
+      onResponse(read.val);
       return { kind: 'answered', read: read.val };
     });
-    const limitMs = waitMs + this.overdueMs;
-    const overdue = sleep(this.clock, limitMs).then((): CallOutcome => ({ kind: 'overdue' }));
-    return Promise.race([answer, overdue]);
+    const overdueAfterMs = waitMs + this.overdueMs;
+    const overdue = sleep(this.clock, overdueAfterMs).then((): CallOutcome => ({
+      kind: 'overdue',
+    }));
+    return Promise.race([response, overdue]);
   }
 
-  /** Time beyond its wait after which a call is overdue, in milliseconds. */
+  /** Time beyond `waitMs` after which a call is overdue, in milliseconds. */
   private get overdueMs(): number {
     const { overdueMs, overdueMaxMs } = this.options;
-    return Math.min(overdueMaxMs, Math.max(overdueMs, this.usualAnswerMs * OVERDUE_TIMES_USUAL));
+    return Math.min(overdueMaxMs, Math.max(overdueMs, this.typicalResponseMs * OVERDUE_FACTOR));
   }
 
-  /** Learns how long answers take; one with changes may come at any moment of its wait. */
-  private noteAnswer(startedAtMs: number, waitMs: number, { records }: StoreRead): void {
+  /**
+   * Updates the estimate of the response time. Ignores watches that returned changes, since those
+   * may end at any moment within `waitMs`.
+   */
+  private updateTypicalResponse(startedAtMs: number, waitMs: number, { records }: StoreRead): void {
     const tookMs = this.clock.now() - startedAtMs - waitMs;
-    const isQuicker = tookMs < this.usualAnswerMs;
+    const isFaster = tookMs < this.typicalResponseMs;
     if (waitMs === 0 || records.length === 0) {
-      const weight = isQuicker ? QUICKER_WEIGHT : 1;
-      this.usualAnswerMs += weight * (Math.max(0, tookMs) - this.usualAnswerMs);
+      const weight = isFaster ? DECREASE_WEIGHT : 1;
+      this.typicalResponseMs += weight * (Math.max(0, tookMs) - this.typicalResponseMs);
     }
   }
 }
--- a/src/cluster/store-epochs.ts
+++ b/src/cluster/store-epochs.ts
@@ -1,55 +1,64 @@
-/** Which epochs of the store a process has heard of, and whether its replica has settled in the newest one. */
+/**
+ * Tracks the newest epoch of the store and whether the replica has settled in it, to log each
+ * change.
+ */
 import type { Clock } from '../clock.js';
 import type { ReplicatedRecords } from './replicated-records.js';
 import { NO_EPOCH } from './store-position.js';
 import type { StorePosition } from './store-position.js';
 
-/** The newest epoch of the store that a process knows of. */
+/** The newest epoch of the store that a process has observed. */
 export interface KnownEpoch {
-  /** `NO_EPOCH` before the first. */
+  /** `NO_EPOCH` until an epoch is known. */
   readonly epoch: number;
-  /** Since when it has been known, in milliseconds. */
+  /** When this process first observed the epoch, in milliseconds. */
   readonly sinceMs: number;
 }
 
-/** What is told of a change. */
+/** Log event for a change of the epoch or of whether the replica has settled in it. */
 export interface EpochChange {
   readonly event: 'store-epoch' | 'store-epoch-settled';
   readonly fields: {
     readonly epoch: number;
     readonly revision: number;
-    /** What was known before; missing where nothing is lost. */
+    /** Position of the replica before the new epoch; omitted when the replica has settled. */
     readonly before?: StorePosition;
-    /** Records of earlier epochs that the store does not show as they are known, and that are kept for now. */
+    /**
+     * Number of records of earlier epochs that the store does not confirm and that the replica
+     * retains until it settles.
+     */
     readonly kept?: number;
-    /** Time since the epoch was heard of, in milliseconds. */
+    /** Time from the first observation of the epoch until the replica settled, in milliseconds. */
     readonly afterMs?: number;
   };
 }
 
-/** The epochs of the store. */
+/** Detects new epochs of the store from the position of the replica. */
 export class StoreEpochs {
   private known: KnownEpoch = { epoch: NO_EPOCH, sinceMs: -Infinity };
-  private reached: StorePosition;
+  private previousPosition: StorePosition;
   private wasSettled = true;
 
   constructor(
     private readonly records: ReplicatedRecords,
     private readonly clock: Clock,
   ) {
-    this.reached = records.currentTo;
+    this.previousPosition = records.currentTo;
   }
 
-  /** The newest epoch that is known. */
+  /** The newest epoch that this process has observed. */
   get newest(): KnownEpoch {
     return this.known;
   }
 
-  /** Looks at the replica after it took records in; undefined where nothing is to be told. */
+  /**
+   * Compares the replica with its last known state; returns the change to log, or undefined if
+   * there is none.
+   */
   look(): EpochChange | undefined {
-    const before = this.reached;
+    const before = this.previousPosition;
     const { epoch, revision } = this.records.currentTo;
-    this.reached = this.records.currentTo;
+    this.previousPosition = this.records.currentTo;
     if (epoch > this.known.epoch) {
       this.known = { epoch, sinceMs: this.clock.now() };
       this.wasSettled = this.records.isSettled;
--- a/src/cluster/store-follower.ts
+++ b/src/cluster/store-follower.ts
@@ -1,4 +1,6 @@
-/** Follows the cluster's store: one listing, then watches, and a new listing whenever history is gone. */
+/**
+ * Follows the store: a listing, then watches, and a new listing whenever a watch cannot be resumed.
+ */
 import type { Clock } from '../clock.js';
 import { sleep } from '../clock.js';
 import type { RandomSource } from '../random.js';
@@ -8,117 +10,127 @@
 import type { ClusterStore, StoreRead } from './cluster-store.js';
 import { isLater, isNoPosition, laterOf, NO_EPOCH } from './store-position.js';
 import type { StorePosition } from './store-position.js';
-import { StoreCalls } from './store-calls.js';
+import { StoreCaller } from './store-calls.js';
 import type { KnownEpoch } from './store-epochs.js';
 import type {
   CallOutcome,
-  PlannedCall,
+  StoreCallRequest,
   StoreCall,
   StoreCallResult,
-  StoreCallsOptions,
+  StoreCallerOptions,
 } from './store-calls.js';
 
-/** Who hears of what the follower learned. */
+/** Callbacks of a follower: results of its reads, and state that it needs from its process. */
 export interface StoreFollowerHandlers {
-  /** A whole listing was read. */
+  /** A full listing was read; keys that it lacks do not exist. */
   onListing(read: StoreRead): void;
   /**
-   * A whole listing was read right after an outage, or soon after the store came back from a copy. What it lacks may
-   * have lapsed, or be gone, only until its owner writes it again; a listing that counts follows.
+   * A listing was read right after an outage, or soon after the store was restored from a backup.
+   * Keys that it lacks must be retained: they may have expired, or be lost, only until their owners
+   * write them again. A full listing follows.
    */
   onListingAfterOutage(read: StoreRead): void;
-  /** All changes after `since` were seen. */
+  /** A watch returned all changes from `since` to the position of `read`. */
   onChanges(read: StoreRead, since: StorePosition): void;
-  /** A watch was answered at `read` and brought the changes through `seenTo` only. */
+  /** The response of a watch has position `read`, but contains changes only up to `seenTo`. */
   onChangesMissing(seenTo: StorePosition, read: StorePosition): void;
-  /** What was asked in epoch `asked` was answered in another one, and is not taken in. */
+  /** Discarded a response of another epoch than `asked`, the epoch of the call. */
   onOtherEpoch(call: StoreCall, asked: number, read: StorePosition): void;
   /**
-   * The store answers again, or no longer; `heldMs` is how long the call was under way that told so, in
-   * milliseconds.
+   * The store became reachable or unreachable; `heldMs` is the duration of the call that showed it,
+   * in milliseconds.
    */
   onReachable(isReachable: boolean, reason: string, heldMs: number): void;
-  /** How many processes follow the store and tell each other, this one included. */
+  /** Number of processes that follow the store and exchange changes, including this one. */
   countFollowers(): number;
-  /** Whether this process must follow the store itself; others tell it otherwise. */
+  /**
+   * Whether this process must follow the store itself; otherwise it receives changes from peers.
+   */
   mustFollow(): boolean;
-  /** The position through which the records are complete, from wherever they came; `NO_POSITION` for none. */
+  /**
+   * Position up to which the replica has all changes, from the store or from peers; `NO_POSITION`
+   * if it is empty.
+   */
   completeTo(): StorePosition;
-  /** The newest epoch that is known, from wherever it was heard. */
+  /** The newest known epoch, from the store or from peers. */
   knownEpoch(): KnownEpoch;
-  /** All records were known as the store had them at `atMs`. */
+  /** The replica holds all records as the store had them at `atMs`. */
   onConfirmed(atMs: number): void;
-  /** A call of the store ended. */
+  /** A call to the store ended. */
   onCall(call: StoreCall, result: StoreCallResult): void;
 }
 
-/** Times of a follower, in milliseconds. */
-export interface StoreFollowerOptions extends StoreCallsOptions {
+/** Options of a follower; times in milliseconds. */
+export interface StoreFollowerOptions extends StoreCallerOptions {
   /**
-   * Longest wait of one watch; each waits for a random time from the half of it up, so that those of several
-   * followers end at different moments. Default 1,500: with the time until a call is overdue, the longest that a
-   * store which is back, or a path, is not noticed.
+   * Maximum wait of a watch. Each watch waits for a random time between half of it and all of it,
+   * so that the watches of several followers end at different times. Default 1,500: together with
+   * the time until a call is overdue, this bounds the time until a follower notices that the store
+   * or a path to it has recovered.
    */
   readonly watchMs: number;
-  /** Pause after a watch that saw changes, in which further ones gather, for a few followers. Default 150. */
-  readonly gatherMs: number;
   /**
-   * Followers from which on the pause grows with their number: what one of them saw reaches
-   * the others by positions, so that each need not ask for each change. Default 4.
+   * Pause after a watch that returned changes, to coalesce further ones, with few followers.
+   * Default 150.
    */
-  readonly gatherFollowers: number;
-  /** Longest pause. Default 1,200. */
-  readonly gatherMaxMs: number;
-  /** First and longest pause after a failed call. Defaults 50 and 400. */
+  readonly coalesceMs: number;
+  /**
+   * Number of followers above which the pause grows in proportion to it: followers exchange changes
+   * with each other, so not every one of them needs to read each change from the store. Default 4.
+   */
+  readonly coalesceFollowers: number;
+  /** Maximum pause after a watch that returned changes. Default 1,200. */
+  readonly coalesceMaxMs: number;
+  /** Initial and maximum backoff after a failed call. Defaults 50 and 400. */
   readonly retryMinMs: number;
   readonly retryMaxMs: number;
-  /** Time without an answer from which on the store counts as having been out. Default 500. */
+  /** Time without a response from which on a loss of the store counts as an outage. Default 500. */
   readonly outageMs: number;
   /**
-   * Time after an outage, or after the store came back from a copy, in which owners that live write again what is
-   * gone. Default 2,200: users' pages say about two seconds.
+   * Time after an outage, or after a restore from a backup, in which live owners write lost records
+   * again. Default 2,200: owners need about two seconds.
    */
   readonly reannounceMs: number;
-  /** Longest time by which outages in a row put off the listing that counts. Default 4,400. */
-  readonly putOffMs: number;
-  /** Pause between two looks at whether this process must follow, while others do. Default 100. */
-  readonly restMs: number;
+  /** Maximum time by which successive outages can postpone the full listing. Default 4,400. */
+  readonly maxPostponeMs: number;
+  /** Interval for checking whether an idle process must follow the store again. Default 100. */
+  readonly idlePollMs: number;
 }
 
-/** Defaults of a follower. */
+/** Default options of a follower. */
 export const DEFAULT_STORE_FOLLOWER_OPTIONS: StoreFollowerOptions = {
   watchMs: 1_500,
   overdueMs: 300,
   overdueMaxMs: 1_500,
-  openCalls: 4,
-  gatherMs: 150,
-  gatherFollowers: 4,
-  gatherMaxMs: 1_200,
+  maxOpenCalls: 4,
+  coalesceMs: 150,
+  coalesceFollowers: 4,
+  coalesceMaxMs: 1_200,
   retryMinMs: 50,
   retryMaxMs: 400,
   outageMs: 500,
   reannounceMs: 2_200,
-  putOffMs: 4_400,
-  restMs: 100,
+  maxPostponeMs: 4_400,
+  idlePollMs: 100,
 };
 
-const RETRY_SPREAD = 0.3;
-const GATHER_SPREAD = 0.6;
+const RETRY_JITTER = 0.3;
+const COALESCE_JITTER = 0.6;
 
-/** Follows the store until it is stopped. */
+/** Reads the store with listings and watches until it is stopped. */
 export class StoreFollower {
   private isStopped = false;
-  private hasBeenAnswered = false;
+  private hasResponse = false;
   private reachable: boolean | undefined;
-  /** Since when the store owes an answer; undefined while it answers. */
-  private lostAtMs: number | undefined;
-  /** When the listing that counts is due after an outage. */
+  /** Start of the current loss of the store; undefined while the store responds. */
+  private unreachableSinceMs: number | undefined;
+  /** When the full listing after an outage or a restore is due. */
   private relistAtMs: number | undefined;
-  /** When such a listing was due first, of several outages in a row. */
+  /** When the full listing was first due, before successive outages postponed it. */
   private firstRelistAtMs: number | undefined;
   private retryMs: number;
-  private isResting = false;
-  private readonly calls: StoreCalls;
+  private isIdle = false;
+  private readonly calls: StoreCaller;
 
   constructor(
     private readonly store: ClusterStore,
@@ -128,7 +140,7 @@
     private readonly options: StoreFollowerOptions = DEFAULT_STORE_FOLLOWER_OPTIONS,
   ) {
     this.retryMs = options.retryMinMs;
-    this.calls = new StoreCalls(clock, options, (call, result) => handlers.onCall(call, result));
+    this.calls = new StoreCaller(clock, options, (call, result) => handlers.onCall(call, result));
   }
 
   /** Runs until `stop` is called. */
@@ -136,74 +148,78 @@
     let position: StorePosition | undefined;
     while (!this.isStopped) {
       if (!this.handlers.mustFollow()) {
-        position = await this.rest();
+        position = await this.waitWhileIdle();
       }
-      // Of another epoch the same revision is another change, and a watch from there may pass changes over.
-      const isToList = position?.epoch !== this.handlers.knownEpoch().epoch || this.isRelistDue();
-      position = isToList ? await this.list() : await this.watch(position!);
+      // Revisions of another epoch refer to other changes, so a watch from this position could skip
+      // changes.
+      const mustList = position?.epoch !== this.handlers.knownEpoch().epoch || this.isRelistDue();
+      position = mustList ? await this.list() : await this.watch(position!);
     }
   }
 
-  /** Whether the store answered its last call; undefined before the first. */
+  /** Whether the last call succeeded; undefined before the first call and after an idle period. */
   get isReachable(): boolean | undefined {
     return this.reachable;
   }
 
-  /** Ends the run after the call under way. */
+  /** Stops the follower after the call in flight. */
   stop(): void {
     this.isStopped = true;
   }
 
-  /** Whether this process follows the store and is answered: its last call is neither failed nor overdue. */
+  /** Whether this process follows the store and its last call was neither failed nor overdue. */
   get isFollowing(): boolean {
-    return !this.isResting && this.reachable === true;
+    return !this.isIdle && this.reachable === true;
   }
 
   /**
-   * Waits until this process must follow; returns the position to go on from. Others may be missed because
-   * the store is out, for how long is not known here: if it does not answer now, it counts as out for long.
+   * Waits until this process must follow the store; returns the position to resume from. The
+   * readers may have been lost because of an outage of the store that began at an unknown time, so
+   * this counts as an outage until the store responds.
    */
-  private async rest(): Promise<StorePosition | undefined> {
-    this.isResting = true;
+  private async waitWhileIdle(): Promise<StorePosition | undefined> {
+    this.isIdle = true;
     while (!this.isStopped && !this.handlers.mustFollow()) {
-      await sleep(this.clock, this.options.restMs);
+      await sleep(this.clock, this.options.idlePollMs);
     }
-    this.isResting = false;
+    this.isIdle = false;
     this.reachable = undefined;
-    this.lostAtMs = this.clock.now() - this.options.outageMs;
+    this.unreachableSinceMs = this.clock.now() - this.options.outageMs;
     const position = this.handlers.completeTo();
     return isNoPosition(position) ? undefined : position;
   }
 
   private async list(): Promise<StorePosition | undefined> {
     const startedAtMs = this.clock.now();
-    const outcome = await this.ask({
+    const outcome = await this.execute({
       call: 'list',
       waitMs: 0,
       send: () => this.store.list(),
-      take: (read) => this.takeListing(read, startedAtMs),
+      onResponse: (read) => this.applyListing(read, startedAtMs),
     });
     if (outcome.kind === 'answered') {
-      return this.isOutdated(outcome.read) ? this.pause() : outcome.read;
+      return this.isFromPastEpoch(outcome.read) ? this.backOff() : outcome.read;
     }
-    this.noteLoss(outcome, startedAtMs);
-    return this.pause();
+    this.recordFailure(outcome, startedAtMs);
+    return this.backOff();
   }
 
-  private takeListing(read: StoreRead, startedAtMs: number): void {
+  private applyListing(read: StoreRead, startedAtMs: number): void {
     const nowMs = this.clock.now();
     const known = this.handlers.knownEpoch();
-    if (this.isOutdated(read)) {
+    if (this.isFromPastEpoch(read)) {
       this.handlers.onOtherEpoch('list', known.epoch, read);
       return;
     }
-    const wasOut = this.lostAtMs !== undefined && nowMs - this.lostAtMs >= this.options.outageMs;
-    const isFirst = !this.hasBeenAnswered && isNoPosition(this.handlers.completeTo());
-    this.succeed(startedAtMs);
-    if (wasOut && !isFirst) {
-      this.putOffRelist(nowMs);
+    const wasOutage =
+      this.unreachableSinceMs !== undefined &&
+      nowMs - this.unreachableSinceMs >= this.options.outageMs;
+    const isFirst = !this.hasResponse && isNoPosition(this.handlers.completeTo());
+    this.recordSuccess(startedAtMs);
+    if (wasOutage && !isFirst) {
+      this.postponeRelist(nowMs);
     }
-    this.awaitOwners(read.epoch > known.epoch ? nowMs : known.sinceMs, read);
+    this.deferRelistForEpoch(read.epoch > known.epoch ? nowMs : known.sinceMs, read);
     if (this.relistAtMs !== undefined && !this.isRelistDue()) {
       this.handlers.onListingAfterOutage(read);
     } else {
@@ -214,24 +230,30 @@
     this.handlers.onConfirmed(startedAtMs);
   }
 
-  /** Owners are given time to announce themselves, but not for ever where one outage follows the other. */
-  private putOffRelist(nowMs: number): void {
-    const { reannounceMs, putOffMs } = this.options;
+  /**
+   * Postpones the full listing so that owners can write their records again, but at most by
+   * `maxPostponeMs` in total.
+   */
+  private postponeRelist(nowMs: number): void {
+    const { reannounceMs, maxPostponeMs } = this.options;
     const relistAtMs = nowMs + reannounceMs;
     this.firstRelistAtMs ??= relistAtMs;
-    this.relistAtMs = Math.min(relistAtMs, this.firstRelistAtMs + putOffMs);
+    this.relistAtMs = Math.min(relistAtMs, this.firstRelistAtMs + maxPostponeMs);
   }
 
-  /** A listing counts only once the owners have had their time since the epoch of the store began. */
-  private awaitOwners(epochSinceMs: number, { epoch }: StorePosition): void {
+  /**
+   * Defers the full listing until owners have had `reannounceMs` in the current epoch to write lost
+   * records again.
+   */
+  private deferRelistForEpoch(epochSinceMs: number, { epoch }: StorePosition): void {
     const settlesAtMs = epochSinceMs + this.options.reannounceMs;
     if (epoch !== NO_EPOCH && this.clock.now() < settlesAtMs) {
       this.relistAtMs = Math.max(this.relistAtMs ?? 0, settlesAtMs);
     }
   }
 
-  /** Whether an answer is of an epoch that is over. */
-  private isOutdated({ epoch }: StorePosition): boolean {
+  /** Whether a response belongs to an epoch before the newest known one. */
+  private isFromPastEpoch({ epoch }: StorePosition): boolean {
     return epoch < this.handlers.knownEpoch().epoch;
   }
 
@@ -243,23 +265,23 @@
     const startedAtMs = this.clock.now();
     const waitMs = this.watchWaitMs(startedAtMs);
     let hasChanges = false;
-    let isWhole = true;
-    const outcome = await this.ask({
+    let isComplete = true;
+    const outcome = await this.execute({
       call: 'watch',
       waitMs,
       send: () => this.store.watch(since, waitMs),
-      take: (read) => {
-        if (read.epoch !== since.epoch || this.isOutdated(read)) {
+      onResponse: (read) => {
+        if (read.epoch !== since.epoch || this.isFromPastEpoch(read)) {
           this.handlers.onOtherEpoch('watch', since.epoch, read);
-          isWhole = false;
+          isComplete = false;
           return;
         }
         const seenTo = read.records.reduce<StorePosition>(laterOf, since);
         hasChanges = read.records.length > 0;
-        isWhole = !isLater(read, seenTo);
-        this.succeed(startedAtMs);
+        isComplete = !isLater(read, seenTo);
+        this.recordSuccess(startedAtMs);
         this.handlers.onChanges({ ...read, ...seenTo }, since);
-        if (isWhole) {
+        if (isComplete) {
           this.confirmWatch(startedAtMs, waitMs, read);
         } else {
           this.handlers.onChangesMissing(seenTo, read);
@@ -267,27 +289,29 @@
       },
     });
     if (outcome.kind === 'answered') {
-      if (!isWhole) {
-        // Each revision is a change of some key: without it, this process does not know all through that one.
+      if (!isComplete) {
+        // Each revision is a change of some key, so a missing one means that the replica is not
+        // complete.
         return undefined;
       }
       if (hasChanges) {
-        await sleep(this.clock, this.gatherPauseMs());
+        await sleep(this.clock, this.coalescePauseMs());
       }
       return outcome.read;
     }
     if (outcome.kind === 'failed' && outcome.error instanceof StoreHistoryGoneError) {
       return undefined;
     }
-    // A watch that was cut may have missed changes whose history is gone since: read afresh.
-    this.noteLoss(outcome, startedAtMs);
+    // A lost watch may have missed changes, and the store may have dropped their history since:
+    // list again.
+    this.recordFailure(outcome, startedAtMs);
     if (outcome.kind === 'failed') {
-      await this.pause();
+      await this.backOff();
     }
     return undefined;
   }
 
-  /** A watch that waited to its end without a change says that there was none by then. */
+  /** A watch that ended without changes after its full wait confirms the replica as of its end. */
   private confirmWatch(startedAtMs: number, waitMs: number, { records }: StoreRead): void {
     const endMs = startedAtMs + waitMs;
     const hasWaited = records.length === 0 && this.clock.now() >= endMs;
@@ -300,51 +324,56 @@
     return Math.round(Math.max(1, Math.min(waitMs, untilRelistMs)));
   }
 
-  private async ask<Failure extends WeirvaleError>(
-    call: PlannedCall<Failure>,
+  private async execute<Failure extends WeirvaleError>(
+    call: StoreCallRequest<Failure>,
   ): Promise<CallOutcome> {
     while (this.calls.isFull) {
-      await this.pause();
+      await this.backOff();
     }
-    return this.calls.ask(call);
+    return this.calls.execute(call);
   }
 
-  /** Spread at random, so that of many followers some ask at any moment. */
-  private gatherPauseMs(): number {
-    const { gatherMs, gatherFollowers, gatherMaxMs } = this.options;
-    const groups = Math.max(1, this.handlers.countFollowers() / gatherFollowers);
-    const pauseMs = Math.min(gatherMaxMs, gatherMs * groups);
-    return groups === 1 ? pauseMs : withJitter(this.random, pauseMs, GATHER_SPREAD);
+  /**
+   * Pause after changes; randomized so that, among many followers, some are reading at any time.
+   */
+  private coalescePauseMs(): number {
+    const { coalesceMs, coalesceFollowers, coalesceMaxMs } = this.options;
+    const groups = Math.max(1, this.handlers.countFollowers() / coalesceFollowers);
+    const pauseMs = Math.min(coalesceMaxMs, coalesceMs * groups);
+    return groups === 1 ? pauseMs : withJitter(this.random, pauseMs, COALESCE_JITTER);
   }
 
-  private succeed(startedAtMs: number): void {
+  private recordSuccess(startedAtMs: number): void {
     this.retryMs = this.options.retryMinMs;
-    this.hasBeenAnswered = true;
-    this.lostAtMs = undefined;
-    this.tell(true, 'answered', startedAtMs);
+    this.hasResponse = true;
+    this.unreachableSinceMs = undefined;
+    this.reportReachability(true, 'answered', startedAtMs);
   }
 
-  /** A call failed, or is overdue: then the store may have been out since it was made. */
-  private noteLoss(
+  /**
+   * Records a failed or overdue call. If it is overdue, the store may have been unreachable since
+   * it was sent.
+   */
+  private recordFailure(
     outcome: Exclude<CallOutcome, { readonly kind: 'answered' }>,
     startedAtMs: number,
   ): void {
     if (outcome.kind === 'overdue') {
-      this.lostAtMs ??= startedAtMs;
-      this.tell(false, 'no answer in time', startedAtMs);
+      this.unreachableSinceMs ??= startedAtMs;
+      this.reportReachability(false, 'no response in time', startedAtMs);
     } else {
-      this.lostAtMs ??= this.clock.now();
-      this.tell(false, outcome.error.message, startedAtMs);
+      this.unreachableSinceMs ??= this.clock.now();
+      this.reportReachability(false, outcome.error.message, startedAtMs);
     }
   }
 
-  private async pause(): Promise<undefined> {
-    await sleep(this.clock, withJitter(this.random, this.retryMs, RETRY_SPREAD));
+  private async backOff(): Promise<undefined> {
+    await sleep(this.clock, withJitter(this.random, this.retryMs, RETRY_JITTER));
     this.retryMs = Math.min(this.retryMs * 2, this.options.retryMaxMs);
     return undefined;
   }
 
-  private tell(isReachable: boolean, reason: string, startedAtMs: number): void {
+  private reportReachability(isReachable: boolean, reason: string, startedAtMs: number): void {
     if (this.reachable !== isReachable) {
       this.reachable = isReachable;
       this.handlers.onReachable(isReachable, reason, this.clock.now() - startedAtMs);
--- a/src/cluster/store-position.ts
+++ b/src/cluster/store-position.ts
@@ -1,30 +1,36 @@
 /**
- * Where something stands in the store's order of changes.
+ * Positions in the store's total order of changes.
  *
- * The store numbers its changes with one rising revision. It may come back from a copy of an earlier state: then changes
- * that it had acknowledged are gone, and their revisions are given out again. An epoch that rises with each such return
- * tells the two uses of a revision apart, so that positions are compared by both and never by the revision alone.
+ * The store assigns increasing revisions to its changes. If it is restored from a backup of an
+ * earlier state, it loses changes that it had acknowledged and reuses their revisions. The epoch
+ * increases with each restore and distinguishes the two uses of a revision, so positions are
+ * compared by epoch and revision, never by revision alone.
  */
 
-/** A change of the store. */
+/** Position of a change. */
 export interface StorePosition {
-  /** How often the store came back from a copy, by its own count; `NO_EPOCH` where it keeps none. */
+  /**
+   * Epoch reported by the store, which increases with each restore; `NO_EPOCH` if it reports none.
+   */
   readonly epoch: number;
   readonly revision: number;
 }
 
-/** The epoch of a store that does not count its returns. */
+/** Epoch of a store that does not report epochs. */
 export const NO_EPOCH = 0;
 
-/** Before every change. */
+/** Position before the first change. */
 export const NO_POSITION: StorePosition = { epoch: NO_EPOCH, revision: 0 };
 
-/** The position alone of something that has one. */
+/** Returns only the position fields of an object. */
 export function positionOf({ epoch, revision }: StorePosition): StorePosition {
   return { epoch, revision };
 }
 
-/** Negative where `left` is the earlier one, 0 where they are the same, positive otherwise. */
+/**
+ * Returns a negative number if `left` is earlier, 0 if both are equal, and a positive number if
+ * `left` is later.
+ */
 export function comparePositions(left: StorePosition, right: StorePosition): number {
   return left.epoch - right.epoch || left.revision - right.revision;
 }
@@ -34,33 +40,34 @@
   return comparePositions(position, other) > 0;
 }
 
-/** Whether both are the same. */
+/** Whether both positions are equal. */
 export function isSamePosition(left: StorePosition, right: StorePosition): boolean {
   return comparePositions(left, right) === 0;
 }
 
-/** The later one of two. */
+/** Returns the later of two positions. */
 export function laterOf(left: StorePosition, right: StorePosition): StorePosition {
   return positionOf(isLater(right, left) ? right : left);
 }
 
 /**
- * Whether two writes of one key, which the store shows in two epochs, have the same revision: with the same value they are
- * one write, which the copy held.
+ * Whether two records of one key, read in different epochs, have the same revision. If their values
+ * are equal as well, they are the same write, which the backup contained.
  */
 export function haveSameRevision(left: StorePosition, right: StorePosition): boolean {
   return left.revision === right.revision;
 }
 
 /**
- * Whether the revision of a write that the store shows in a later epoch has fallen behind that of `known`: only a copy
- * from before `known` makes it fall, and a new write only until as many changes were made as the copy lacked.
+ * Whether `write`, read in a later epoch than `known`, has a lower revision. This happens only if
+ * the backup is older than `known`; a new write has a lower revision only until the store has made
+ * as many changes as the backup lacked.
  */
 export function hasFallenBehind(write: StorePosition, known: StorePosition): boolean {
   return write.revision < known.revision;
 }
 
-/** Whether nothing is known: no change has this position. */
+/** Whether the position is before the first change. */
 export function isNoPosition({ revision }: StorePosition): boolean {
   return revision === 0;
 }
--- a/src/cluster/store-readers.ts
+++ b/src/cluster/store-readers.ts
@@ -1,104 +1,120 @@
 /**
- * Decides which gateways read the store, so that its calls do not grow with their number.
+ * Decides which gateways read the store, so that the load on the store does not grow with the
+ * number of gateways.
  *
- * Every gateway ranks all by the same hash. One reads the store unless enough gateways that rank before
- * it said lately that they do and that the store answers them. Nobody is elected: a reader that dies, is
- * cut off or loses the store is missed after `silenceMs`, and the next in rank begin to read. Gateways
- * that hear no one read themselves, so each partition has its readers. The others learn of changes from
- * readers, by revisions.
+ * All gateways compute the same ranking from a hash of their incarnations. A gateway reads the
+ * store unless enough gateways with a lower rank have recently reported in a heartbeat that they
+ * read it successfully. There is no election: when a reader dies, is partitioned or loses the
+ * store, its reports expire after `silenceMs` and the next gateways in rank start to read. A
+ * gateway that receives no heartbeats reads the store itself, so each partition has its own
+ * readers. The other gateways receive changes from the readers, by position.
  *
- * In a deployment of several regions each has readers of its own: one that is cut off from the others, but
- * not from the store, goes on without a pause.
+ * In a deployment with several regions, each region has its own readers, so that a region that is
+ * partitioned from the others but not from the store keeps reading without interruption.
  */
 import { pairShare } from '../pair-share.js';
 
-/** Bounds of the readers. */
-export interface StoreReadersOptions {
+/** Number of readers and timeout of their heartbeats. */
+export interface StoreReaderSelectorOptions {
   /**
-   * Gateways that read. Default 8: some may lose the store at once, and the rest
-   * still read it through other connections. Where there are no more, all read.
+   * Number of gateways that read. Default 8: if some lose the store at the same time, the others
+   * still read it through other connections. With at most this many gateways, all of them read.
    */
   readonly readers: number;
   /**
-   * Gateways that read in each region where regions are named. Default 2: one of them may be lost. It adds two
-   * readers to a region at the most, and mostly none, since the first by rank are spread over the regions.
+   * Minimum number of readers in each region, if regions are configured. Default 2: one of them may
+   * fail. This adds at most two readers per region, and usually none, since the first gateways by
+   * rank are spread over the regions.
+   */
+  readonly readersPerRegion: number;
+  /**
+   * Minimum time without a heartbeat after which a reader is considered lost, in milliseconds.
+   * Default 1,500.
    */
-  readonly readersInRegion: number;
-  /** Silence after which a reader is missed where beats are not rarer, in milliseconds. Default 1,500. */
   readonly minSilenceMs: number;
-  /** The same in periods of beats, for many gateways. Default 3. */
-  readonly silenceBeats: number;
+  /** The same in heartbeat intervals, which grow with the number of gateways. Default 3. */
+  readonly silenceHeartbeats: number;
 }
 
-/** Defaults of the readers. */
-export const DEFAULT_STORE_READERS_OPTIONS: StoreReadersOptions = {
+/** Default options of the reader selection. */
+export const DEFAULT_STORE_READERS_OPTIONS: StoreReaderSelectorOptions = {
   readers: 8,
-  readersInRegion: 2,
+  readersPerRegion: 2,
   minSilenceMs: 1_500,
-  silenceBeats: 3,
+  silenceHeartbeats: 3,
 };
 
-/** The name that the ranks of gateways are drawn for. */
-const RANK_NAME = 'store-readers';
+/** Hashed together with the incarnation of a gateway to compute its rank. */
+const RANK_HASH_KEY = 'store-readers';
 
-interface HeardReader {
-  readonly heardAtMs: number;
+interface ActiveReader {
+  readonly lastHeartbeatAtMs: number;
   readonly region: string | undefined;
 }
 
-/** Which of the gateways that this one hears read the store. */
+/** Decides whether this gateway must read the store, from the heartbeats of its peers. */
 export class StoreReaders {
   private readonly rank: number;
-  /** Gateways that said lately that they read, by incarnation. */
-  private readonly reading = new Map<string, HeardReader>();
+  /** Peers whose last heartbeat reported that they read the store, by incarnation. */
+  private readonly activeReaders = new Map<string, ActiveReader>();
 
   constructor(
     incarnation: string,
-    private readonly options: StoreReadersOptions = DEFAULT_STORE_READERS_OPTIONS,
-    /** Region of this gateway; undefined where none are named. */
+    private readonly options: StoreReaderSelectorOptions = DEFAULT_STORE_READERS_OPTIONS,
+    /** Region of this gateway; undefined if no regions are configured. */
     private readonly region?: string,
   ) {
     this.rank = rankOf(incarnation);
   }
 
-  /** A peer said whether it reads the store and is answered. */
+  /**
+   * Records the heartbeat of a peer, which reports whether the peer reads the store successfully.
+   */
   hear(peer: string, isReading: boolean, nowMs: number, region?: string): void {
     if (isReading) {
-      this.reading.set(peer, { heardAtMs: nowMs, region });
+      this.activeReaders.set(peer, { lastHeartbeatAtMs: nowMs, region });
     } else {
-      this.reading.delete(peer);
+      this.activeReaders.delete(peer);
     }
   }
 
-  /** Gateways that share the calls of the store: those heard to read, and this one, or as many as usually do. */
+  /**
+   * Estimated number of gateways that call the store: the known readers and this gateway, at least
+   * `readers`.
+   */
   get sharing(): number {
-    return Math.max(this.options.readers, this.reading.size + 1);
+    return Math.max(this.options.readers, this.activeReaders.size + 1);
   }
 
-  /** A peer is gone. */
+  /** Removes a peer that is gone. */
   forget(peer: string): void {
-    this.reading.delete(peer);
+    this.activeReaders.delete(peer);
   }
 
-  /** Whether this gateway must read; beats of peers come every `beatMs`. */
-  mustRead(beatMs: number, nowMs: number): boolean {
-    const silenceMs = Math.max(this.options.minSilenceMs, beatMs * this.options.silenceBeats);
-    let before = 0;
-    let beforeInRegion = 0;
-    for (const [peer, { heardAtMs, region }] of this.reading) {
-      if (nowMs - heardAtMs > silenceMs) {
-        this.reading.delete(peer);
+  /**
+   * Whether this gateway must read the store, if peers send heartbeats every `heartbeatIntervalMs`.
+   */
+  mustRead(heartbeatIntervalMs: number, nowMs: number): boolean {
+    const silenceMs = Math.max(
+      this.options.minSilenceMs,
+      heartbeatIntervalMs * this.options.silenceHeartbeats,
+    );
+    let lowerRanked = 0;
+    let lowerRankedInRegion = 0;
+    for (const [peer, { lastHeartbeatAtMs, region }] of this.activeReaders) {
+      if (nowMs - lastHeartbeatAtMs > silenceMs) {
+        this.activeReaders.delete(peer);
       } else if (rankOf(peer) < this.rank) {
-        before += 1;
-        beforeInRegion += region === this.region ? 1 : 0;
+        lowerRanked += 1;
+        lowerRankedInRegion += region === this.region ? 1 : 0;
       }
     }
-    const { readers, readersInRegion } = this.options;
-    const isMissedInRegion = this.region !== undefined && beforeInRegion < readersInRegion;
-    return before < readers || isMissedInRegion;
+    const { readers, readersPerRegion } = this.options;
+    const isNeededInRegion = this.region !== undefined && lowerRankedInRegion < readersPerRegion;
+    return lowerRanked < readers || isNeededInRegion;
   }
 }
 
 function rankOf(incarnation: string): number {
-  return pairShare(RANK_NAME, incarnation);
+  return pairShare(RANK_HASH_KEY, incarnation);
 }
--- a/test/restored-store-gateways.test.ts
+++ b/test/restored-store-gateways.test.ts
@@ -1,4 +1,4 @@
-/** Real gateways before a store that comes back from a copy. */
+/** Real gateway processes and a store that is restored from a backup. */
 import test from 'ava';
 import type { ExecutionContext } from 'ava';
 import { request } from 'undici';
@@ -8,7 +8,10 @@
 
 const HOST = '127.0.3.31';
 const { start, untilReady } = platformGateways(HOST, 28_000);
-/** Time from a change of the store until it is in force, and from a back end's word until nothing is sent there. */
+/**
+ * Time limit until a change in the store is in force, and until a leaving back end receives no more
+ * requests.
+ */
 const BOUND_MS = 1_000;
 const FIRST_KEY = 'first';
 
@@ -22,7 +25,7 @@
   };
 }
 
-async function callOf({ callers }: RunningGateway, key: string): Promise<number> {
+async function requestStatus({ callers }: RunningGateway, key: string): Promise<number> {
   const headers = { host: 'h', authorization: `Bearer ${key}`, 'x-weirvale-attempt-id': 'id' };
   const answer = await request(`${callers}/a/x`, { headers });
   await answer.body.dump();
@@ -33,7 +36,7 @@
   return new Promise((resolve) => setTimeout(resolve, delayMs));
 }
 
-/** Three gateways, two back ends and a store whose newest changes a copy lacks. */
+/** Starts a store with epochs, two back ends and three gateways. */
 async function startFleet(t: ExecutionContext) {
   const store = new StandinStore();
   store.epoch = 1;
@@ -58,21 +61,27 @@
   return { store, workers, gateways };
 }
 
-test('a fleet takes in what is written after the store came back from a copy, and falls back to nothing older', async (t) => {
+test('gateways apply changes written after the store was restored from a backup, and never revert to older ones', async (t) => {
   const { store, workers, gateways } = await startFleet(t);
-  const beforeMs = performance.now();
+  const settledAtMs = performance.now();
   await sleepMs(300);
   for (let version = 2; version <= 30; version += 1) {
     store.put('op/config', configuration(version, 'second'));
   }
   await sleepMs(600);
-  t.deepEqual(await Promise.all(gateways.map((each) => callOf(each, FIRST_KEY))), [401, 401, 401]);
+  t.deepEqual(
+    await Promise.all(gateways.map((each) => requestStatus(each, FIRST_KEY))),
+    [401, 401, 401],
+  );
   store.mood = 'resets';
   await sleepMs(400);
-  store.restore(performance.now() - beforeMs - 100);
+  store.restore(performance.now() - settledAtMs - 100);
   store.mood = 'answers';
   await sleepMs(500);
-  t.deepEqual(await Promise.all(gateways.map((each) => callOf(each, FIRST_KEY))), [401, 401, 401]);
+  t.deepEqual(
+    await Promise.all(gateways.map((each) => requestStatus(each, FIRST_KEY))),
+    [401, 401, 401],
+  );
   store.put('op/config', configuration(30, 'second'));
   await sleepMs(500);
   store.put('op/config', configuration(31, 'third'));
@@ -81,9 +90,12 @@
   await sleepMs(BOUND_MS);
   const received = leaving!.received.length;
   for (let round = 0; round < 5; round += 1) {
-    const statuses = await Promise.all(gateways.map((each) => callOf(each, 'third')));
+    const statuses = await Promise.all(gateways.map((each) => requestStatus(each, 'third')));
     t.deepEqual(statuses, [200, 200, 200]);
   }
-  t.deepEqual(await Promise.all(gateways.map((each) => callOf(each, 'second'))), [401, 401, 401]);
+  t.deepEqual(
+    await Promise.all(gateways.map((each) => requestStatus(each, 'second'))),
+    [401, 401, 401],
+  );
   t.is(leaving!.received.length, received);
 });
--- a/test/restored-store-troubles.test.ts
+++ b/test/restored-store-troubles.test.ts
@@ -1,4 +1,7 @@
-/** A store that comes back from copies beside all other troubles: changes are in force in time, and nothing old is believed. */
+/**
+ * Restores of the store from backups, combined with all other faults: gateways apply each change in
+ * time and never revert to older records.
+ */
 import test from 'ava';
 import type { ClusterStore, StoreRead } from '../src/cluster/cluster-store.js';
 import type { ReplicatedRecords } from '../src/cluster/replicated-records.js';
@@ -8,15 +11,18 @@
 
 const LENGTH_MS = 30_000;
 
-/** What was wrong in the first seed that shows something, with what happened. */
-async function findFault(
+/**
+ * Runs the seeds in order; returns the first run in which a gateway was late or reverted, or
+ * undefined.
+ */
+async function findFailingRun(
   seeds: { readonly from: number; readonly to: number },
   options: Omit<TroubledRunOptions, 'seed' | 'lengthMs' | 'countsEpochs'>,
 ) {
   for (let seed = seeds.from; seed <= seeds.to; seed += 1) {
     const run = await runTroubled({ seed, lengthMs: LENGTH_MS, countsEpochs: true, ...options });
-    const faults = [run.late, run.lateForOrders, run.lateForLeaves, run.readyAgain].flat();
-    if (faults.length > 0) {
+    const violations = [run.late, run.lateForOrders, run.lateForLeaves, run.readyAgain].flat();
+    if (violations.length > 0) {
       return { seed, ...run };
     }
   }
@@ -28,66 +34,67 @@
   [12, 8],
   [27, 4],
 ] as const) {
-  test(`${gateways} gateways know changes in time, and believe nothing old, beside returns from copies`, async (t) => {
-    const found = await findFault({ from: 1, to }, { gateways });
+  test(`${gateways} gateways apply changes in time and never revert to older records, with restores of the store and other faults`, async (t) => {
+    const found = await findFailingRun({ from: 1, to }, { gateways });
     t.is(found, undefined, JSON.stringify(found));
   });
 }
 
-/** The parts of a process that a variant breaks. */
-interface Inside {
+/** Private members of `GatewayCluster` that the injected faults replace. */
+interface ClusterInternals {
   readonly follower: { store: ClusterStore };
   readonly records: ReplicatedRecords;
 }
 
-interface Variant {
+interface InjectedFault {
   readonly name: string;
-  /** A seed that shows it. */
+  /** A seed with which the check detects the fault. */
   readonly seed: number;
-  breakInside(inside: Inside): void;
+  injectFault(internals: ClusterInternals): void;
 }
 
-/** A store as a process that looks at no epochs hears it. */
+/** Wraps a store so that all its responses have the same epoch. */
 function withoutEpochs(store: ClusterStore): ClusterStore {
-  const strip = (read: StoreRead): StoreRead => ({
+  const withEpochOne = (read: StoreRead): StoreRead => ({
     ...read,
     epoch: 1,
     records: read.records.map((record) => ({ ...record, epoch: 1 })),
   });
   return {
-    list: async () => (await store.list()).map(strip),
-    watch: async (since, waitMs) => (await store.watch(since, waitMs)).map(strip),
+    list: async () => (await store.list()).map(withEpochOne),
+    watch: async (since, waitMs) => (await store.watch(since, waitMs)).map(withEpochOne),
   };
 }
 
-const VARIANTS: readonly Variant[] = [
+const INJECTED_FAULTS: readonly InjectedFault[] = [
   {
     name: 'epochs are ignored',
     seed: 2,
-    breakInside: ({ follower }) => {
+    injectFault: ({ follower }) => {
       follower.store = withoutEpochs(follower.store);
     },
   },
   {
-    name: 'what the copy lacks is believed to be gone at once',
+    name: 'records that the backup lacks are removed at once',
     seed: 2,
-    breakInside: ({ follower }) => {
-      Object.assign(follower, { awaitOwners: () => undefined });
+    injectFault: ({ follower }) => {
+      Object.assign(follower, { deferRelistForEpoch: () => undefined });
     },
   },
   {
-    name: 'what the copy shows is believed at once',
+    name: 'records that the backup contains replace newer ones at once',
     seed: 2,
-    breakInside: ({ records }) => {
+    injectFault: ({ records }) => {
       Object.assign(records, { isWrittenLater: () => true });
     },
   },
 ];
 
-for (const { name, seed, breakInside } of VARIANTS) {
-  test(`the check finds it if ${name}`, async (t) => {
-    const breakProcess = (cluster: GatewayCluster) => breakInside(cluster as unknown as Inside);
-    const found = await findFault({ from: seed, to: seed }, { gateways: 12, breakProcess });
+for (const { name, seed, injectFault } of INJECTED_FAULTS) {
+  test(`the check detects a gateway in which ${name}`, async (t) => {
+    const breakProcess = (cluster: GatewayCluster) =>
+      injectFault(cluster as unknown as ClusterInternals);
+    const found = await findFailingRun({ from: seed, to: seed }, { gateways: 12, breakProcess });
     t.not(found, undefined);
   });
 }
--- a/test/restored-store.test.ts
+++ b/test/restored-store.test.ts
@@ -4,29 +4,42 @@
 import { randomInteger } from '../src/random.js';
 import { scenarioRandom, StoreFleet } from './support/store-fleet.js';
 
-/** Time in which users ask that a change, and a back end's word that it leaves, is in force, in milliseconds. */
+/**
+ * Required time limit until a change, or the record of a leaving back end, is in force, in
+ * milliseconds.
+ */
 const CHANGE_BOUND_MS = 2_000;
 const SEEDS = 20;
 const SETTLE_MS = 5_000;
-/** Times between changes before the store goes, and from its return to the next one. */
+/**
+ * Interval between changes before the outage of the store, and time from its restore to the next
+ * change.
+ */
 const CHANGE_PERIOD_MS = 700;
-const AFTER_RETURN_MS = 1_500;
+const AFTER_RESTORE_MS = 1_500;
 
-interface Drill {
+interface RestoreScenario {
   readonly gateways: number;
   readonly seed: number;
-  /** Breaks the parts of each process that starts. */
-  readonly breakProcess?: (cluster: GatewayCluster) => void;
+  /** Injects a fault into each process when it starts. */
+  readonly injectFault?: (cluster: GatewayCluster) => void;
 }
 
-/** A fleet whose store comes back from a copy some seconds old, before a change and a back end that leaves. */
-async function playDrill({ gateways, seed, breakProcess }: Drill): Promise<StoreFleet> {
+/**
+ * Restores the store of a fleet from a backup that is some seconds old, then writes changes and
+ * lets back ends leave.
+ */
+async function runRestoreScenario({
+  gateways,
+  seed,
+  injectFault,
+}: RestoreScenario): Promise<StoreFleet> {
   const random = scenarioRandom(seed);
   const fleet = new StoreFleet({
     seed,
     gateways,
     countsEpochs: true,
-    ...(breakProcess === undefined ? {} : { breakProcess }),
+    ...(injectFault === undefined ? {} : { breakProcess: injectFault }),
   });
   fleet.announce('b1');
   fleet.announce('b2');
@@ -37,10 +50,10 @@
   }
   fleet.isLate = (_machine, change, nowMs) => nowMs - change.atMs > CHANGE_BOUND_MS;
   fleet.isLateForLeave = (_machine, leave, nowMs) => nowMs - leave.atMs > CHANGE_BOUND_MS;
-  const awayMs = randomInteger(random, 100, 3_000);
-  const copyAgeMs = randomInteger(random, 200, 20_000);
-  fleet.restoreStore(awayMs, copyAgeMs);
-  await fleet.run(awayMs + AFTER_RETURN_MS);
+  const downMs = randomInteger(random, 100, 3_000);
+  const backupAgeMs = randomInteger(random, 200, 20_000);
+  fleet.restoreStore(downMs, backupAgeMs);
+  await fleet.run(downMs + AFTER_RESTORE_MS);
   fleet.change();
   fleet.leave('b1');
   await fleet.run(CHANGE_PERIOD_MS);
@@ -50,31 +63,31 @@
   return fleet;
 }
 
-test('a configuration written after the store came back from a copy is in force in time everywhere', async (t) => {
+test('a configuration written after a restore of the store is in force on every gateway in time', async (t) => {
   for (const gateways of [1, 4, 31]) {
     for (let seed = 0; seed < SEEDS; seed += 1) {
-      const fleet = await playDrill({ gateways, seed });
+      const fleet = await runRestoreScenario({ gateways, seed });
       t.deepEqual(fleet.late, [], `seed ${seed}, ${gateways} gateways`);
     }
   }
 });
 
-test('a back end that leaves after the store came back from a copy is known to leave in time everywhere', async (t) => {
+test('a back end that leaves after a restore of the store is known to leave on every gateway in time', async (t) => {
   for (const gateways of [1, 4, 31]) {
     for (let seed = 0; seed < SEEDS; seed += 1) {
-      const fleet = await playDrill({ gateways, seed });
+      const fleet = await runRestoreScenario({ gateways, seed });
       t.deepEqual(fleet.lateForLeaves, [], `seed ${seed}, ${gateways} gateways`);
     }
   }
 });
 
-/** Parts of a process that are broken, by what is wrong then. */
-const VARIANTS: Readonly<Record<string, (cluster: GatewayCluster) => void>> = {
-  'readers do not tell others of the epoch': ({ records }) => {
-    const reachOf = Object.getOwnPropertyDescriptor(Object.getPrototypeOf(records), 'reach')!;
+/** Faults that the scenario must detect, by description. */
+const INJECTED_FAULTS: Readonly<Record<string, (cluster: GatewayCluster) => void>> = {
+  'readers do not report the epoch to their peers': ({ records }) => {
+    const reachProperty = Object.getOwnPropertyDescriptor(Object.getPrototypeOf(records), 'reach')!;
     Object.defineProperty(records, 'reach', {
       get() {
-        const { completeTo, currentTo } = reachOf.get!.call(records) as ReplicaReach;
+        const { completeTo, currentTo } = reachProperty.get!.call(records) as ReplicaReach;
         return {
           completeTo: { ...completeTo, epoch: 1 },
           currentTo: { ...currentTo, epoch: 1 },
@@ -82,7 +95,7 @@
       },
     });
   },
-  'a reach of a former epoch counts by its revision': ({ records }) => {
+  'replicas compare positions of different epochs by revision alone': ({ records }) => {
     Object.assign(records, {
       isBehind: ({ completeTo, currentTo }: ReplicaReach) =>
         completeTo.revision > records.completeTo.revision ||
@@ -91,9 +104,9 @@
   },
 };
 
-for (const [name, breakProcess] of Object.entries(VARIANTS)) {
-  test(`the check finds it if ${name}`, async (t) => {
-    const fleet = await playDrill({ seed: 2, gateways: 31, breakProcess });
+for (const [name, injectFault] of Object.entries(INJECTED_FAULTS)) {
+  test(`the check detects a fleet in which ${name}`, async (t) => {
+    const fleet = await runRestoreScenario({ seed: 2, gateways: 31, injectFault });
     t.not(fleet.lateForLeaves.length, 0);
   });
 }
--- a/test/store-follower.test.ts
+++ b/test/store-follower.test.ts
@@ -14,10 +14,13 @@
 
 type Answer = Result<StoreRead, StoreUnavailableError | StoreHistoryGoneError> | 'never';
 
-/** A store that answers as the script says and notes its calls up to the first that the script does not know. */
+/**
+ * A store with scripted responses. Records its calls, up to the first one that has no scripted
+ * response.
+ */
 class ScriptedStore implements ClusterStore {
   readonly calls: string[] = [];
-  /** Whether a call was made that the script does not know. */
+  /** Whether a call was made after the last scripted response. */
   hasEnded = false;
 
   constructor(
@@ -45,11 +48,11 @@
 }
 
 const READ_AT_4 = ok({ records: [{ key: 'k', ...at(4), value: 'v' }], ...at(4) });
-const NOTHING_AT_4 = ok({ records: [], ...at(4) });
+const NO_CHANGE_AT_4 = ok({ records: [], ...at(4) });
 const FAILED = err(new StoreUnavailableError('cut'));
-const FORGOTTEN = err(new StoreHistoryGoneError('gone'));
+const HISTORY_GONE = err(new StoreHistoryGoneError('gone'));
 
-/** Handlers of a follower that is alone and knows nothing, before a store that counts no epochs. */
+/** Handlers of the only follower, with an empty replica, of a store that reports no epochs. */
 const HANDLERS: StoreFollowerHandlers = {
   onListing: () => undefined,
   onListingAfterOutage: () => undefined,
@@ -65,7 +68,7 @@
   onCall: () => undefined,
 };
 
-async function callsOf(
+async function runFollower(
   script: Answer[],
   forMs = 8_000,
 ): Promise<{ calls: string[]; reachable: boolean[]; listings: string[] }> {
@@ -92,38 +95,36 @@
   return { calls: store.calls, reachable, listings };
 }
 
-test('a listing is followed by watches from its revision', async (t) => {
-  const { calls } = await callsOf([READ_AT_4, NOTHING_AT_4]);
+test('the follower watches from the revision of its listing', async (t) => {
+  const { calls } = await runFollower([READ_AT_4, NO_CHANGE_AT_4]);
   t.deepEqual(calls, ['list', 'watch 4', 'watch 4']);
 });
 
-test('a watch that was cut is followed by a listing, since history may be gone', async (t) => {
-  const { calls, reachable } = await callsOf([READ_AT_4, FAILED, READ_AT_4]);
+test('the follower lists again after a failed watch, since history may be gone', async (t) => {
+  const { calls, reachable } = await runFollower([READ_AT_4, FAILED, READ_AT_4]);
   t.deepEqual(calls, ['list', 'watch 4', 'list', 'watch 4']);
   t.deepEqual(reachable, [true, false, true]);
 });
 
-test('a watch that names a revision without its changes is followed by a listing', async (t) => {
-  const skipping = ok({ records: [], ...at(7) });
-  const { calls } = await callsOf([READ_AT_4, skipping, READ_AT_4]);
+test('the follower lists again after a watch that returned a revision without its changes', async (t) => {
+  const withoutChanges = ok({ records: [], ...at(7) });
+  const { calls } = await runFollower([READ_AT_4, withoutChanges, READ_AT_4]);
   t.deepEqual(calls, ['list', 'watch 4', 'list', 'watch 4']);
 });
 
-test('history that is gone is followed by a listing at once', async (t) => {
-  const { calls, reachable } = await callsOf([READ_AT_4, FORGOTTEN, READ_AT_4]);
+test('the follower lists again at once when the history is gone', async (t) => {
+  const { calls, reachable } = await runFollower([READ_AT_4, HISTORY_GONE, READ_AT_4]);
   t.deepEqual(calls, ['list', 'watch 4', 'list', 'watch 4']);
   t.deepEqual(reachable, [true]);
 });
 
-test('a store that does not answer is asked again', async (t) => {
-  const { calls } = await callsOf([FAILED, FAILED, READ_AT_4]);
+test('the follower retries a listing that failed', async (t) => {
+  const { calls } = await runFollower([FAILED, FAILED, READ_AT_4]);
   t.deepEqual(calls, ['list', 'list', 'list', 'watch 4']);
 });
 
-/** Times of the watches' answers while `followers` processes follow the store. */
-async function changesSeenAtMs(
-  followers: number,
-): Promise<{ calls: string[]; seenAtMs: number[] }> {
+/** Returns when the follower received changes, with `followers` processes following the store. */
+async function changeTimesMs(followers: number): Promise<{ calls: string[]; seenAtMs: number[] }> {
   const change = (revision: number) =>
     ok({ records: [{ key: 'k', ...at(revision), value: 'v' }], ...at(revision) });
   const clock = new VirtualClock();
@@ -142,43 +143,46 @@
   return { calls: store.calls, seenAtMs };
 }
 
-test('changes that follow each other are gathered into one call', async (t) => {
-  const { calls, seenAtMs } = await changesSeenAtMs(1);
+test('successive changes are coalesced into one watch', async (t) => {
+  const { calls, seenAtMs } = await changeTimesMs(1);
   t.deepEqual(calls, ['list', 'watch 4', 'watch 5', 'watch 9']);
   const pauseMs = seenAtMs[1]! - seenAtMs[0]!;
   t.true(pauseMs >= 150 && pauseMs <= 300);
 });
 
-test('of many followers each gathers for longer, up to a bound', async (t) => {
+test('followers coalesce changes for longer, up to a bound, when there are many', async (t) => {
   for (const followers of [31, 970]) {
-    const { seenAtMs } = await changesSeenAtMs(followers);
+    const { seenAtMs } = await changeTimesMs(followers);
     const pauseMs = seenAtMs[1]! - seenAtMs[0]!;
     t.true(pauseMs >= 400 && pauseMs <= 2_000, `${pauseMs}`);
   }
 });
 
-test('after an outage a listing does not remove what may have lapsed, until owners had time', async (t) => {
+test('a listing after an outage removes no records until their owners had time to write them again', async (t) => {
   const failures = Array.from({ length: 6 }, () => FAILED);
   const watches = Array.from({ length: 80 }, () => READ_AT_4);
-  const { listings } = await callsOf([READ_AT_4, FAILED, ...failures, READ_AT_4, ...watches]);
+  const { listings } = await runFollower([READ_AT_4, FAILED, ...failures, READ_AT_4, ...watches]);
   t.deepEqual(listings, ['whole', 'after an outage', 'whole']);
 });
 
-test('the listing that counts is not put off for ever by outages in a row', async (t) => {
-  const outage = [...Array.from({ length: 4 }, () => FAILED), READ_AT_4, NOTHING_AT_4];
+test('successive outages do not postpone the full listing indefinitely', async (t) => {
+  const outage = [...Array.from({ length: 4 }, () => FAILED), READ_AT_4, NO_CHANGE_AT_4];
   const outages = Array.from({ length: 40 }, () => outage).flat();
-  const { listings } = await callsOf([READ_AT_4, ...outages], 14_000);
+  const { listings } = await runFollower([READ_AT_4, ...outages], 14_000);
   t.true(listings.slice(1).includes('whole'), listings.join(', '));
   t.true(listings.includes('after an outage'));
 });
 
-test('a watch that is cut while the store answers is no outage', async (t) => {
-  const { listings } = await callsOf([READ_AT_4, FAILED, READ_AT_4]);
+test('a watch that fails while the store responds does not count as an outage', async (t) => {
+  const { listings } = await runFollower([READ_AT_4, FAILED, READ_AT_4]);
   t.deepEqual(listings, ['whole', 'whole']);
 });
 
-/** A follower that others read the store for until `untilMs`; returns its calls and listings. */
-async function restingCallsOf(
+/**
+ * Runs a follower that is idle until `untilMs`, since peers read the store; returns its calls and
+ * listings.
+ */
+async function runIdleFollower(
   script: Answer[],
   untilMs: number,
   completeTo: number,
@@ -201,9 +205,9 @@
   return { calls: store.calls, listings };
 }
 
-test('a watch that is not answered is overdue soon after its wait, and the store is listed beside it', async (t) => {
+test('a watch without a response is overdue soon after its wait, and the follower lists while it is open', async (t) => {
   const clock = new VirtualClock();
-  const store = new ScriptedStore(clock, [READ_AT_4, 'never', READ_AT_4, NOTHING_AT_4]);
+  const store = new ScriptedStore(clock, [READ_AT_4, 'never', READ_AT_4, NO_CHANGE_AT_4]);
   const reachable: boolean[] = [];
   const handlers: StoreFollowerHandlers = {
     ...HANDLERS,
@@ -219,13 +223,16 @@
   t.deepEqual(reachable.slice(0, 3), [true, false, true]);
 });
 
-/** A store whose answers take `answerMs`; what was listed, and how often it counted as lost. */
-async function followSlowStore(answerMs: number): Promise<{ listed: number; lost: number }> {
+/**
+ * Follows a store with a response time of `responseMs`; counts the listings and how often the store
+ * became unreachable.
+ */
+async function followSlowStore(responseMs: number): Promise<{ listed: number; lost: number }> {
   const clock = new VirtualClock();
   const seen = { listed: 0, lost: 0 };
   const answer = (read: Answer) => {
     clock.notePromise();
-    return sleep(clock, answerMs).then(() => {
+    return sleep(clock, responseMs).then(() => {
       clock.notePromise();
       return read;
     });
@@ -233,7 +240,7 @@
   const store = {
     list: () => answer(READ_AT_4),
     watch: (_since: StorePosition, waitMs: number) =>
-      sleep(clock, waitMs).then(() => answer(NOTHING_AT_4)),
+      sleep(clock, waitMs).then(() => answer(NO_CHANGE_AT_4)),
   } as unknown as ClusterStore;
   const handlers: StoreFollowerHandlers = {
     ...HANDLERS,
@@ -250,82 +257,90 @@
   return seen;
 }
 
-test('a store whose answers take long is followed, and counts as lost only until that is known', async (t) => {
-  for (const answerMs of [100, 600]) {
-    const { listed, lost } = await followSlowStore(answerMs);
-    t.true(listed >= 1 && listed <= 8, `${listed} listings of ${answerMs} ms`);
-    t.true(lost <= 2, `lost ${lost} times`);
+test('a slow store is followed, and counts as unreachable only until its response time is known', async (t) => {
+  for (const responseMs of [100, 600]) {
+    const { listed, lost } = await followSlowStore(responseMs);
+    t.true(listed >= 1 && listed <= 8, `${listed} listings, response time ${responseMs} ms`);
+    t.true(lost <= 2, `unreachable ${lost} times`);
   }
 });
 
-test('while others follow the store it is not called, and then watched from what they told', async (t) => {
-  const { calls } = await restingCallsOf([NOTHING_AT_4], 5_000, 4);
+test('an idle follower makes no calls, and then watches from the position received from peers', async (t) => {
+  const { calls } = await runIdleFollower([NO_CHANGE_AT_4], 5_000, 4);
   t.deepEqual(calls, ['watch 4', 'watch 4']);
-  t.deepEqual((await restingCallsOf([NOTHING_AT_4], 50_000, 4)).calls, []);
+  t.deepEqual((await runIdleFollower([NO_CHANGE_AT_4], 50_000, 4)).calls, []);
 });
 
-test('one that others told nothing lists', async (t) => {
-  t.deepEqual((await restingCallsOf([READ_AT_4], 5_000, 0)).calls[0], 'list');
+test('an idle follower with an empty replica starts with a listing', async (t) => {
+  t.deepEqual((await runIdleFollower([READ_AT_4], 5_000, 0)).calls[0], 'list');
 });
 
-test('one that begins to follow in an outage does not believe what the first listing lacks', async (t) => {
-  const { listings } = await restingCallsOf([FAILED, READ_AT_4], 5_000, 4);
+test('a follower that becomes active in an outage removes no records on its first listing', async (t) => {
+  const { listings } = await runIdleFollower([FAILED, READ_AT_4], 5_000, 4);
   t.is(listings[0], 'after an outage');
 });
 
-/** What a follower does whose process hears of epochs by its own reads, and of `heardEpoch` by others at a moment. */
-async function playEpochs(
+/**
+ * Runs a follower whose process learns epochs from its own reads, and the epoch of `peerReport`
+ * from a peer.
+ */
+async function runWithEpochs(
   script: Answer[],
-  heard: { readonly epoch: number; readonly atMs: number } = { epoch: 0, atMs: 0 },
+  peerReport: { readonly epoch: number; readonly atMs: number } = { epoch: 0, atMs: 0 },
   forMs = 6_000,
   clock = new VirtualClock(),
   store = new ScriptedStore(clock, script),
 ) {
-  const taken: string[] = [];
+  const events: string[] = [];
   let known = { epoch: NO_EPOCH, sinceMs: -Infinity };
-  const learn = (epoch: number) => {
+  const learnEpoch = (epoch: number) => {
     known = epoch > known.epoch ? { epoch, sinceMs: clock.now() } : known;
   };
-  const take = (what: string) => (read: StoreRead) => {
-    taken.push(`${what} ${read.epoch}/${read.revision}`);
-    learn(read.epoch);
+  const record = (what: string) => (read: StoreRead) => {
+    events.push(`${what} ${read.epoch}/${read.revision}`);
+    learnEpoch(read.epoch);
   };
   const handlers: StoreFollowerHandlers = {
     ...HANDLERS,
-    onListing: take('whole'),
-    onListingAfterOutage: take('listing'),
-    onChanges: take('changes'),
+    onListing: record('whole'),
+    onListingAfterOutage: record('listing'),
+    onChanges: record('changes'),
     knownEpoch: () => known,
     onOtherEpoch: (call: string, asked: number, read: StorePosition) =>
-      void taken.push(`${call} of ${asked} dropped ${read.epoch}/${read.revision}`),
+      void events.push(`${call} of ${asked} dropped ${read.epoch}/${read.revision}`),
   };
   void new StoreFollower(store, handlers, clock, new SeededRandom(1)).run();
   for (let turn = 1; turn * 100 <= forMs; turn += 1) {
     clock.notePromise();
     await clock.runUntil(turn * 100);
-    if (turn * 100 === heard.atMs) {
-      learn(heard.epoch);
+    if (turn * 100 === peerReport.atMs) {
+      learnEpoch(peerReport.epoch);
     }
   }
-  return { calls: store.calls, taken };
+  return { calls: store.calls, events };
 }
 
 const readAt = (revision: number, epoch: number) =>
   ok({ records: [{ key: 'k', ...at(revision, epoch), value: 'v' }], ...at(revision, epoch) });
 
-test('a watch that is answered in another epoch brings nothing, and a listing follows', async (t) => {
-  const { calls, taken } = await playEpochs([readAt(9, 1), readAt(4, 2), readAt(4, 2)]);
+test('the follower drops a watch response of another epoch and lists again', async (t) => {
+  const { calls, events } = await runWithEpochs([readAt(9, 1), readAt(4, 2), readAt(4, 2)]);
   t.deepEqual(calls, ['list', 'watch 9', 'list', 'watch 4']);
-  t.deepEqual(taken, ['listing 1/9', 'watch of 1 dropped 2/4', 'listing 2/4']);
+  t.deepEqual(events, ['listing 1/9', 'watch of 1 dropped 2/4', 'listing 2/4']);
 });
 
-test('an answer of an epoch that is over is dropped', async (t) => {
-  const { calls, taken } = await playEpochs([readAt(4, 2), FORGOTTEN, readAt(9, 1), readAt(5, 2)]);
+test('the follower drops a listing of an earlier epoch', async (t) => {
+  const { calls, events } = await runWithEpochs([
+    readAt(4, 2),
+    HISTORY_GONE,
+    readAt(9, 1),
+    readAt(5, 2),
+  ]);
   t.deepEqual(calls, ['list', 'watch 4', 'list', 'list', 'watch 5']);
-  t.deepEqual(taken, ['listing 2/4', 'list of 2 dropped 1/9', 'listing 2/5']);
+  t.deepEqual(events, ['listing 2/4', 'list of 2 dropped 1/9', 'listing 2/5']);
 });
 
-test('one that hears of an epoch from others lists, and goes on with no watch of the former one', async (t) => {
+test('a follower that learns a new epoch from a peer lists, and drops the watch of the former epoch', async (t) => {
   const nothing = ok({ records: [], ...at(9, 1) });
   const script = [readAt(9, 1), nothing, ...Array.from({ length: 9 }, () => readAt(4, 2))];
   const clock = new VirtualClock();
@@ -336,16 +351,22 @@
     const answer = watch(since);
     return store.calls.length === 2 ? waiting.then(() => answer) : answer;
   };
-  const { calls, taken } = await playEpochs(script, { epoch: 2, atMs: 500 }, 3_000, clock, store);
+  const { calls, events } = await runWithEpochs(
+    script,
+    { epoch: 2, atMs: 500 },
+    3_000,
+    clock,
+    store,
+  );
   t.deepEqual(calls.slice(0, 4), ['list', 'watch 9', 'list', 'watch 4']);
-  t.deepEqual(taken.slice(0, 3), ['listing 1/9', 'watch of 1 dropped 1/9', 'listing 2/4']);
+  t.deepEqual(events.slice(0, 3), ['listing 1/9', 'watch of 1 dropped 1/9', 'listing 2/4']);
 });
 
-test('the first listing of an epoch that counts comes once the owners had their time', async (t) => {
+test('the first full listing of an epoch comes after owners had time to write their records again', async (t) => {
   const { reannounceMs } = DEFAULT_STORE_FOLLOWER_OPTIONS;
   const answers = [readAt(9, 1), ...Array.from({ length: 40 }, () => readAt(9, 1))];
-  const before = await playEpochs(answers, undefined, reannounceMs - 100);
-  t.false(before.taken.some((word) => word.startsWith('whole')));
-  const after = await playEpochs(answers, undefined, reannounceMs + 1_000);
-  t.true(after.taken.includes('whole 1/9'));
+  const before = await runWithEpochs(answers, undefined, reannounceMs - 100);
+  t.false(before.events.some((entry) => entry.startsWith('whole')));
+  const after = await runWithEpochs(answers, undefined, reannounceMs + 1_000);
+  t.true(after.events.includes('whole 1/9'));
 });
--- a/test/support/positions.ts
+++ b/test/support/positions.ts
@@ -1,8 +1,8 @@
-/** Positions of a store, for tests. */
+/** Test helper for store positions. */
 import { NO_EPOCH } from '../../src/cluster/store-position.js';
 import type { StorePosition } from '../../src/cluster/store-position.js';
 
-/** The position of a revision; in a store that counts no epochs where none is given. */
+/** Returns the position of a revision, by default in a store that reports no epochs. */
 export function at(revision: number, epoch: number = NO_EPOCH): StorePosition {
   return { epoch, revision };
 }
--- a/test/support/store-fleet.ts
+++ b/test/support/store-fleet.ts
@@ -1,7 +1,8 @@
 /**
- * Gateways that learn the store's records, on a virtual clock: the real follower, readers, exchange and mesh over a
- * virtual network, with troubles of the store, of paths and of processes; whether changes are in force in time is
- * looked at all the while.
+ * Simulated fleet of gateways that replicate the store's records, on a virtual clock. It runs the
+ * real follower, reader selection, record exchange and peer mesh over a virtual network, injects
+ * faults of the store, of network paths and of processes, and checks continuously whether each
+ * change is in force on each gateway in time.
  */
 import type { StoreRecord } from '../../src/cluster/replicated-records.js';
 import { NO_EPOCH, NO_POSITION } from '../../src/cluster/store-position.js';
@@ -15,109 +16,115 @@
 import type { NetworkHost } from './virtual-network.js';
 import { VirtualNetwork } from './virtual-network.js';
 import { STORE_ADDRESS, VirtualStore } from './virtual-store.js';
-import type { StoreTreatment } from './virtual-store.js';
+import type { StoreMode } from './virtual-store.js';
 
-/** Sizes of a fleet. */
+/** Options of a fleet. */
 export interface StoreFleetOptions {
   readonly seed: number;
   readonly gateways: number;
-  /** Whether the store counts its epochs. Default false. */
+  /** Whether the store reports epochs. Default false. */
   readonly countsEpochs?: boolean;
   /** See `VirtualNetwork`. Default true. */
   readonly needsAcknowledgement?: boolean;
-  /** Breaks the parts of each process that starts. */
+  /** Injects a fault into each process when it starts. */
   readonly breakProcess?: (cluster: GatewayCluster) => void;
 }
 
-/** What a path of a machine is cut to. */
+/** Which peers a machine is cut off from. */
 export type CutScope = 'all' | 'store' | 'peers';
-/** Which way it is cut, seen from the machine. */
-export type CutWay = 'both' | 'out' | 'in';
+/** Direction of the cut traffic, seen from the machine. */
+export type CutDirection = 'both' | 'out' | 'in';
 
-/** A change that the store acknowledged. */
+/** A configuration version that the store acknowledged. */
 export interface FleetChange {
   readonly version: number;
   readonly atMs: number;
 }
 
-/** An evacuation that operators ordered or took back. */
-export interface FleetOrder {
+/** An order of operators to evacuate the zone, or the end of the evacuation. */
+export interface EvacuationOrder {
   readonly number: number;
   readonly isOrdered: boolean;
   readonly atMs: number;
 }
 
-/** A back end that said it leaves. */
-export interface FleetLeave {
+/** A back end that announced that it leaves. */
+export interface BackendDeparture {
   readonly backend: string;
   readonly atMs: number;
 }
 
-/** A gateway that did not know a change when it had to. */
+/** A gateway that did not apply a change within the time limit. */
 export interface LateGateway {
   readonly gateway: string;
   readonly change: FleetChange;
   readonly atMs: number;
 }
 
-/** Trouble of the store, in milliseconds. */
-interface StoreTrouble {
+/** A fault of the store. */
+interface StoreFault {
   readonly untilMs: number;
-  /** Whether the store is down, slow or loses answers, for all. */
-  readonly isWhole: boolean;
+  /** Whether the fault affects all gateways: the store is down, slow or loses responses. */
+  readonly affectsAll: boolean;
 }
 
 const STORE_TIMEOUT_MS = 1_500;
-const LOOK_MS = 50;
+const CHECK_INTERVAL_MS = 50;
 const PEERS_PORT = 1;
-/** The key that changes are written under, and one that comes and goes. */
-const KEY = 'op/config';
-const ORDER_KEY = 'op/evacuate/z';
-/** Keys that back ends announce themselves under. */
+/** Keys of the configuration, and of the evacuation order, which is removed and written again. */
+const CONFIGURATION_KEY = 'op/config';
+const EVACUATION_KEY = 'op/evacuate/z';
+/** Prefix of the keys that back ends register with. */
 const BACKEND_PREFIX = 'servers/';
-/** Longest time until owners write again what a copy of the store lacks. */
-const REWRITE_MS = 500;
+/** Maximum delay until owners rewrite the records that a restored store lacks. */
+const MAX_REWRITE_DELAY_MS = 500;
 
-/** What a back end says of itself. */
-interface BackendEntry {
+/** Record that a back end writes about itself. */
+interface BackendRecord {
   readonly sequence: number;
   readonly state: 'ready' | 'draining';
 }
 
-/** The version of a change, the sequence of a back end's word; an order counts more than its end. */
-function countOf({ key, value }: StoreRecord): number | undefined {
-  if (key === ORDER_KEY) {
+/**
+ * Returns the owner's own counter of a record: the version of a configuration, or the sequence of a
+ * back end's record. An evacuation order has a higher count than its removal.
+ */
+function ownerCountOf({ key, value }: StoreRecord): number | undefined {
+  if (key === EVACUATION_KEY) {
     return value === undefined ? 0 : 1;
   }
   if (value === undefined) {
     return undefined;
   }
-  if (key === KEY) {
+  if (key === CONFIGURATION_KEY) {
     return Number(value);
   }
-  return key.startsWith(BACKEND_PREFIX) ? (JSON.parse(value) as BackendEntry).sequence : undefined;
+  return key.startsWith(BACKEND_PREFIX) ? (JSON.parse(value) as BackendRecord).sequence : undefined;
 }
 
 function compareByOwner(left: StoreRecord, right: StoreRecord): number | undefined {
-  const [leftCount, rightCount] = [countOf(left), countOf(right)];
+  const [leftCount, rightCount] = [ownerCountOf(left), ownerCountOf(right)];
   return leftCount === undefined || rightCount === undefined ? undefined : leftCount - rightCount;
 }
 
-/** A machine and the gateway that runs on it, start after start. */
+/** A machine and the successive gateway processes that run on it. */
 export class FleetMachine implements NetworkHost {
   cluster: GatewayCluster | undefined;
-  /** Version that the gateway has in force; 0 for none. */
+  /** Configuration version in force on the gateway; 0 for none. */
   version = 0;
-  /** Whether it knows the zone as evacuated. */
+  /** Whether the gateway treats the zone as evacuated. */
   isEvacuated = false;
-  /** Whether back ends that it knows leave, by id. */
+  /** Whether each known back end is leaving, by id. */
   readonly leaving = new Map<string, boolean>();
-  /** Until when it was killed, paused or cut off from all, in milliseconds. */
+  /** End of the last kill, pause or complete partition of the machine, in milliseconds. */
   disturbedUntilMs = 0;
-  /** Until when it has no path to the store, or is turned away, and to other gateways. */
-  storeGoneUntilMs = 0;
-  private peersGoneUntilMs = 0;
-  private readonly cuts = new Set<{ readonly scope: CutScope; readonly way: CutWay }>();
+  /**
+   * Until when the machine has no path to the store, or is refused by it; likewise for paths to
+   * other gateways.
+   */
+  storeUnreachableUntilMs = 0;
+  private peersUnreachableUntilMs = 0;
+  private readonly cuts = new Set<{ readonly scope: CutScope; readonly direction: CutDirection }>();
   private starts = 0;
   private pausedUntilMs = 0;
   private host: NetworkHost | undefined;
@@ -131,23 +138,26 @@
     return `m${this.index}`;
   }
 
-  /** Until when it can learn from nobody, in milliseconds. */
+  /** Until when the machine can reach neither the store nor a peer, in milliseconds. */
   get isolatedUntilMs(): number {
-    return Math.min(this.storeGoneUntilMs, this.peersGoneUntilMs);
+    return Math.min(this.storeUnreachableUntilMs, this.peersUnreachableUntilMs);
   }
 
   act(action: () => void): void {
-    this.actIn(this.starts, action);
+    this.runInStart(this.starts, action);
   }
 
-  /** Runs something in one start of the process. */
-  private actIn(start: number, action: () => void): void {
+  /**
+   * Runs `action` in the process with the start number `start`: after any pause, and not at all
+   * once that process has ended.
+   */
+  private runInStart(start: number, action: () => void): void {
     const waitMs = this.pausedUntilMs - this.fleet.clock.now();
     if (start !== this.starts) {
       return;
     }
     if (waitMs > 0) {
-      this.fleet.clock.setTimeout(() => this.actIn(start, action), waitMs);
+      this.fleet.clock.setTimeout(() => this.runInStart(start, action), waitMs);
     } else {
       action();
     }
@@ -161,96 +171,98 @@
     this.leaving.clear();
     const host: NetworkHost = {
       address: this.address,
-      act: (action) => this.actIn(start, action),
+      act: (action) => this.runInStart(start, action),
     };
-    const cluster = new GatewayCluster(this.fleet.partsOf(this, host, start));
+    const cluster = new GatewayCluster(this.fleet.dependenciesOf(this, host, start));
     this.cluster = cluster;
     this.host = host;
     this.fleet.breakProcess?.(cluster);
     cluster.start();
     const tick = () => {
       cluster.tick();
-      this.fleet.clock.setTimeout(() => this.actIn(start, tick), PEER_TICK_MS);
+      this.fleet.clock.setTimeout(() => this.runInStart(start, tick), PEER_TICK_MS);
     };
-    this.fleet.clock.setTimeout(() => this.actIn(start, tick), this.index % PEER_TICK_MS);
+    this.fleet.clock.setTimeout(() => this.runInStart(start, tick), this.index % PEER_TICK_MS);
   }
 
-  /** The process is killed and starts anew after a while. */
-  kill(awayMs: number): void {
+  /** Kills the process and starts it again after `downMs`. */
+  kill(downMs: number): void {
     const nowMs = this.fleet.clock.now();
     if (this.cluster === undefined) {
       return;
     }
-    this.disturb(nowMs + awayMs);
+    this.recordDisruption(nowMs + downMs);
     this.fleet.network.endProcess(this.host!);
     this.cluster = undefined;
     this.starts += 1;
-    this.fleet.clock.setTimeout(() => this.start(), awayMs);
+    this.fleet.clock.setTimeout(() => this.start(), downMs);
   }
 
-  /** The process stands still. */
+  /** Suspends the process. */
   pause(forMs: number): void {
     this.pausedUntilMs = this.fleet.clock.now() + forMs;
-    this.disturb(this.pausedUntilMs);
+    this.recordDisruption(this.pausedUntilMs);
   }
 
-  /** Paths of the machine are cut. */
-  cut(scope: CutScope, way: CutWay, forMs: number): void {
-    const cut = { scope, way };
+  /** Cuts network paths of the machine. */
+  cut(scope: CutScope, direction: CutDirection, forMs: number): void {
+    const cut = { scope, direction };
     this.cuts.add(cut);
     const untilMs = this.fleet.clock.now() + forMs;
-    this.fleet.noteTrouble(untilMs);
+    this.fleet.recordFault(untilMs);
     if (scope === 'all') {
-      this.disturb(untilMs);
+      this.recordDisruption(untilMs);
     } else if (scope === 'store') {
-      this.storeGoneUntilMs = Math.max(this.storeGoneUntilMs, untilMs);
+      this.storeUnreachableUntilMs = Math.max(this.storeUnreachableUntilMs, untilMs);
     } else {
-      this.peersGoneUntilMs = Math.max(this.peersGoneUntilMs, untilMs);
+      this.peersUnreachableUntilMs = Math.max(this.peersUnreachableUntilMs, untilMs);
     }
     this.fleet.clock.setTimeout(() => this.cuts.delete(cut), forMs);
   }
 
-  /** Whether a cut of this machine is in the way to or from `other`. */
-  isCut(other: string, way: 'out' | 'in'): boolean {
-    return [...this.cuts].some(({ scope, way: cutWay }) => {
-      const isConcerned = scope === 'all' || (scope === 'store') === (other === STORE_ADDRESS);
-      return isConcerned && (cutWay === 'both' || cutWay === way);
+  /** Whether traffic to (`out`) or from (`in`) the machine `other` is cut. */
+  isCut(other: string, requested: 'out' | 'in'): boolean {
+    return [...this.cuts].some(({ scope, direction }) => {
+      const matchesScope = scope === 'all' || (scope === 'store') === (other === STORE_ADDRESS);
+      return matchesScope && (direction === 'both' || direction === requested);
     });
   }
 
-  take(records: readonly StoreRecord[]): void {
+  applyRecords(records: readonly StoreRecord[]): void {
     for (const { key, value } of records) {
-      if (key === ORDER_KEY) {
+      if (key === EVACUATION_KEY) {
         this.isEvacuated = value !== undefined;
       }
       if (key.startsWith(BACKEND_PREFIX)) {
-        this.takeBackend(key.slice(BACKEND_PREFIX.length), value);
+        this.applyBackendRecord(key.slice(BACKEND_PREFIX.length), value);
       }
-      if (key === KEY && value !== undefined && Number(value) > this.version) {
+      if (key === CONFIGURATION_KEY && value !== undefined && Number(value) > this.version) {
         this.version = Number(value);
       }
     }
   }
 
-  private takeBackend(id: string, value: string | undefined): void {
+  private applyBackendRecord(id: string, value: string | undefined): void {
     if (value === undefined) {
       this.leaving.delete(id);
     } else {
-      const isLeaving = (JSON.parse(value) as BackendEntry).state === 'draining';
+      const isLeaving = (JSON.parse(value) as BackendRecord).state === 'draining';
       if (!isLeaving && this.leaving.get(id) === true) {
-        this.fleet.readyAgain.push(`${this.address}: ${id} at ${this.fleet.clock.now()}`);
+        this.fleet.readyAgain.push(
+          `${this.address}: ${id} ready again at ${this.fleet.clock.now()} ms`,
+        );
       }
       this.leaving.set(id, isLeaving);
     }
   }
 
-  private disturb(untilMs: number): void {
-    this.fleet.noteTrouble(untilMs);
+  private recordDisruption(untilMs: number): void {
+    this.fleet.recordFault(untilMs);
     this.disturbedUntilMs = Math.max(this.disturbedUntilMs, untilMs);
   }
 }
 
-/** A fleet of gateways before a store. */
+/** A fleet of gateways and their store. */
 export class StoreFleet {
   readonly clock = new HeapClock();
   readonly network = new VirtualNetwork(this.clock);
@@ -258,31 +270,33 @@
   readonly store: VirtualStore;
   readonly machines: readonly FleetMachine[];
   readonly changes: FleetChange[] = [];
-  readonly orders: FleetOrder[] = [];
-  readonly leaves: FleetLeave[] = [];
-  private readonly backends = new Map<string, BackendEntry>();
-  /** Gateways that took a back end for ready that leaves, each once for each. */
+  readonly orders: EvacuationOrder[] = [];
+  readonly leaves: BackendDeparture[] = [];
+  private readonly backends = new Map<string, BackendRecord>();
+  /**
+   * Gateways that treated a leaving back end as ready for too long, once per gateway and back end.
+   */
   readonly lateForLeaves: string[] = [];
-  /** Gateways that took a back end for ready that they had known to leave. */
+  /** Gateways that treated a back end as ready again after they knew that it leaves. */
   readonly readyAgain: string[] = [];
-  /** When a gateway that does not know that a back end leaves is late. */
-  isLateForLeave: (machine: FleetMachine, leave: FleetLeave, nowMs: number) => boolean = () =>
+  /** Whether a gateway that does not know yet that a back end leaves is late. */
+  isLateForLeave: (machine: FleetMachine, leave: BackendDeparture, nowMs: number) => boolean = () =>
     false;
-  /** Gateways that were late for an order, or for its end. */
+  /** Gateways that applied an evacuation order, or its end, too late. */
   readonly lateForOrders: string[] = [];
-  /** When a gateway that does not know whether the zone is evacuated is late. */
-  isLateForOrder: (machine: FleetMachine, order: FleetOrder, nowMs: number) => boolean = () =>
+  /** Whether a gateway that has not applied an evacuation order, or its end, is late. */
+  isLateForOrder: (machine: FleetMachine, order: EvacuationOrder, nowMs: number) => boolean = () =>
     false;
-  /** Gateways that were late, each once for each change. */
+  /** Gateways that applied a change too late, once per gateway and change. */
   readonly late: LateGateway[] = [];
   readonly breakProcess: StoreFleetOptions['breakProcess'];
-  /** When a gateway that does not know a change is late; undefined for never. */
+  /** Whether a gateway that has not applied a change is late. By default none is. */
   isLate: (machine: FleetMachine, change: FleetChange, nowMs: number) => boolean = () => false;
-  /** A gateway writes a line of its log. */
+  /** Called for each log line of a gateway. */
   onLine: ((machine: FleetMachine, event: string, fields: object) => void) | undefined;
-  private readonly storeTroubles: StoreTrouble[] = [];
-  private readonly noted = new Set<string>();
-  private troubledUntilMs = -Infinity;
+  private readonly storeFaults: StoreFault[] = [];
+  private readonly reported = new Set<string>();
+  private faultUntilMs = -Infinity;
 
   constructor(options: StoreFleetOptions) {
     this.random = scenarioRandom(options.seed);
@@ -297,10 +311,10 @@
     this.network.isOpen = (from, to) => !this.isCut(from, to);
     this.change();
     this.machines.forEach((machine) => machine.start());
-    this.every(LOOK_MS, () => this.look());
+    this.scheduleEvery(CHECK_INTERVAL_MS, () => this.checkMachines());
   }
 
-  /** Lets time pass. */
+  /** Advances the clock by `forMs`. */
   async run(forMs: number): Promise<void> {
     const untilMs = this.clock.now() + forMs;
     while (this.clock.step(untilMs)) {
@@ -308,165 +322,175 @@
     }
   }
 
-  /** Calls `act` again and again. */
-  every(periodMs: number, act: () => void): void {
+  /** Calls `act` every `periodMs`. */
+  scheduleEvery(periodMs: number, act: () => void): void {
     this.clock.setTimeout(() => {
       act();
-      this.every(periodMs, act);
+      this.scheduleEvery(periodMs, act);
     }, periodMs);
   }
 
-  /** Calls `act` at a moment. */
+  /** Calls `act` at `atMs`. */
   at(atMs: number, act: () => void): void {
     this.clock.setTimeout(act, atMs - this.clock.now());
   }
 
-  /** The store acknowledges a new version. */
+  /** Writes a new configuration version to the store. */
   change(): FleetChange {
     const change = { version: this.changes.length + 1, atMs: this.clock.now() };
-    this.store.put(KEY, String(change.version));
+    this.store.put(CONFIGURATION_KEY, String(change.version));
     this.changes.push(change);
     return change;
   }
 
-  /** Operators evacuate the zone, or take it back. */
+  /** Writes the order of operators to evacuate the zone, or removes it. */
   order(isOrdered: boolean): void {
     const number = this.orders.length + 1;
     this.orders.push({ number, isOrdered, atMs: this.clock.now() });
-    this.writeOrder(isOrdered);
+    this.writeEvacuation(isOrdered);
   }
 
-  private writeOrder(isOrdered: boolean): void {
+  private writeEvacuation(isOrdered: boolean): void {
     if (isOrdered) {
-      this.store.put(ORDER_KEY, '{}');
+      this.store.put(EVACUATION_KEY, '{}');
     } else {
-      this.store.remove(ORDER_KEY);
+      this.store.remove(EVACUATION_KEY);
     }
   }
 
-  /** A back end announces itself. */
+  /** Registers a back end as ready. */
   announce(backend: string): void {
     this.writeBackend(backend, { sequence: 1, state: 'ready' });
   }
 
-  /** A back end says that it leaves. */
+  /** Marks a back end as leaving. */
   leave(backend: string): void {
     const sequence = (this.backends.get(backend)?.sequence ?? 0) + 1;
     this.writeBackend(backend, { sequence, state: 'draining' });
     this.leaves.push({ backend, atMs: this.clock.now() });
   }
 
-  private writeBackend(backend: string, entry: BackendEntry): void {
-    this.backends.set(backend, entry);
-    this.store.put(`${BACKEND_PREFIX}${backend}`, JSON.stringify(entry));
+  private writeBackend(backend: string, record: BackendRecord): void {
+    this.backends.set(backend, record);
+    this.store.put(`${BACKEND_PREFIX}${backend}`, JSON.stringify(record));
   }
 
   /**
-   * The store is away and comes back with its state of `copyAgeMs` before it went; the owners of what is gone write it
-   * again soon after.
+   * Takes the store down for `downMs` and restores it from a backup made `backupAgeMs` before. The
+   * owners of lost records write them again soon after.
    */
-  restoreStore(awayMs: number, copyAgeMs: number, treatment: StoreTreatment = 'resets'): void {
-    const copyAtMs = this.clock.now() - copyAgeMs;
-    this.troubleStore(treatment, awayMs);
-    this.at(this.clock.now() + awayMs, () => {
-      this.store.restore(copyAtMs);
-      this.at(this.clock.now() + this.random.next() * REWRITE_MS, () => this.rewrite());
+  restoreStore(downMs: number, backupAgeMs: number, mode: StoreMode = 'resets'): void {
+    const backupAtMs = this.clock.now() - backupAgeMs;
+    this.troubleStore(mode, downMs);
+    this.at(this.clock.now() + downMs, () => {
+      this.store.restore(backupAtMs);
+      this.at(this.clock.now() + this.random.next() * MAX_REWRITE_DELAY_MS, () =>
+        this.rewriteLostRecords(),
+      );
     });
   }
 
-  private rewrite(): void {
+  private rewriteLostRecords(): void {
     const newest = String(this.changes.length);
-    if (this.store.read(KEY) !== newest) {
-      this.store.put(KEY, newest);
+    if (this.store.read(CONFIGURATION_KEY) !== newest) {
+      this.store.put(CONFIGURATION_KEY, newest);
     }
     const isOrdered = this.orders.at(-1)?.isOrdered === true;
-    if (isOrdered !== (this.store.read(ORDER_KEY) !== undefined)) {
-      this.writeOrder(isOrdered);
+    if (isOrdered !== (this.store.read(EVACUATION_KEY) !== undefined)) {
+      this.writeEvacuation(isOrdered);
     }
-    for (const [backend, entry] of this.backends) {
+    for (const [backend, record] of this.backends) {
       const key = `${BACKEND_PREFIX}${backend}`;
-      if (this.store.read(key) !== JSON.stringify(entry)) {
-        this.store.put(key, JSON.stringify(entry));
+      if (this.store.read(key) !== JSON.stringify(record)) {
+        this.store.put(key, JSON.stringify(record));
       }
     }
   }
 
-  /** The store is in trouble for all. */
-  troubleStore(treatment: StoreTreatment, forMs: number): void {
-    this.noteStoreTrouble(forMs, true);
-    this.store.treatment = treatment;
-    this.clock.setTimeout(() => (this.store.treatment = 'answers'), forMs);
+  /** Puts the store into a failure mode for all gateways. */
+  troubleStore(mode: StoreMode, forMs: number): void {
+    this.recordStoreFault(forMs, true);
+    this.store.mode = mode;
+    this.clock.setTimeout(() => (this.store.mode = 'answers'), forMs);
   }
 
-  /** The store answers late. */
-  slowStore(slowMs: number, forMs: number): void {
-    this.noteStoreTrouble(forMs, true);
-    this.store.slowMs = slowMs;
-    this.clock.setTimeout(() => (this.store.slowMs = 0), forMs);
+  /** Adds latency to the responses of the store. */
+  slowStore(extraLatencyMs: number, forMs: number): void {
+    this.recordStoreFault(forMs, true);
+    this.store.extraLatencyMs = extraLatencyMs;
+    this.clock.setTimeout(() => (this.store.extraLatencyMs = 0), forMs);
   }
 
-  /** Answers of the store are lost. */
-  loseAnswers(share: number, forMs: number): void {
-    this.noteStoreTrouble(forMs, true);
-    this.store.lossShare = share;
-    this.clock.setTimeout(() => (this.store.lossShare = 0), forMs);
+  /** Drops a fraction of the store's responses. */
+  loseAnswers(lossRate: number, forMs: number): void {
+    this.recordStoreFault(forMs, true);
+    this.store.lossRate = lossRate;
+    this.clock.setTimeout(() => (this.store.lossRate = 0), forMs);
   }
 
-  /** The store turns some machines away. */
-  turnAway(machines: readonly FleetMachine[], treatment: StoreTreatment, forMs: number): void {
-    this.noteStoreTrouble(forMs, false);
+  /** Puts the store into a failure mode for some machines. */
+  turnAway(machines: readonly FleetMachine[], mode: StoreMode, forMs: number): void {
+    this.recordStoreFault(forMs, false);
     for (const machine of machines) {
       const { address } = machine;
       const untilMs = this.clock.now() + forMs;
-      machine.storeGoneUntilMs = Math.max(machine.storeGoneUntilMs, untilMs);
-      this.store.turnedAway.set(address, treatment);
-      this.clock.setTimeout(() => this.store.turnedAway.delete(address), forMs);
+      machine.storeUnreachableUntilMs = Math.max(machine.storeUnreachableUntilMs, untilMs);
+      this.store.machineModes.set(address, mode);
+      this.clock.setTimeout(() => this.store.machineModes.delete(address), forMs);
     }
   }
 
-  /** Watches hear nothing for a while, then the history is dropped and they are cut. */
+  /**
+   * Withholds changes from watches for `afterMs`, then drops the history and cancels the watches.
+   */
   forgetHistory(afterMs: number): void {
-    this.noteStoreTrouble(afterMs, false);
-    this.store.isWithholding = true;
+    this.recordStoreFault(afterMs, false);
+    this.store.isWithholdingChanges = true;
     this.clock.setTimeout(() => {
-      this.store.isWithholding = false;
-      this.store.forgetHistory();
+      this.store.isWithholdingChanges = false;
+      this.store.dropHistory();
     }, afterMs);
   }
 
-  /** When the first gateway has, or had, a path to the store after the last trouble of its own, in milliseconds. */
+  /**
+   * Earliest time from which some gateway has a path to the store after its own last fault, in
+   * milliseconds.
+   */
   get storePathSinceMs(): number {
-    const sinceMs = this.machines.map(({ storeGoneUntilMs, disturbedUntilMs }) =>
-      Math.max(storeGoneUntilMs, disturbedUntilMs),
+    const sinceMs = this.machines.map(({ storeUnreachableUntilMs, disturbedUntilMs }) =>
+      Math.max(storeUnreachableUntilMs, disturbedUntilMs),
     );
     return Math.min(...sinceMs);
   }
 
-  /** Something in the fleet is in trouble until a moment. */
-  noteTrouble(untilMs: number): void {
-    this.troubledUntilMs = Math.max(this.troubledUntilMs, untilMs);
+  /** Records that some part of the fleet has a fault until `untilMs`. */
+  recordFault(untilMs: number): void {
+    this.faultUntilMs = Math.max(this.faultUntilMs, untilMs);
   }
 
-  /** Whether anything was in trouble at some moment since `sinceMs`. */
+  /** Whether any part of the fleet had a fault at some time since `sinceMs`. */
   wasTroubled(sinceMs: number): boolean {
-    return this.troubledUntilMs >= sinceMs;
+    return this.faultUntilMs >= sinceMs;
   }
 
-  /** Whether the store was in trouble at some moment since `sinceMs`. */
+  /** Whether the store had a fault at some time since `sinceMs`. */
   wasStoreTroubled(sinceMs: number): boolean {
-    return this.storeTroubles.some(({ untilMs }) => untilMs >= sinceMs);
+    return this.storeFaults.some(({ untilMs }) => untilMs >= sinceMs);
   }
 
-  /** When the last trouble of the store ends or ended, for all gateways or for some, in milliseconds. */
-  storeTroubledUntilMs(isWhole: boolean): number {
-    const ends = this.storeTroubles
-      .filter((trouble) => trouble.isWhole === isWhole)
+  /**
+   * End of the last fault of the store that affects all gateways, or of the last one that affects
+   * some, in milliseconds.
+   */
+  storeTroubledUntilMs(affectsAll: boolean): number {
+    const ends = this.storeFaults
+      .filter((fault) => fault.affectsAll === affectsAll)
       .map(({ untilMs }) => untilMs);
     return Math.max(-Infinity, ...ends);
   }
 
-  /** What a process is made from. */
-  partsOf(machine: FleetMachine, host: NetworkHost, start: number): GatewayClusterParts {
+  /** Dependencies of a gateway process. */
+  dependenciesOf(machine: FleetMachine, host: NetworkHost, start: number): GatewayClusterParts {
     const { address } = machine;
     const peers = `${address}:${PEERS_PORT}`;
     const parts = {
@@ -477,12 +501,12 @@
         cluster: { seeds: [0, 1, 2].map((index) => `m${index}:${PEERS_PORT}`) },
       },
       incarnation: `${address}.${start}`,
-      store: this.store.of(host, STORE_TIMEOUT_MS),
+      store: this.store.clientFor(host, STORE_TIMEOUT_MS),
       quotas: { ageMs: 0, position: NO_POSITION, hearBeat: () => undefined },
       rollouts: { tell: () => undefined, hear: () => undefined },
       crashes: { tell: () => [], hear: () => [] },
       statements: { tell: () => [], hearPeer: () => undefined },
-      clock: this.clockOf(host),
+      clock: this.clockFor(host),
       random: this.random,
       network: this.network.of(host),
       log: {
@@ -491,12 +515,12 @@
       },
       metrics: { record: () => undefined },
       compareByOwner,
-      onRecords: (records: readonly StoreRecord[]) => machine.take(records),
+      onRecords: (records: readonly StoreRecord[]) => machine.applyRecords(records),
     };
     return parts as unknown as GatewayClusterParts;
   }
 
-  private clockOf(host: NetworkHost): Clock {
+  private clockFor(host: NetworkHost): Clock {
     return {
       now: () => this.clock.now(),
       setTimeout: (callback, delayMs) => {
@@ -521,13 +545,13 @@
     return address === STORE_ADDRESS ? undefined : this.machines[Number(address.slice(1))];
   }
 
-  private noteStoreTrouble(forMs: number, isWhole: boolean): void {
+  private recordStoreFault(forMs: number, affectsAll: boolean): void {
     const untilMs = this.clock.now() + forMs;
-    this.storeTroubles.push({ untilMs, isWhole });
-    this.noteTrouble(untilMs);
+    this.storeFaults.push({ untilMs, affectsAll });
+    this.recordFault(untilMs);
   }
 
-  private look(): void {
+  private checkMachines(): void {
     const nowMs = this.clock.now();
     for (const machine of this.machines) {
       const change = this.changes.find(({ version }) => version > machine.version);
@@ -535,50 +559,54 @@
       if (
         change !== undefined &&
         machine.cluster !== undefined &&
-        !this.noted.has(name) &&
+        !this.reported.has(name) &&
         this.isLate(machine, change, nowMs)
       ) {
-        this.noted.add(name);
+        this.reported.add(name);
         this.late.push({ gateway: machine.address, change, atMs: nowMs });
       }
-      this.lookForOrder(machine, nowMs);
-      this.leaves.forEach((leave) => this.lookForLeave(machine, leave, nowMs));
+      this.checkEvacuation(machine, nowMs);
+      this.leaves.forEach((leave) => this.checkDeparture(machine, leave, nowMs));
     }
   }
 
-  private lookForLeave(machine: FleetMachine, leave: FleetLeave, nowMs: number): void {
+  private checkDeparture(machine: FleetMachine, leave: BackendDeparture, nowMs: number): void {
     const name = `${machine.index}/leave ${leave.backend}`;
     if (
       machine.cluster !== undefined &&
       machine.leaving.get(leave.backend) === false &&
-      !this.noted.has(name) &&
+      !this.reported.has(name) &&
       this.isLateForLeave(machine, leave, nowMs)
     ) {
-      this.noted.add(name);
-      this.lateForLeaves.push(`${machine.address}: ${leave.backend} left at ${leave.atMs}`);
+      this.reported.add(name);
+      this.lateForLeaves.push(
+        `${machine.address}: ${leave.backend} announced at ${leave.atMs} ms that it leaves, not applied`,
+      );
     }
   }
 
-  private lookForOrder(machine: FleetMachine, nowMs: number): void {
+  private checkEvacuation(machine: FleetMachine, nowMs: number): void {
     const order = this.orders.at(-1);
     const name = `${machine.index}/order ${order?.number}`;
     if (
       order !== undefined &&
       machine.cluster !== undefined &&
       machine.isEvacuated !== order.isOrdered &&
-      !this.noted.has(name) &&
+      !this.reported.has(name) &&
       this.isLateForOrder(machine, order, nowMs)
     ) {
-      this.noted.add(name);
-      const what = order.isOrdered ? 'ordered' : 'taken back';
-      this.lateForOrders.push(`${machine.address}: ${what} at ${order.atMs}, not by ${nowMs} ms`);
+      this.reported.add(name);
+      const what = order.isOrdered ? 'evacuation ordered' : 'evacuation ended';
+      this.lateForOrders.push(
+        `${machine.address}: ${what} at ${order.atMs} ms, not applied by ${nowMs} ms`,
+      );
     }
   }
 }
 
 const DISCARDED_DRAWS = 20;
 
-/** Draws for a scenario; the first of neighbouring seeds are much alike and are left out. */
+/** Random source of a scenario. Skips the first draws, which are similar for neighbouring seeds. */
 export function scenarioRandom(seed: number): RandomSource {
   const random = new SeededRandom(seed);
   for (let draw = 0; draw < DISCARDED_DRAWS; draw += 1) {
--- a/test/support/virtual-store.ts
+++ b/test/support/virtual-store.ts
@@ -1,4 +1,7 @@
-/** A store on a virtual clock, before machines that it may turn away and paths that may be cut. */
+/**
+ * A simulated store on a virtual clock, with faults for all machines or for some, and network paths
+ * that can be cut.
+ */
 import type { Result } from '../../src/result.js';
 import { err, ok } from '../../src/result.js';
 import { StoreHistoryGoneError, StoreUnavailableError } from '../../src/cluster/cluster-store.js';
@@ -9,51 +12,56 @@
 import type { HeapClock } from './heap-clock.js';
 import type { NetworkHost, VirtualNetwork } from './virtual-network.js';
 
-/** What becomes of calls. */
-export type StoreTreatment = 'answers' | 'silent' | 'refuses' | 'resets';
+/**
+ * How the store handles calls: serves them, never responds, refuses the connection or resets it.
+ */
+export type StoreMode = 'answers' | 'silent' | 'refuses' | 'resets';
 
-/** Address of the store on the network. */
+/** Address of the store on the virtual network. */
 export const STORE_ADDRESS = 'store';
 
-const DELAY_MS = 2;
-/** First interval after which a call that was not acknowledged is sent again. */
+const ONE_WAY_DELAY_MS = 2;
+/** Initial retransmission timeout of a call that was not acknowledged. */
 const RESEND_MS = 200;
 
-type Read = Result<StoreRead, StoreUnavailableError | StoreHistoryGoneError>;
+type ReadResult = Result<StoreRead, StoreUnavailableError | StoreHistoryGoneError>;
 
-interface Write {
+interface TimedWrite {
   readonly change: StoreRecord;
   readonly atMs: number;
 }
 
-interface Watch {
+interface PendingWatch {
   readonly since: number;
-  answer(read: Read): void;
+  respond(read: ReadResult): void;
 }
 
-/** The store. */
+/** In-memory store with revisions, watches, history and epochs. */
 export class VirtualStore {
-  treatment: StoreTreatment = 'answers';
-  /** Machines that are treated otherwise than the rest, by address. */
-  readonly turnedAway = new Map<string, StoreTreatment>();
-  /** Further time of each answer, in milliseconds. */
-  slowMs = 0;
-  /** Share of answers that are lost. */
-  lossShare = 0;
-  /** Whether changes wake no watch, as while history is dropped. */
-  isWithholding = false;
-  /** Whether a watch whose wait ends meanwhile is told the store's revision all the same. */
+  mode: StoreMode = 'answers';
+  /** Modes of single machines, by address; they apply while `mode` is 'answers'. */
+  readonly machineModes = new Map<string, StoreMode>();
+  /** Latency added to each response, in milliseconds. */
+  extraLatencyMs = 0;
+  /** Fraction of responses that are lost. */
+  lossRate = 0;
+  /** Whether watches receive no changes, as before the store drops its history. */
+  isWithholdingChanges = false;
+  /**
+   * Whether a watch that times out meanwhile returns the current revision without the withheld
+   * changes.
+   */
   skipsWithheld = false;
-  /** Calls that arrived. */
+  /** Number of calls received. */
   calls = 0;
-  /** Rises when the store comes back from a copy; `NO_EPOCH` while it counts none. */
+  /** Increases with each restore from a backup; `NO_EPOCH` if the store reports no epochs. */
   epoch = NO_EPOCH;
   private revision = 0;
   private oldestHistory = 0;
-  private writes: Write[] = [];
+  private writes: TimedWrite[] = [];
   private readonly items = new Map<string, StoreRecord>();
   private history: StoreRecord[] = [];
-  private readonly watches = new Set<Watch>();
+  private readonly watches = new Set<PendingWatch>();
 
   constructor(
     private readonly clock: HeapClock,
@@ -63,33 +71,33 @@
 
   /** Writes a key; returns the revision. */
   put(key: string, value: string): number {
-    return this.record(key, value);
+    return this.write(key, value);
   }
 
   /** Removes a key; returns the revision. */
   remove(key: string): number {
-    return this.record(key, undefined);
+    return this.write(key, undefined);
   }
 
-  /** The value of a key; undefined where there is none. */
+  /** Returns the value of a key; undefined if it does not exist. */
   read(key: string): string | undefined {
     return this.items.get(key)?.value;
   }
 
-  /** Drops the history and cuts every watch. */
-  forgetHistory(): void {
+  /** Drops the history of changes and cancels all watches. */
+  dropHistory(): void {
     this.history = [];
     this.oldestHistory = this.revision;
     this.cutWatches();
   }
 
-  /** Goes back to the state at `copyAtMs`: what was written since is gone, and its revisions are given out again. */
-  restore(copyAtMs: number): void {
-    this.writes = this.writes.filter(({ atMs }) => atMs <= copyAtMs);
+  /** Restores the state at `backupAtMs`: later writes are lost, and their revisions are reused. */
+  restore(backupAtMs: number): void {
+    this.writes = this.writes.filter(({ atMs }) => atMs <= backupAtMs);
     this.items.clear();
     this.revision = 0;
     for (const { change } of this.writes) {
-      this.keep(change);
+      this.apply(change);
     }
     this.history = this.history.filter(({ revision }) => revision <= this.revision);
     this.epoch += 1;
@@ -99,12 +107,12 @@
   private cutWatches(): void {
     for (const watch of [...this.watches]) {
       this.watches.delete(watch);
-      watch.answer(err(new StoreUnavailableError('the watch was cut')));
+      watch.respond(err(new StoreUnavailableError('the watch was cancelled')));
     }
   }
 
-  /** The store as a process of `host` calls it; a call ends `timeoutMs` after its wait at the latest. */
-  of(host: NetworkHost, timeoutMs: number): ClusterStore {
+  /** Returns a client for the process of `host`; calls time out `timeoutMs` after their wait. */
+  clientFor(host: NetworkHost, timeoutMs: number): ClusterStore {
     return {
       list: () =>
         this.call(host, timeoutMs, (reply) => reply(ok(this.list()))) as Promise<
@@ -115,18 +123,18 @@
     };
   }
 
-  private record(key: string, value: string | undefined): number {
+  private write(key: string, value: string | undefined): number {
     const change = { key, epoch: this.epoch, revision: this.revision + 1, value };
     this.writes.push({ change, atMs: this.clock.now() });
     this.history.push(change);
-    this.keep(change);
-    if (!this.isWithholding) {
-      this.wake();
+    this.apply(change);
+    if (!this.isWithholdingChanges) {
+      this.completeWatches();
     }
     return this.revision;
   }
 
-  private keep(change: StoreRecord): void {
+  private apply(change: StoreRecord): void {
     this.revision = change.revision;
     if (change.value === undefined) {
       this.items.delete(change.key);
@@ -135,47 +143,47 @@
     }
   }
 
-  private wake(): void {
+  private completeWatches(): void {
     for (const watch of [...this.watches]) {
       this.watches.delete(watch);
-      watch.answer(ok(this.changesSince(watch.since)));
+      watch.respond(ok(this.changesSince(watch.since)));
     }
   }
 
   private list(): StoreRead {
-    return this.readOf([...this.items.values()]);
+    return this.toRead([...this.items.values()]);
   }
 
   private changesSince(since: number): StoreRead {
     const records = this.history.filter(({ revision }) => revision > since);
-    return this.readOf(records);
+    return this.toRead(records);
   }
 
-  /** An answer names the epoch that it is given in, whenever its records were written. */
-  private readOf(records: readonly StoreRecord[]): StoreRead {
+  /** A response has the current epoch of the store, whenever its records were written. */
+  private toRead(records: readonly StoreRecord[]): StoreRead {
     const { epoch, revision } = this;
     return { records: records.map((record) => ({ ...record, epoch })), epoch, revision };
   }
 
-  private watch(since: number, waitMs: number, reply: (read: Read) => void): void {
-    if (this.isWithholding) {
-      this.watches.add({ since, answer: reply });
+  private watch(since: number, waitMs: number, reply: (read: ReadResult) => void): void {
+    if (this.isWithholdingChanges) {
+      this.watches.add({ since, respond: reply });
     } else if (since < this.oldestHistory || since > this.revision) {
-      reply(err(new StoreHistoryGoneError('gone')));
+      reply(err(new StoreHistoryGoneError('the history after the revision was dropped')));
     } else if (since < this.revision) {
       reply(ok(this.changesSince(since)));
     } else {
-      this.hold(since, waitMs, reply);
+      this.holdWatch(since, waitMs, reply);
     }
   }
 
-  private hold(since: number, waitMs: number, reply: (read: Read) => void): void {
-    const watch = { since, answer: reply };
+  private holdWatch(since: number, waitMs: number, reply: (read: ReadResult) => void): void {
+    const watch = { since, respond: reply };
     this.watches.add(watch);
     this.clock.setTimeout(() => {
-      if (this.isWithholding && this.skipsWithheld && this.watches.delete(watch)) {
-        reply(ok(this.readOf([])));
-      } else if (!this.isWithholding && this.watches.delete(watch)) {
+      if (this.isWithholdingChanges && this.skipsWithheld && this.watches.delete(watch)) {
+        reply(ok(this.toRead([])));
+      } else if (!this.isWithholdingChanges && this.watches.delete(watch)) {
         reply(ok(this.changesSince(since)));
       }
     }, waitMs);
@@ -183,42 +191,42 @@
 
   private call(
     host: NetworkHost,
-    limitMs: number,
-    serve: (reply: (read: Read) => void) => void,
-  ): Promise<Read> {
+    callTimeoutMs: number,
+    serve: (reply: (read: ReadResult) => void) => void,
+  ): Promise<ReadResult> {
     return new Promise((resolve) => {
       const fail = (reason: string) =>
         host.act(() => resolve(err(new StoreUnavailableError(reason))));
-      this.clock.setTimeout(() => fail('timed out'), limitMs);
-      const reply = (read: Read) => {
-        const isLost = this.treatmentOf(host) === 'silent' || this.random.next() < this.lossShare;
+      this.clock.setTimeout(() => fail('timed out'), callTimeoutMs);
+      const reply = (read: ReadResult) => {
+        const isLost = this.modeFor(host) === 'silent' || this.random.next() < this.lossRate;
         if (!isLost) {
-          this.carry(STORE_ADDRESS, host.address, this.slowMs, () => host.act(() => resolve(read)));
+          this.transmit(STORE_ADDRESS, host.address, this.extraLatencyMs, () =>
+            host.act(() => resolve(read)),
+          );
         }
       };
-      this.carry(host.address, STORE_ADDRESS, 0, () => {
+      this.transmit(host.address, STORE_ADDRESS, 0, () => {
         this.calls += 1;
-        const treatment = this.treatmentOf(host);
-        if (treatment === 'refuses' || treatment === 'resets') {
-          this.carry(STORE_ADDRESS, host.address, 0, () => fail(treatment));
-        } else if (treatment === 'answers') {
+        const mode = this.modeFor(host);
+        if (mode === 'refuses' || mode === 'resets') {
+          this.transmit(STORE_ADDRESS, host.address, 0, () => fail(mode));
+        } else if (mode === 'answers') {
           serve(reply);
         }
       });
     });
   }
 
-  private treatmentOf({ address }: NetworkHost): StoreTreatment {
-    return this.treatment === 'answers'
-      ? (this.turnedAway.get(address) ?? 'answers')
-      : this.treatment;
+  private modeFor({ address }: NetworkHost): StoreMode {
+    return this.mode === 'answers' ? (this.machineModes.get(address) ?? 'answers') : this.mode;
   }
 
-  /** Something arrives once the path is open when it is sent, or sent again. */
-  private carry(from: string, to: string, extraMs: number, arrive: () => void): void {
+  /** Delivers a message, retransmitting it with exponential backoff while the path is cut. */
+  private transmit(from: string, to: string, extraMs: number, arrive: () => void): void {
     const send = (resendMs: number) => {
       if (this.network.passes(from, to)) {
-        this.clock.setTimeout(arrive, DELAY_MS + extraMs);
+        this.clock.setTimeout(arrive, ONE_WAY_DELAY_MS + extraMs);
       } else {
         this.clock.setTimeout(() => send(resendMs * 2), resendMs);
       }
