--- a/src/address.ts
+++ b/src/address.ts
@@ -1,4 +1,4 @@
-/** Addresses of processes. */
+/** Network addresses of processes. */
 import { isIPv4 } from 'node:net';
 
 /** The parts of `IP:PORT`. */
--- a/src/clock.ts
+++ b/src/clock.ts
@@ -1,19 +1,19 @@
-/** Time that is passed in, so that the simulator can put a virtual clock in its place. */
+/** Injectable time, so that the simulator can use a virtual clock. */
 
 /** A timer that can be cleared. */
 export type TimerHandle = unknown;
 
 /** Time and timers. */
 export interface Clock {
-  /** Milliseconds since an arbitrary moment; never goes back. */
+  /** Returns milliseconds since an arbitrary origin; monotonic. */
   now(): number;
   /** Calls `callback` once after `delayMs`. */
   setTimeout(callback: () => void, delayMs: number): TimerHandle;
-  /** Prevents a call that has not happened yet. */
+  /** Cancels a pending call. */
   clearTimeout(handle: TimerHandle): void;
 }
 
-/** The machine's monotonic clock. */
+/** The system's monotonic clock. */
 export const SYSTEM_CLOCK: Clock = {
   now: () => performance.now(),
   setTimeout: (callback, delayMs) => setTimeout(callback, delayMs),
--- a/src/cluster/peer-mesh.ts
+++ b/src/cluster/peer-mesh.ts
@@ -1,9 +1,9 @@
 /**
- * Connections among gateways: each speaks on the connections that it opened and
- * hears on those that others opened to it. Only questions and their answers go
- * back on the connection that they came on.
+ * Mesh of connections among gateways. Each process sends on the connections that it opened and
+ * receives on those that its peers opened to it. Only replies go back on the connection on which
+ * the message arrived.
  *
- * Addresses come from the settings' seeds and from what peers pass on.
+ * Addresses come from the seeds in the settings and from `addresses` messages of peers.
  */
 import { splitAddress } from '../address.js';
 import type { Clock, TimerHandle } from '../clock.js';
@@ -18,81 +18,84 @@
 /** Sends a message to one peer. */
 export type SendToPeer = (message: PeerMessage) => void;
 
-/** Who hears of peers. */
+/** Callbacks of the mesh. */
 export interface PeerMeshHandlers {
-  /** The peer that said `hello` said something; `reply` goes back to it. */
+  /** A message arrived from the peer that sent `hello`; `reply` sends on the same connection. */
   onMessage(hello: PeerHello, message: PeerMessage, reply: SendToPeer): void;
-  /** A peer asks back on a connection that this process opened. */
+  /**
+   * A reply arrived on a connection that this process opened; `reply` sends on the same connection.
+   */
   onQuestion(message: PeerMessage, reply: SendToPeer): void;
-  /** A connection to a peer was opened by this process; what it must know is sent now. */
+  /** This process opened a connection to a peer; `send` sends it the initial state. */
   onOpened(send: SendToPeer): void;
-  /** A peer was heard for the first time, or is gone. */
+  /** An incarnation of a peer sent its hello, was replaced by a later one, or is leaving. */
   onPeer(peer: string, isPresent: boolean): void;
 }
 
-/** Times of the mesh, in milliseconds, and its size. */
+/** Limits of the mesh; times are in milliseconds. */
 export interface PeerMeshOptions {
-  /** First and longest pause before connecting again. Defaults 200 and 3,000. */
+  /** Minimum and maximum reconnect backoff. Defaults: 200 and 3,000. */
   readonly retryMinMs: number;
   readonly retryMaxMs: number;
-  /** Longest time for a connection to come up. Default 1,000. */
+  /** Connect timeout. Default: 1,000. */
   readonly connectTimeoutMs: number;
-  /** Failed tries in a row after which an address that is no seed is forgotten. Default 8. */
+  /** Consecutive failures after which an address that is not a seed is dropped. Default: 8. */
   readonly maxFailures: number;
-  /** Most connections that are opened; further addresses stand in for those that fail. Default: no limit. */
+  /** Maximum open connections; further addresses replace those that fail. Default: no limit. */
   readonly maxConnections: number;
   /**
-   * Time in which new addresses are gathered before peers are told, in milliseconds. Default 50: when
-   * many start at once, each would otherwise tell each of each.
+   * Time for which new addresses are batched before they are broadcast, in milliseconds. Default:
+   * 50. Without it, gateways that start together would each send every address to every peer on its
+   * own.
    */
-  readonly gatherAddressesMs: number;
+  readonly addressBatchMs: number;
 }
 
-/** Defaults of the mesh. */
+/** Defaults of `PeerMeshOptions`. */
 export const DEFAULT_PEER_MESH_OPTIONS: PeerMeshOptions = {
   retryMinMs: 200,
   retryMaxMs: 3_000,
   connectTimeoutMs: 1_000,
   maxFailures: 8,
   maxConnections: Infinity,
-  gatherAddressesMs: 50,
+  addressBatchMs: 50,
 };
 
-const RETRY_SPREAD = 0.3;
-/** Time for which a connection stands at least before it is opened anew because its peer hears nothing. */
-const MIN_STANDING_MS = 500;
+const RETRY_JITTER = 0.3;
+/** Minimum age of a connection before it is replaced because its peer receives nothing on it. */
+const MIN_CONNECTION_AGE_MS = 500;
 
 interface OutgoingPeer {
   readonly address: string;
   channel: MessageChannel<PeerMessage, PeerMessage> | undefined;
-  /** Whether a connection stands or is being opened. */
-  isWanted: boolean;
+  /** Whether a connection is open, being opened or scheduled; counts towards `maxConnections`. */
+  isSelected: boolean;
   isOpen: boolean;
   failures: number;
-  /** When the connection came up, or its peer was heard on its own, in milliseconds. */
-  aliveAtMs: number;
-  /** When the connection came up, in milliseconds. */
+  /** When the connection last opened or a message of its peer last arrived, in milliseconds. */
+  lastActiveAtMs: number;
+  /** When the connection opened, in milliseconds. */
   openedAtMs: number;
-  /** When its peer was heard last, or its address was learned, in milliseconds. */
-  heardAtMs: number;
-  /** Opens the next connection; undefined while one stands or comes up. */
+  /** When a message of its peer last arrived, or its address was added, in milliseconds. */
+  lastReceivedAtMs: number;
+  /** Opens the next connection; undefined while one is open or being opened. */
   retryTimer: TimerHandle | undefined;
 }
 
-/** Connections among gateways. */
+/** Opens, replaces and accepts the connections to other gateways. */
 export class PeerMesh {
   private readonly outgoing = new Map<string, OutgoingPeer>();
-  /** Incarnations heard on open incoming connections, by name. */
-  private readonly heard = new Map<string, string>();
-  /** Every address that was ever learned. */
-  private readonly everKnown = new Set<string>();
-  private hasHeard = false;
+  /** Last incarnation that sent a hello, by gateway name. */
+  private readonly incarnations = new Map<string, string>();
+  /** Every address ever added, including dropped ones. */
+  private readonly allAddresses = new Set<string>();
+  private hasReceivedHello = false;
   private readonly listener: PeerListener;
   private isStopped = false;
-  /** Silence after which a peer counts as not heard, in milliseconds. */
-  private silenceMs = Infinity;
-  /** Addresses that peers have not been told of. */
-  private newAddresses: string[] = [];
+  /** Time without messages after which a peer counts as silent, in milliseconds. */
+  private silenceThresholdMs = Infinity;
+  /** Addresses that were not broadcast yet. */
+  private unannouncedAddresses: string[] = [];
 
   constructor(
     private readonly self: PeerHello,
@@ -106,22 +109,22 @@
     this.listener = network.createListener((socket) => this.accept(socket));
   }
 
-  /** Gateways known, this one included. */
+  /** Number of known gateways, including this one. */
   get size(): number {
-    return Math.max(this.outgoing.size, this.heard.size) + 1;
+    return Math.max(this.outgoing.size, this.incarnations.size) + 1;
   }
 
-  /** Addresses of all gateways that were ever known, those that are gone included. */
+  /** Addresses of all gateways ever known, including those that are gone. */
   get addressesEverKnown(): ReadonlySet<string> {
-    return this.everKnown;
+    return this.allAddresses;
   }
 
-  /** Whether some gateway was ever heard. */
+  /** Whether a hello of another gateway ever arrived. */
   get hasHeardPeers(): boolean {
-    return this.hasHeard;
+    return this.hasReceivedHello;
   }
 
-  /** Takes connections of others. */
+  /** Starts to accept connections. */
   listen(host: string, port: number): void {
     this.listener.listen(port, host);
   }
@@ -131,7 +134,7 @@
     this.learnAddresses(this.seeds);
   }
 
-  /** Says `message` to every peer. */
+  /** Sends `message` to every connected peer. */
   broadcast(message: PeerMessage): void {
     for (const { channel, isOpen } of this.outgoing.values()) {
       if (isOpen) {
@@ -140,7 +143,7 @@
     }
   }
 
-  /** Says `message` to the peer at `address`; false if no connection to it stands. */
+  /** Sends `message` to the peer at `address`; returns false if no connection to it is open. */
   sendTo(address: string, message: PeerMessage): boolean {
     const peer = this.outgoing.get(address);
     if (peer === undefined || !peer.isOpen) {
@@ -151,23 +154,24 @@
   }
 
   /**
-   * Opens a further connection to each peer of which nothing was heard for `silenceMs`; once it stands it
-   * takes the place of the one before. Connections may fall silent for good without a reset, and nothing comes
-   * back on the one that this process opened: its greeting asks the peer to open its own anew. A peer that is
-   * only cut off for a while keeps the one that it has.
+   * Opens a new connection to each peer from which nothing arrived for `silenceThresholdMs`; once
+   * open, it replaces the previous one. A connection may stop carrying data for good without a
+   * reset, and since peers send on their own connections, this process cannot detect it on the one
+   * that it opened. The hello on the new one makes the peer reopen its own. A peer that is cut off
+   * only briefly keeps its connection.
    */
-  reopenSilent(silenceMs: number): void {
-    this.silenceMs = silenceMs;
+  reopenSilent(silenceThresholdMs: number): void {
+    this.silenceThresholdMs = silenceThresholdMs;
     const nowMs = this.clock.now();
     for (const peer of this.outgoing.values()) {
-      if (peer.isOpen && nowMs - peer.aliveAtMs > silenceMs) {
-        peer.aliveAtMs = nowMs;
+      if (peer.isOpen && nowMs - peer.lastActiveAtMs > silenceThresholdMs) {
+        peer.lastActiveAtMs = nowMs;
         this.open(peer);
       }
     }
   }
 
-  /** Ends every connection. */
+  /** Stops listening and closes every connection that this process opened. */
   stop(): void {
     this.isStopped = true;
     this.listener.close();
@@ -177,72 +181,75 @@
     }
   }
 
-  /** Connects to gateways that were not known. */
+  /** Adds addresses that are new and connects to them. */
   learnAddresses(addresses: readonly string[]): void {
     for (const address of addresses) {
       if (address === '' || address === this.self.address || this.outgoing.has(address)) {
         continue;
       }
-      this.everKnown.add(address);
+      this.allAddresses.add(address);
       this.outgoing.set(address, {
         address,
         channel: undefined,
-        isWanted: false,
+        isSelected: false,
         isOpen: false,
         failures: 0,
-        aliveAtMs: -Infinity,
+        lastActiveAtMs: -Infinity,
         openedAtMs: -Infinity,
-        heardAtMs: this.clock.now(),
+        lastReceivedAtMs: this.clock.now(),
         retryTimer: undefined,
       });
-      this.passOn(address);
+      this.announceAddress(address);
     }
-    this.openWanted();
+    this.openUpToLimit();
   }
 
-  /** Tells peers of a new address, together with those that come soon after. */
-  private passOn(address: string): void {
-    if (this.newAddresses.length === 0) {
+  /** Broadcasts a new address, batched with those added within `addressBatchMs`. */
+  private announceAddress(address: string): void {
+    if (this.unannouncedAddresses.length === 0) {
       this.clock.setTimeout(() => {
-        this.broadcast({ kind: 'addresses', addresses: this.newAddresses });
-        this.newAddresses = [];
-      }, this.options.gatherAddressesMs);
+        this.broadcast({ kind: 'addresses', addresses: this.unannouncedAddresses });
+        this.unannouncedAddresses = [];
+      }, this.options.addressBatchMs);
     }
-    this.newAddresses.push(address);
+    this.unannouncedAddresses.push(address);
   }
 
-  /** Opens connections up to the limit, first to the addresses that failed least. */
-  private openWanted(): void {
+  /** Opens connections up to `maxConnections`, to the addresses with the fewest failures first. */
+  private openUpToLimit(): void {
     const peers = [...this.outgoing.values()];
-    const idle = peers.filter(({ isWanted }) => !isWanted);
+    const idle = peers.filter(({ isSelected }) => !isSelected);
     const free = this.options.maxConnections - (peers.length - idle.length);
     idle.sort((left, right) => left.failures - right.failures);
     for (const peer of idle.slice(0, Math.max(0, free))) {
-      peer.isWanted = true;
-      this.openLater(peer);
+      peer.isSelected = true;
+      this.openWithBackoff(peer);
     }
   }
 
-  private openLater(peer: OutgoingPeer): void {
+  private openWithBackoff(peer: OutgoingPeer): void {
     if (peer.failures === 0) {
       this.open(peer);
       return;
     }
     const { retryMinMs, retryMaxMs } = this.options;
     const delayMs = Math.min(retryMaxMs, retryMinMs * 2 ** (peer.failures - 1));
-    const jitteredMs = withJitter(this.random, delayMs, RETRY_SPREAD);
+    const jitteredMs = withJitter(this.random, delayMs, RETRY_JITTER);
     peer.retryTimer = this.clock.setTimeout(() => this.open(peer), jitteredMs);
   }
 
-  /** A peer is there and greets: the connection to it is opened now where it is down, or carries nothing. */
-  private openToGreeter({ address, hearsNothing }: PeerHello): void {
+  /**
+   * Opens the connection to a peer that sent a hello at once, without waiting for the backoff, if
+   * it is down or the peer receives nothing on it.
+   */
+  private reopenAfterHello({ address, hearsNothing }: PeerHello): void {
     const peer = this.outgoing.get(address);
     if (peer === undefined) {
       return;
     }
     const nowMs = this.clock.now();
-    const isDead = hearsNothing === true && nowMs - peer.openedAtMs >= MIN_STANDING_MS;
-    if (peer.retryTimer !== undefined || (peer.isOpen && isDead)) {
+    const isStalled = hearsNothing === true && nowMs - peer.openedAtMs >= MIN_CONNECTION_AGE_MS;
+    if (peer.retryTimer !== undefined || (peer.isOpen && isStalled)) {
       this.clock.clearTimeout(peer.retryTimer);
       this.open(peer);
     }
@@ -270,40 +277,40 @@
     }
     socket.once('connect', () => {
       this.clock.clearTimeout(timer);
-      this.use(peer, channel);
+      this.activate(peer, channel);
     });
   }
 
-  /** A connection stands: it takes the place of the one before, if there is one. */
-  private use(peer: OutgoingPeer, channel: MessageChannel<PeerMessage, PeerMessage>): void {
+  /** Makes `channel` the connection to `peer` and closes the previous one, if any. */
+  private activate(peer: OutgoingPeer, channel: MessageChannel<PeerMessage, PeerMessage>): void {
     const earlier = peer.channel;
     peer.channel = channel;
     if (earlier !== channel) {
       earlier?.close();
     }
-    this.greet(peer, channel);
+    this.sendHello(peer, channel);
   }
 
-  private greet(peer: OutgoingPeer, channel: MessageChannel<PeerMessage, PeerMessage>): void {
+  private sendHello(peer: OutgoingPeer, channel: MessageChannel<PeerMessage, PeerMessage>): void {
     const nowMs = this.clock.now();
     peer.isOpen = true;
     peer.failures = 0;
-    peer.aliveAtMs = nowMs;
+    peer.lastActiveAtMs = nowMs;
     peer.openedAtMs = nowMs;
-    const hearsNothing = nowMs - peer.heardAtMs > this.silenceMs;
-    channel.send(hearsNothing ? { ...this.self, hearsNothing } : this.self);
+    const isPeerSilent = nowMs - peer.lastReceivedAtMs > this.silenceThresholdMs;
+    channel.send(isPeerSilent ? { ...this.self, hearsNothing: isPeerSilent } : this.self);
     channel.send({ kind: 'addresses', addresses: [this.self.address, ...this.outgoing.keys()] });
     this.handlers.onOpened((message) => channel.send(message));
   }
 
   private closeOutgoing(peer: OutgoingPeer): void {
     peer.isOpen = false;
-    peer.isWanted = false;
+    peer.isSelected = false;
     peer.failures += 1;
     if (peer.failures > this.options.maxFailures && !this.seeds.includes(peer.address)) {
       this.outgoing.delete(peer.address);
     }
-    this.openWanted();
+    this.openUpToLimit();
   }
 
   private accept(socket: MessageSocket): void {
@@ -312,42 +319,42 @@
       onMessage: (message) => {
         if (message.kind === 'hello') {
           hello = message;
-          this.hear(message);
+          this.handleHello(message);
         } else if (hello !== undefined) {
-          this.receive(hello, message, (answer) => channel.send(answer));
+          this.handleMessage(hello, message, (answer) => channel.send(answer));
         }
       },
       onClose: () => undefined,
     });
   }
 
-  private hear(hello: PeerHello): void {
+  private handleHello(hello: PeerHello): void {
     if (hello.role === 'replica') {
       return;
     }
-    const earlier = this.heard.get(hello.name);
+    const earlier = this.incarnations.get(hello.name);
     if (earlier !== undefined && earlier !== hello.incarnation) {
       this.handlers.onPeer(earlier, false);
     }
-    this.hasHeard = true;
-    this.heard.set(hello.name, hello.incarnation);
+    this.hasReceivedHello = true;
+    this.incarnations.set(hello.name, hello.incarnation);
     this.handlers.onPeer(hello.incarnation, true);
     this.learnAddresses([hello.address]);
-    this.openToGreeter(hello);
+    this.reopenAfterHello(hello);
   }
 
-  private receive(hello: PeerHello, message: PeerMessage, reply: SendToPeer): void {
+  private handleMessage(hello: PeerHello, message: PeerMessage, reply: SendToPeer): void {
     const peer = this.outgoing.get(hello.address);
     if (peer !== undefined) {
-      peer.aliveAtMs = this.clock.now();
-      peer.heardAtMs = peer.aliveAtMs;
+      peer.lastActiveAtMs = this.clock.now();
+      peer.lastReceivedAtMs = peer.lastActiveAtMs;
     }
     if (message.kind === 'addresses') {
       this.learnAddresses(message.addresses);
       return;
     }
-    if (message.kind === 'leaving' && this.heard.get(hello.name) === hello.incarnation) {
-      this.heard.delete(hello.name);
+    if (message.kind === 'leaving' && this.incarnations.get(hello.name) === hello.incarnation) {
+      this.incarnations.delete(hello.name);
       this.handlers.onPeer(hello.incarnation, false);
     }
     this.handlers.onMessage(hello, message, reply);
--- a/src/cluster/peer-messages.ts
+++ b/src/cluster/peer-messages.ts
@@ -1,4 +1,4 @@
-/** What gateways say to each other. */
+/** Messages between gateways. */
 import type { RequestCrashes } from '../gateway/crashes/crash-tally.js';
 import type { ToldCondition } from '../gateway/statements/backend-condition.js';
 import type { SendRightAsk } from '../gateway/statements/send-rights.js';
@@ -10,108 +10,113 @@
 import type { RecordsAnswer, RecordsFetch, RecordsReach } from './record-exchange.js';
 
 /**
- * What a process is to the mesh: a gateway, or the holder of a replica of the
- * records that only hands it on.
+ * Role of a process in the mesh: a gateway, or a process that only holds a replica of the records
+ * and serves it to others.
  */
 export type PeerRole = 'gateway' | 'replica';
 
-/** A process's first message on a connection that it opened. */
+/** First message of a process on a connection that it opened. */
 export interface PeerHello {
   readonly kind: 'hello';
   readonly role: PeerRole;
   readonly name: string;
-  /** Differs after each start of the process. */
+  /** Identifies one run of the process. */
   readonly incarnation: string;
-  /** Address that others reach it at, IP:PORT; empty for one that takes no connections. */
+  /** Address that it listens on, IP:PORT; empty if it accepts no connections. */
   readonly address: string;
-  /** Zone that it stands in; missing for one that is no gateway. */
+  /** Its zone; missing if it is not a gateway. */
   readonly zone?: string;
-  /** Whether it has long heard nothing of the process that this is said to, on whose own connection words come. */
+  /**
+   * Whether the sender has received nothing from the receiver for longer than its silence
+   * threshold, so that the receiver should reopen its own connection to the sender.
+   */
   readonly hearsNothing?: boolean;
 }
 
-/** Addresses of other gateways that the sender knows. */
+/** Addresses of the gateways known to the sender. */
 export interface PeerAddresses {
   readonly kind: 'addresses';
   readonly addresses: readonly string[];
 }
 
-/** A gateway shows that it lives, and how far its replica of the store reaches. */
+/** Heartbeat of a gateway, with the progress of its replica of the store. */
 export interface PeerBeat {
   readonly kind: 'beat';
   readonly reach: ReplicaReach;
-  /** How long ago the store's records were as it knows them, in milliseconds; missing if it knows none. */
+  /**
+   * Age of the store's state that the replica reflects, in milliseconds; missing if it has none.
+   */
   readonly knowledgeAgeMs?: number | undefined;
   /** Time since the sender started, in milliseconds. */
   readonly ageMs: number;
-  /** Position of the record of quota members that it follows; `NO_POSITION` for none. */
+  /** Position of the quota members record that the sender applies; `NO_POSITION` for none. */
   readonly quotaPosition: StorePosition;
-  /** Whether it reads the store and is answered. */
+  /** Whether the sender reads the store and its reads succeed. */
   readonly isReading: boolean;
-  /** Region that it stands in; missing where the deployment names none. */
+  /** Region of the sender; missing if the deployment names none. */
   readonly region?: string | undefined;
-  /** Its part in roll-outs that are under way; missing where there are none. */
+  /** The sender's state in active rollouts; missing if there are none. */
   readonly rollouts?: PeerRollouts | undefined;
 }
 
-/** What the sender knows of requests that crash back ends, where it has learned more of them. */
-export interface PeerCrashes {
+/** Crash counts of requests that crash back ends, sent when the sender's counts have changed. */
+export interface PeerCrashReports {
   readonly kind: 'crashes';
   readonly requests: readonly RequestCrashes[];
 }
 
-/** What back ends said of themselves, where the sender has learned more of it. */
-export interface PeerConditions {
+/** Conditions that back ends reported of themselves, sent when the sender has newer ones. */
+export interface PeerBackendConditions {
   readonly kind: 'conditions';
   readonly conditions: readonly ToldCondition[];
 }
 
-/** A gateway asks for the right to send one request to a back end that names a limit. */
+/** Requests the right to send one request to a back end that reported a limit. */
 export interface PeerSendRightAsk extends SendRightAsk {
   readonly kind: 'send-right-ask';
-  /** What the asker believes of the back end. */
+  /** Condition of the back end as the requesting gateway knows it. */
   readonly condition?: ToldCondition | undefined;
 }
 
-/** The answer, on the connection that the ask came on. */
+/** Response to a `send-right-ask`, sent on the connection on which the request arrived. */
 export interface PeerSendRightAnswer {
   readonly kind: 'send-right-answer';
   readonly id: number;
   readonly isGranted: boolean;
 }
 
-/** A right that was granted, or may still be, was not used. */
+/** Returns an unused send right, or withdraws a request that may still be granted. */
 export interface PeerSendRightReturn {
   readonly kind: 'send-right-return';
   readonly id: number;
   readonly backendId: string;
 }
 
-/** A gateway asks the holder of a tenant's pool to charge a request to it. */
+/** Requests that the holder of a tenant's quota pool charge a request to the pool. */
 export interface PeerQuotaAsk extends QuotaAsk {
   readonly kind: 'quota-ask';
 }
 
-/** The holder's answer, on the connection that the ask came on. */
+/** Response to a `quota-ask`, sent on the connection on which the request arrived. */
 export interface PeerQuotaAnswer {
   readonly kind: 'quota-answer';
   readonly id: number;
   readonly grant: QuotaGrant;
 }
 
-/** What was granted, or may still be, was not used. */
+/** Returns an unused quota charge, or withdraws a request that may still be granted. */
 export interface PeerQuotaReturn {
   readonly kind: 'quota-return';
   readonly id: number;
   readonly tenant: string;
 }
 
-/** The sender stops for good, or until it is started again. */
+/** The sender is shutting down; it may be started again. */
 export interface PeerLeaving {
   readonly kind: 'leaving';
 }
 
-/** Anything that a gateway says to another. */
+/** Any message between gateways. */
 export type PeerMessage =
   | PeerHello
   | PeerAddresses
@@ -119,8 +124,8 @@
   | RecordsReach
   | RecordsFetch
   | RecordsAnswer
-  | PeerCrashes
-  | PeerConditions
+  | PeerCrashReports
+  | PeerBackendConditions
   | PeerSendRightAsk
   | PeerSendRightAnswer
   | PeerSendRightReturn
--- a/src/cluster/peer-network.ts
+++ b/src/cluster/peer-network.ts
@@ -1,30 +1,33 @@
-/** Connections to and from other processes, so that tests can put a virtual network in the place of TCP. */
+/**
+ * Interface to the network between processes, so that tests can replace TCP by a virtual network.
+ */
 import { connect, createServer } from 'node:net';
 import type { Socket } from 'node:net';
 import type { MessageSocket } from '../protocol/message-channel.js';
 
-/** Takes connections of others. */
+/** Accepts connections from other processes. */
 export interface PeerListener {
-  /** Begins to listen. */
   listen(port: number, host: string): void;
-  /** Takes no more connections. */
+  /** Stops accepting connections. */
   close(): void;
 }
 
-/** A connection that this process opens; `connect` is emitted once it stands. */
-export interface OpenedSocket extends MessageSocket {
+/** A connection that this process opens; emits `connect` once it is established. */
+export interface OutgoingSocket extends MessageSocket {
   once(event: 'connect', listener: () => void): unknown;
 }
 
-/** Opens and takes connections. */
+/** Opens and accepts connections. */
 export interface PeerNetwork {
-  /** Opens a connection. */
-  connect(port: number, host: string): OpenedSocket;
-  /** Prepares to take connections. A listener that cannot listen is silent: its process is not found by others. */
+  connect(port: number, host: string): OutgoingSocket;
+  /**
+   * Creates a listener. If listening fails, no error is raised: peers just cannot connect to this
+   * process.
+   */
   createListener(onConnection: (socket: MessageSocket) => void): PeerListener;
 }
 
-/** The machine's TCP. */
+/** The operating system's TCP. */
 export const TCP_PEER_NETWORK: PeerNetwork = {
   connect: (port, host) => connect(port, host),
   createListener: (onConnection) => {
--- a/src/cluster/record-exchange.ts
+++ b/src/cluster/record-exchange.ts
@@ -1,8 +1,9 @@
 /**
- * Keeps a replica of the store's records level with others, without I/O.
+ * Synchronizes a replica of the store's records with other replicas (anti-entropy), without I/O.
  *
- * Replicas tell each other how far they reach. One that is behind asks those that are ahead, one after the other, for what it lacks. While the store answers
- * this process it waits a little first, since the same changes are about to come from there.
+ * Replicas report their progress to each other. A replica that is behind fetches the missing
+ * records from those that are ahead, one after the other. While the store is reachable it first
+ * waits for `storeGraceMs`, since the same changes are about to arrive from the store.
  */
 import type { Clock, TimerHandle } from '../clock.js';
 import type { StorePosition } from './store-position.js';
@@ -13,66 +14,68 @@
   ReplicatedRecords,
 } from './replicated-records.js';
 
-/** Tells how far a replica reaches. */
+/** Reports the progress of a replica. */
 export interface RecordsReach {
   readonly kind: 'reach';
   readonly reach: ReplicaReach;
 }
 
-/** Asks another replica for what it holds beyond a revision. */
+/** Requests the records of another replica that are later than a position. */
 export interface RecordsFetch {
   readonly kind: 'fetch';
-  /** The position through which the asking replica is complete. */
+  /** Position through which the requesting replica is complete. */
   readonly since: StorePosition;
 }
 
-/** The answer to a fetch. */
+/** Response to a fetch. */
 export interface RecordsAnswer extends RecordsUpdate {
   readonly kind: 'records';
 }
 
-/** Sends a fetch to the replica that told how far it reaches. */
+/** Sends a fetch to the replica that reported its progress. */
 export type SendFetch = (fetch: RecordsFetch) => void;
 
-/** What an exchange needs from its surroundings. */
+/** Dependencies of `RecordExchange`. */
 export interface RecordExchangePorts {
-  /** Whether the store answers this process. */
+  /** Whether this process can reach the store. */
   isStoreReachable(): boolean;
-  /** Records that were not known. */
+  /** Called with the records that a response added or changed. */
   onNews(records: readonly RecordNews[]): void;
 }
 
-/** Times of an exchange, in milliseconds. */
+/** Delays of `RecordExchange`, in milliseconds. */
 export interface RecordExchangeOptions {
-  /** Time that changes are given to come from the store. Default 300. */
-  readonly storeHeadStartMs: number;
-  /** Time after which a fetch that was not answered is no longer waited for. Default 400. */
-  readonly answerTimeoutMs: number;
+  /** Time to wait for changes from the store before fetching them from a replica. Default: 300. */
+  readonly storeGraceMs: number;
+  /** Time after which an unanswered fetch is abandoned for another replica. Default: 400. */
+  readonly responseTimeoutMs: number;
 }
 
-/** Defaults of an exchange. */
+/** Defaults of `RecordExchangeOptions`. */
 export const DEFAULT_RECORD_EXCHANGE_OPTIONS: RecordExchangeOptions = {
-  storeHeadStartMs: 300,
-  answerTimeoutMs: 400,
+  storeGraceMs: 300,
+  responseTimeoutMs: 400,
 };
 
 /** A replica that is ahead of this one. */
 interface ReplicaAhead {
   readonly reach: ReplicaReach;
   readonly sendFetch: SendFetch;
-  /** Number of the fetch that was sent to it last; 0 for none. */
-  lastFetch: number;
-  /** Whether it was asked since it last told its reach; it is asked again once it tells again. */
-  isAsked: boolean;
+  /** Sequence number of the last fetch sent to it; 0 for none. */
+  lastFetchNumber: number;
+  /**
+   * Whether a fetch was sent since its last progress report; its next report allows another fetch.
+   */
+  isFetchSent: boolean;
 }
 
-/** Keeps a replica level with others. */
+/** Fetches missing records from other replicas and serves their fetches. */
 export class RecordExchange {
-  /** Replicas that are ahead, by name. */
-  private readonly ahead = new Map<string, ReplicaAhead>();
-  private fetches = 0;
-  /** The replica that was asked last. */
-  private asked: string | undefined;
+  /** Replicas that are ahead of this one, by name. */
+  private readonly replicasAhead = new Map<string, ReplicaAhead>();
+  private fetchCount = 0;
+  /** Replica that the current fetch was sent to; undefined for none. */
+  private fetchSource: string | undefined;
   private timer: TimerHandle | undefined;
   private behindSinceMs: number | undefined;
 
@@ -83,85 +86,88 @@
     private readonly options: RecordExchangeOptions = DEFAULT_RECORD_EXCHANGE_OPTIONS,
   ) {}
 
-  /** For how long some replica has been ahead of this one, in milliseconds; 0 if none is. */
+  /** Time for which this replica has been behind another, in milliseconds; 0 if it is not. */
   get behindMs(): number {
-    const isBehind = [...this.ahead.values()].some(({ reach }) => this.records.isBehind(reach));
+    const isBehind = [...this.replicasAhead.values()].some(({ reach }) =>
+      this.records.isBehind(reach),
+    );
     return isBehind && this.behindSinceMs !== undefined ? this.clock.now() - this.behindSinceMs : 0;
   }
 
-  /** The replica `name` told how far it reaches. */
+  /** Handles a progress report of the replica `name`; fetches from it if this replica is behind. */
   hearReach(name: string, reach: ReplicaReach, sendFetch: SendFetch): void {
     if (!this.records.isBehind(reach)) {
       return;
     }
-    this.forgetLevel();
-    const lastFetch = this.ahead.get(name)?.lastFetch ?? 0;
-    this.ahead.set(name, { reach, sendFetch, lastFetch, isAsked: false });
+    this.removeCaughtUp();
+    const lastFetchNumber = this.replicasAhead.get(name)?.lastFetchNumber ?? 0;
+    this.replicasAhead.set(name, { reach, sendFetch, lastFetchNumber, isFetchSent: false });
     this.behindSinceMs ??= this.clock.now();
     if (this.timer !== undefined) {
       return;
     }
     if (this.ports.isStoreReachable()) {
-      this.fetchAfter(this.options.storeHeadStartMs);
+      this.scheduleFetch(this.options.storeGraceMs);
     } else {
-      this.fetch();
+      this.sendNextFetch();
     }
   }
 
-  /** The answer to a fetch of another replica. */
+  /** Returns the response to a fetch of another replica. */
   answer(fetch: RecordsFetch): RecordsAnswer {
     return { kind: 'records', ...this.records.updateSince(fetch.since) };
   }
 
-  /** Takes in the answer to a fetch of this replica. */
+  /** Applies the response to a fetch of this replica. */
   receive(answer: RecordsAnswer): void {
     this.ports.onNews(this.records.applyUpdate(answer));
     this.clock.clearTimeout(this.timer);
     this.timer = undefined;
-    if (this.asked !== undefined) {
-      // It has handed over all that it holds.
-      this.ahead.delete(this.asked);
-      this.asked = undefined;
+    if (this.fetchSource !== undefined) {
+      // Its response held every record that it has beyond the fetched position.
+      this.replicasAhead.delete(this.fetchSource);
+      this.fetchSource = undefined;
     }
-    this.fetch();
+    this.sendNextFetch();
   }
 
   /**
-   * Asks the replica that was asked longest ago, and another one if it does not answer: one whose words arrive
-   * may not hear this process, and would be asked again and again where the first that tells is asked.
+   * Sends a fetch to the replica with the oldest last fetch, and to the next one if there is no
+   * response in time. A replica whose reports arrive may not receive the fetches of this process;
+   * always choosing the first to report would fetch from it again and again.
    */
-  private fetch(): void {
-    this.forgetLevel();
+  private sendNextFetch(): void {
+    this.removeCaughtUp();
     const [name, next] =
-      [...this.ahead]
-        .filter(([, { isAsked }]) => !isAsked)
-        .sort(([, left], [, right]) => left.lastFetch - right.lastFetch)[0] ?? [];
-    this.asked = name;
+      [...this.replicasAhead]
+        .filter(([, { isFetchSent }]) => !isFetchSent)
+        .sort(([, left], [, right]) => left.lastFetchNumber - right.lastFetchNumber)[0] ?? [];
+    this.fetchSource = name;
     if (next === undefined) {
       return;
     }
-    this.fetches += 1;
-    next.lastFetch = this.fetches;
-    next.isAsked = true;
+    this.fetchCount += 1;
+    next.lastFetchNumber = this.fetchCount;
+    next.isFetchSent = true;
     next.sendFetch({ kind: 'fetch', since: this.records.completeTo });
-    this.fetchAfter(this.options.answerTimeoutMs);
+    this.scheduleFetch(this.options.responseTimeoutMs);
   }
 
-  private fetchAfter(delayMs: number): void {
+  private scheduleFetch(delayMs: number): void {
     this.timer = this.clock.setTimeout(() => {
       this.timer = undefined;
-      this.fetch();
+      this.sendNextFetch();
     }, delayMs);
   }
 
-  /** Leaves out replicas that this one has caught up with. */
-  private forgetLevel(): void {
-    for (const [name, { reach }] of this.ahead) {
+  /** Removes the replicas that this one has caught up with. */
+  private removeCaughtUp(): void {
+    for (const [name, { reach }] of this.replicasAhead) {
       if (!this.records.isBehind(reach)) {
-        this.ahead.delete(name);
+        this.replicasAhead.delete(name);
       }
     }
-    if (this.ahead.size === 0) {
+    if (this.replicasAhead.size === 0) {
       this.behindSinceMs = undefined;
     }
   }
--- a/src/cluster/replicated-records.ts
+++ b/src/cluster/replicated-records.ts
@@ -1,13 +1,15 @@
 /**
- * The store's records as this process knows them.
+ * Local replica of the store's records.
  *
- * The store orders every change, so that records learned from the store and from peers merge without agreement: for
- * each key the latest position wins, and a removal is a record too. Beside the records the replica knows how far it
- * reaches, by which two replicas find out at the price of two positions whether one lacks anything.
+ * The store orders every change, so records from the store and from peers merge without consensus:
+ * for each key the latest position wins, and a removal is a record too (a tombstone). The replica
+ * also tracks its progress, two positions, so that two replicas compare only these to detect
+ * whether one lacks anything.
  *
- * Where the store comes back from a copy, it lacks changes that are known here, or shows what was before them. Until a
- * replica has settled in the new epoch, a record of an earlier one is replaced only by what was written later: see
- * `isWrittenLater`. It settles with a listing that is read once the owners have had time to write again what is gone.
+ * A store that is restored from a backup lacks changes that are known here, or holds earlier
+ * values. Until a replica has settled in the new epoch, a record of an earlier epoch is replaced
+ * only by one that was written later: see `isWrittenLater`. It settles with a listing that is read
+ * after the owners of the records have had time to write lost records again.
  */
 import {
   hasFallenBehind,
@@ -19,72 +21,77 @@
 } from './store-position.js';
 import type { StorePosition } from './store-position.js';
 
-/** One key of the store at its last known change. */
+/** Last known change of one key of the store. */
 export interface StoreRecord extends StorePosition {
   readonly key: string;
-  /** Undefined once the key was removed. */
+  /** Undefined for a tombstone: the key was removed. */
   readonly value: string | undefined;
 }
 
-/** A record that was not known as it is. */
+/** A record that changed the replica when it was applied. */
 export interface RecordNews extends StoreRecord {
-  /** Whether only its position changed: the store holds the same write in a later epoch. Missing for no. */
+  /** Set if only the position changed: the store holds the same write in a later epoch. */
   readonly isUnchanged?: true;
 }
 
-/** How far a replica reaches. */
+/** Progress of a replica through the changes of the store. */
 export interface ReplicaReach {
-  /** Every change through this one is known. */
+  /** Every change up to and including this position is known. */
   readonly completeTo: StorePosition;
   /**
-   * Every value through this one is known; of what was removed after `completeTo` some may still be there.
-   * Beyond `completeTo` after a listing that removes nothing.
+   * Every value written up to and including this position is known; keys removed after `completeTo`
+   * may still be present. Later than `completeTo` after a listing that removes nothing.
    */
   readonly currentTo: StorePosition;
 }
 
-/** The reach of a replica that knows nothing. */
+/** Progress of an empty replica. */
 export const NO_REACH: ReplicaReach = { completeTo: NO_POSITION, currentTo: NO_POSITION };
 
-/** Whether `reach` goes beyond `other` in some respect. */
+/** Whether `reach` is later than `other` in at least one of its positions. */
 export function isFurther(reach: ReplicaReach, other: ReplicaReach): boolean {
   return isLater(reach.completeTo, other.completeTo) || isLater(reach.currentTo, other.currentTo);
 }
 
-/** What a replica holds beyond a position. */
+/** The records of a replica that are later than a position. */
 export interface RecordsUpdate extends ReplicaReach {
-  /** The position that was asked from; the receiver had to be complete through it. */
+  /** Position after which the records start; the receiver has to be complete through it. */
   readonly since: StorePosition;
-  /** Whether these are all records that exist: keys that it lacks were removed. */
+  /** Whether `records` holds every existing record: keys missing from it were removed. */
   readonly isWhole: boolean;
   readonly records: readonly StoreRecord[];
-  /** The earliest position that the store is known to have named in the newest epoch. */
+  /** Earliest known position that the store reported in the newest epoch. */
   readonly epochStart: StorePosition;
 }
 
 /**
- * Compares two records of one key by what their owner counts itself, whatever the store's positions say: negative where
- * `left` is the older one. Undefined where one of them tells no such count.
+ * Compares two records of one key by the version number that their owner wrote into them,
+ * regardless of the store's positions: negative if `left` is older. Undefined if one of them has no
+ * such number.
  */
 export type CompareByOwner = (left: StoreRecord, right: StoreRecord) => number | undefined;
 
-const MAX_REMOVED_RECORDS = 2_000;
+/** Number of records, tombstones included, above which the oldest tombstone is dropped. */
+const TOMBSTONE_PRUNE_THRESHOLD = 2_000;
 
-/** Records by key. */
+/** Replica of the store's records, by key. */
 export class ReplicatedRecords {
   private readonly records = new Map<string, StoreRecord>();
   private complete = NO_POSITION;
   private current = NO_POSITION;
-  private start = NO_POSITION;
+  private epochStart = NO_POSITION;
   /**
-   * Every change after this one is known one by one, removals included. A listing shows
-   * what exists, not what was removed before; old removals are dropped to bound the memory.
+   * Every change after this position is known individually, removals included. It rises with each
+   * complete listing, which shows the existing keys but no earlier removals, and with each
+   * tombstone that is dropped to bound memory.
    */
-  private historyFrom = NO_POSITION;
+  private historyStart = NO_POSITION;
 
   constructor(private readonly compareByOwner: CompareByOwner = () => undefined) {}
 
-  /** Position through which every change is known; `NO_POSITION` before the first listing that counts. */
+  /**
+   * Position through which every change is known; `NO_POSITION` before the first `applyListing`.
+   */
   get completeTo(): StorePosition {
     return this.complete;
   }
@@ -94,95 +101,98 @@
     return this.current;
   }
 
-  /** The newest epoch of the store that is known. */
+  /** Newest known epoch of the store. */
   get epoch(): number {
     return this.current.epoch;
   }
 
-  /** Whether all is known as the store has it in its newest epoch, and nothing else is held any more. */
+  /**
+   * Whether the replica matches the store in its newest epoch and retains no record of an earlier
+   * one.
+   */
   get isSettled(): boolean {
     return this.complete.epoch === this.epoch;
   }
 
-  /** Records of earlier epochs that are kept until this replica has settled. */
+  /** Number of records of earlier epochs that are retained until this replica has settled. */
   countKept(): number {
     return this.snapshot().filter(({ epoch, value }) => epoch < this.epoch && value !== undefined)
       .length;
   }
 
-  /** Whether a replica that reaches so far knows something that this one lacks. */
+  /** Whether a replica with the progress `reach` has something that this one lacks. */
   isBehind(reach: ReplicaReach): boolean {
     return isFurther(reach, this.reach);
   }
 
-  /** Known records that are later than those of `read` with the same keys. */
+  /** Returns the known records that are later than those of `read` with the same keys. */
   findLaterThan(read: readonly StoreRecord[]): StoreRecord[] {
     return read.flatMap((record) => {
       const known = this.records.get(record.key);
       return known !== undefined &&
-        !this.isNews(record, known, this.complete.epoch) &&
+        !this.supersedes(record, known, this.complete.epoch) &&
         known.value !== record.value
         ? [known]
         : [];
     });
   }
 
-  /** Takes a record in; returns it if it was news. */
+  /** Applies a record; returns it if it changed the replica. */
   apply(record: StoreRecord, settledEpoch = this.complete.epoch): RecordNews | undefined {
     const known = this.records.get(record.key);
-    if (!this.isNews(record, known, settledEpoch)) {
+    if (!this.supersedes(record, known, settledEpoch)) {
       return undefined;
     }
     this.records.delete(record.key);
     this.records.set(record.key, record);
-    this.forgetOldRemovals();
+    this.pruneOldestTombstone();
     return known !== undefined && isSameWrite(record, known)
       ? { ...record, isUnchanged: true }
       : record;
   }
 
   /**
-   * Takes in every change from `since` to `position`.
+   * Applies every change after `since` up to `position`.
    *
-   * @returns the records that were news
+   * @returns the records that changed the replica
    */
   applyChanges(
     changes: readonly StoreRecord[],
     since: StorePosition,
     position: StorePosition,
   ): RecordNews[] {
-    const news = this.applyAll(changes);
+    const applied = this.applyAll(changes);
     if (!isLater(since, this.complete)) {
       this.complete = laterOf(this.complete, position);
     }
     if (!isLater(since, this.current)) {
       this.current = laterOf(this.current, position);
     }
-    return news;
+    return applied;
   }
 
   /**
-   * Takes in what a listing read at `position` shows, and removes nothing.
+   * Merges the records of a listing read at `position` and removes nothing.
    *
-   * @returns the records that were news
+   * @returns the records that changed the replica
    */
   addListing(listed: readonly StoreRecord[], position: StorePosition): RecordNews[] {
-    this.noteEpochStart(position);
+    this.updateEpochStart(position);
     this.current = laterOf(this.current, position);
     return this.applyAll(listed);
   }
 
   /**
-   * Takes in a whole listing read at `position`.
+   * Applies a complete listing read at `position`.
    *
-   * Keys that it lacks were removed by then, unless a later change of them is known.
+   * Keys missing from it count as removed, unless a later change of them is known.
    *
-   * @returns the records that were news
+   * @returns the records that changed the replica
    */
   applyListing(listed: readonly StoreRecord[], position: StorePosition): RecordNews[] {
-    this.noteEpochStart(position);
+    this.updateEpochStart(position);
     const settledEpoch = Math.max(position.epoch, this.complete.epoch);
-    const news = this.applyAll(listed, settledEpoch);
+    const applied = this.applyAll(listed, settledEpoch);
     const keys = new Set(listed.map(({ key }) => key));
     const { epoch, revision } = position;
     for (const known of [...this.records.values()]) {
@@ -190,47 +200,47 @@
         continue;
       }
       const removal = { key: known.key, epoch, revision, value: undefined };
-      news.push(...this.applyAll([removal], settledEpoch));
+      applied.push(...this.applyAll([removal], settledEpoch));
     }
     this.complete = laterOf(this.complete, position);
     this.current = laterOf(this.current, position);
-    this.historyFrom = laterOf(this.historyFrom, position);
-    return news;
+    this.historyStart = laterOf(this.historyStart, position);
+    return applied;
   }
 
   /**
-   * Takes in what another replica holds.
+   * Applies the update of another replica.
    *
-   * @returns the records that were news
+   * @returns the records that changed the replica
    */
   applyUpdate(update: RecordsUpdate): RecordNews[] {
     const { records, since, completeTo, currentTo, isWhole, epochStart } = update;
-    this.noteEpochStart(epochStart);
-    const news = isWhole
+    this.updateEpochStart(epochStart);
+    const applied = isWhole
       ? this.applyListing(records, completeTo)
       : this.applyChanges(records, since, completeTo);
     if (!isLater(completeTo, this.current)) {
       this.current = laterOf(this.current, currentTo);
     }
-    return news;
+    return applied;
   }
 
-  /** What a replica lacks that is complete through `since`. */
+  /** Returns the update for a replica that is complete through `since`. */
   updateSince(since: StorePosition): RecordsUpdate {
-    const isWhole = isLater(this.historyFrom, since);
+    const isWhole = isLater(this.historyStart, since);
     const all = this.snapshot();
     const records = isWhole
       ? all.filter(({ value }) => value !== undefined)
       : all.filter((record) => isLater(record, since));
-    return { since, ...this.reach, isWhole, records, epochStart: this.start };
+    return { since, ...this.reach, isWhole, records, epochStart: this.epochStart };
   }
 
-  /** How far this replica reaches. */
+  /** Progress of this replica. */
   get reach(): ReplicaReach {
     return { completeTo: this.complete, currentTo: this.current };
   }
 
-  /** Every record, removals included, oldest news first. */
+  /** Every record, tombstones included, in the order in which they were applied. */
   snapshot(): StoreRecord[] {
     return [...this.records.values()];
   }
@@ -239,13 +249,14 @@
     return records.flatMap((record) => this.apply(record, settledEpoch) ?? []);
   }
 
-  private isNews(
+  private supersedes(
     record: StoreRecord,
     known: StoreRecord | undefined,
     settledEpoch: number,
   ): boolean {
     if (known === undefined) {
-      // A replica that has settled knows all that exists: somebody else still holds what the copy lacked.
+      // A settled replica has every existing record: an older one is merely retained by an
+      // unsettled replica.
       return record.epoch >= settledEpoch;
     }
     const newest = Math.max(record.epoch, known.epoch);
@@ -258,40 +269,42 @@
   }
 
   /**
-   * Whether `record`, which the store shows in a later epoch, was written after `known`. It was if it is beyond the
-   * first position that the epoch is known by. Otherwise it may be what the copy held: then the owner's own count
-   * decides, and where there is none the revision does, which falls only where the copy is older.
+   * Whether `record`, which the store holds in a later epoch, was written after `known`. It was if
+   * its position is later than the earliest known one of that epoch. Otherwise it may come from the
+   * backup: then the owner's version number decides, or without one the revision, which falls only
+   * if the backup is older than `known`.
    */
   private isWrittenLater(record: StoreRecord, known: StoreRecord): boolean {
-    if (record.epoch === this.start.epoch && isLater(record, this.start)) {
+    if (record.epoch === this.epochStart.epoch && isLater(record, this.epochStart)) {
       return true;
     }
     const order = this.compareByOwner(record, known);
     return order === undefined ? !hasFallenBehind(record, known) : order >= 0;
   }
 
-  private noteEpochStart(position: StorePosition): void {
-    const isEarlier = position.epoch === this.start.epoch && isLater(this.start, position);
-    if (position.epoch > this.start.epoch || this.start === NO_POSITION || isEarlier) {
-      this.start = positionOf(position);
+  private updateEpochStart(position: StorePosition): void {
+    const isEarlier =
+      position.epoch === this.epochStart.epoch && isLater(this.epochStart, position);
+    if (position.epoch > this.epochStart.epoch || this.epochStart === NO_POSITION || isEarlier) {
+      this.epochStart = positionOf(position);
     }
   }
 
-  private forgetOldRemovals(): void {
-    if (this.records.size <= MAX_REMOVED_RECORDS) {
+  private pruneOldestTombstone(): void {
+    if (this.records.size <= TOMBSTONE_PRUNE_THRESHOLD) {
       return;
     }
     for (const record of this.records.values()) {
       if (record.value === undefined) {
         this.records.delete(record.key);
-        this.historyFrom = laterOf(this.historyFrom, record);
+        this.historyStart = laterOf(this.historyStart, record);
         return;
       }
     }
   }
 }
 
-/** Whether two records of a key are the same write, which the store shows in two epochs. */
+/** Whether two records of a key are the same write, held by the store in two epochs. */
 function isSameWrite(left: StoreRecord, right: StoreRecord): boolean {
   const isOfTwoEpochs = left.epoch !== right.epoch;
   return isOfTwoEpochs && haveSameRevision(left, right) && left.value === right.value;
--- a/src/decayed-sum.ts
+++ b/src/decayed-sum.ts
@@ -1,16 +1,16 @@
-/** A sum in which what was added counts less the longer ago it was. */
+/** A sum whose earlier amounts lose weight with time. */
 
 /** An exponentially decaying sum. */
 export class DecayedSum {
   private sum = 0;
   private updatedAtMs = 0;
 
-  /** `memoryMs` is the time in which what was added loses all but 1/e of its weight. */
-  constructor(private readonly memoryMs: number) {}
+  /** After `timeConstantMs`, an added amount has 1/e of its weight left. */
+  constructor(private readonly timeConstantMs: number) {}
 
-  /** The sum at `nowMs`. */
+  /** Returns the sum at `nowMs`. */
   at(nowMs: number): number {
-    return this.sum * Math.exp(-Math.max(0, nowMs - this.updatedAtMs) / this.memoryMs);
+    return this.sum * Math.exp(-Math.max(0, nowMs - this.updatedAtMs) / this.timeConstantMs);
   }
 
   /** Multiplies the sum. */
--- a/src/decision.ts
+++ b/src/decision.ts
@@ -1,9 +1,9 @@
-/** Decisions about requests: one log line each, and the input of replay. */
+/** Decisions about requests, written as one log line each and read again by replay. */
 import type { RequestId } from './request/request-id.js';
 
 /** One routing or placement decision. */
 export interface Decision {
-  /** What was decided, for instance `bid`, `bind`, `refuse`, `call`, `start`, `preempt`. */
+  /** Kind of decision, such as `bid`, `bind`, `refuse`, `call`, `start` or `preempt`. */
   readonly action: string;
   readonly id: RequestId;
   /** Engines that were considered. */
@@ -13,11 +13,13 @@
   readonly tier?: number;
   readonly tenant?: string;
   readonly reason: string;
-  /** Policy generation that the decision was made under. */
+  /** Policy generation in force when the decision was made. */
   readonly generation: number;
 }
 
-/** A counter or timer reading that a core hands to its shell. */
+/**
+ * A counter or timer sample that a core (the logic without I/O) passes to its shell for recording.
+ */
 export interface Measurement {
   readonly metric: string;
   readonly value: number;
--- a/src/result.ts
+++ b/src/result.ts
@@ -1,8 +1,8 @@
 /**
- * The result type of every operation that can fail in a foreseen way.
+ * The result type of operations with expected failures.
  *
- * `ts-results` loads only through its default export from an ES module and
- * cannot be bundled; its kin `ts-results-es` has the same interface.
+ * `ts-results` can be imported from an ES module only by its default export and cannot be bundled;
+ * its fork `ts-results-es` has the same interface.
  */
 import { Err, Ok } from 'ts-results-es';
 import type { Result as ResultOf } from 'ts-results-es';
@@ -10,12 +10,12 @@
 /** Either `Ok<Value>` or `Err<Failure>`. */
 export type Result<Value, Failure> = ResultOf<Value, Failure>;
 
-/** Wraps the value of an operation that succeeded. */
+/** Returns a successful result. */
 export function ok<Value>(value: Value): Ok<Value> {
   return Ok(value);
 }
 
-/** Wraps the failure of an operation that did not succeed. */
+/** Returns a failed result. */
 export function err<Failure>(failure: Failure): Err<Failure> {
   return Err(failure);
 }
--- a/test/peer-mesh-paths.test.ts
+++ b/test/peer-mesh-paths.test.ts
@@ -1,7 +1,8 @@
 /**
- * A path between two gateways that was cut one way stayed silent that way for seconds after it was back: the
- * connection that carries the words of one of them waits for its system to send again, at intervals that double, and
- * only the side that hears nothing opened another connection, which carries its own words.
+ * Reconnection between two gateways after a partition. Guards against a path that stays silent in
+ * one direction for seconds after a one-way cut ends: the connection that carries the messages of
+ * one gateway waits for the TCP retransmission timer, whose intervals double, and the other
+ * gateway, which receives nothing, can reopen only the connection that carries its own messages.
  */
 import test from 'ava';
 import type { Clock } from '../src/clock.js';
@@ -14,10 +15,10 @@
 import { NO_POSITION } from '../src/cluster/store-position.js';
 
 const PORT = 1;
-const BEAT_MS = 500;
+const HEARTBEAT_MS = 500;
 const TICK_MS = 100;
 const SILENCE_MS = 1_500;
-const BEAT = {
+const HEARTBEAT = {
   kind: 'beat',
   reach: NO_REACH,
   ageMs: 0,
@@ -25,12 +26,12 @@
   isReading: false,
 } as const;
 
-/** Two gateways that beat; `startedAtMs` of the second is when it starts after a first life that was killed. */
-class TwoGateways {
+/** Two gateways that send heartbeats and can be killed and restarted. */
+class GatewayPair {
   readonly clock = new HeapClock();
   readonly network = new VirtualNetwork(this.clock);
-  /** When each heard the other last, in milliseconds. */
-  readonly heardAtMs = { a: -Infinity, b: -Infinity };
+  /** When each last received a message of the other, in milliseconds. */
+  readonly lastReceivedAtMs = { a: -Infinity, b: -Infinity };
   readonly hellos = { a: 0, b: 0 };
   private readonly hosts: { a?: NetworkHost | undefined; b?: NetworkHost | undefined } = {};
   private readonly random = scenarioRandom(1);
@@ -65,9 +66,9 @@
       },
       [`a:${PORT}`, `b:${PORT}`],
       {
-        onMessage: () => void (this.heardAtMs[name] = this.clock.now()),
+        onMessage: () => void (this.lastReceivedAtMs[name] = this.clock.now()),
         onQuestion: () => undefined,
-        onOpened: (send) => send(BEAT),
+        onOpened: (send) => send(HEARTBEAT),
         onPeer: (_peer, isPresent) => void (this.hellos[name] += isPresent ? 1 : 0),
       },
       clock,
@@ -77,8 +78,8 @@
     );
     mesh.listen(name, PORT);
     mesh.start();
-    this.every(BEAT_MS, () => host.act(() => mesh.broadcast(BEAT)));
-    this.every(TICK_MS, () => host.act(() => mesh.reopenSilent(SILENCE_MS)));
+    this.repeat(HEARTBEAT_MS, () => host.act(() => mesh.broadcast(HEARTBEAT)));
+    this.repeat(TICK_MS, () => host.act(() => mesh.reopenSilent(SILENCE_MS)));
   }
 
   async run(forMs: number): Promise<void> {
@@ -88,55 +89,53 @@
     }
   }
 
-  private every(periodMs: number, act: () => void): void {
+  private repeat(periodMs: number, act: () => void): void {
     this.clock.setTimeout(() => {
       act();
-      this.every(periodMs, act);
+      this.repeat(periodMs, act);
     }, periodMs);
   }
 }
 
 for (const needsAcknowledgement of [true, false]) {
-  const kind = needsAcknowledgement
-    ? 'that carries no acknowledgements'
-    : 'that is cut one way only';
-  test(`both sides hear each other soon after a path is back ${kind}`, async (t) => {
+  const kind = needsAcknowledgement ? 'that blocks acknowledgements too' : 'in one direction only';
+  test(`both gateways receive messages soon after the end of a partition ${kind}`, async (t) => {
     for (const cutMs of [1_000, 3_300, 7_000, 13_000]) {
-      const two = new TwoGateways();
-      two.network.needsAcknowledgement = needsAcknowledgement;
-      two.start('a', 1);
-      two.start('b', 1);
-      await two.run(3_000);
-      two.network.isOpen = (from) => from !== 'a';
-      await two.run(cutMs);
-      two.network.isOpen = () => true;
-      await two.run(SILENCE_MS + 1_000 + BEAT_MS);
-      const sinceMs = two.clock.now() - BEAT_MS * 2;
-      t.true(two.heardAtMs.b >= sinceMs, `b after ${cutMs} ms`);
-      t.true(two.heardAtMs.a >= sinceMs, `a after ${cutMs} ms`);
+      const pair = new GatewayPair();
+      pair.network.needsAcknowledgement = needsAcknowledgement;
+      pair.start('a', 1);
+      pair.start('b', 1);
+      await pair.run(3_000);
+      pair.network.isOpen = (from) => from !== 'a';
+      await pair.run(cutMs);
+      pair.network.isOpen = () => true;
+      await pair.run(SILENCE_MS + 1_000 + HEARTBEAT_MS);
+      const sinceMs = pair.clock.now() - HEARTBEAT_MS * 2;
+      t.true(pair.lastReceivedAtMs.b >= sinceMs, `b after ${cutMs} ms`);
+      t.true(pair.lastReceivedAtMs.a >= sinceMs, `a after ${cutMs} ms`);
     }
   });
 }
 
-test('no connection is opened anew while both sides are heard', async (t) => {
-  const two = new TwoGateways();
-  two.start('a', 1);
-  two.start('b', 1);
-  await two.run(30_000);
-  t.deepEqual(two.hellos, { a: 1, b: 1 });
+test('no connection is reopened while both gateways receive messages', async (t) => {
+  const pair = new GatewayPair();
+  pair.start('a', 1);
+  pair.start('b', 1);
+  await pair.run(30_000);
+  t.deepEqual(pair.hellos, { a: 1, b: 1 });
 });
 
-test('one that starts again is spoken to at once, however long it was away', async (t) => {
-  for (const awayMs of [700, 2_300, 5_000, 6_000, 8_000]) {
-    const two = new TwoGateways();
-    two.start('a', 1);
-    two.start('b', 1);
-    await two.run(3_000);
-    two.kill('b');
-    await two.run(awayMs);
-    two.heardAtMs.b = -Infinity;
-    two.start('b', 2);
-    await two.run(200);
-    t.not(two.heardAtMs.b, -Infinity, `away for ${awayMs} ms`);
+test('a restarted gateway receives messages at once, however long it was down', async (t) => {
+  for (const downtimeMs of [700, 2_300, 5_000, 6_000, 8_000]) {
+    const pair = new GatewayPair();
+    pair.start('a', 1);
+    pair.start('b', 1);
+    await pair.run(3_000);
+    pair.kill('b');
+    await pair.run(downtimeMs);
+    pair.lastReceivedAtMs.b = -Infinity;
+    pair.start('b', 2);
+    await pair.run(200);
+    t.not(pair.lastReceivedAtMs.b, -Infinity, `down for ${downtimeMs} ms`);
   }
 });
--- a/test/record-exchange.test.ts
+++ b/test/record-exchange.test.ts
@@ -9,64 +9,64 @@
   const clock = new VirtualClock();
   const records = new ReplicatedRecords();
   const fetches: RecordsFetch[] = [];
-  const news: string[] = [];
+  const applied: string[] = [];
   const exchange = new RecordExchange(
     records,
     {
       isStoreReachable: () => isStoreReachable,
-      onNews: (learned) => news.push(...learned.map(({ key }) => key)),
+      onNews: (records) => applied.push(...records.map(({ key }) => key)),
     },
     clock,
   );
-  const asked: string[] = [];
-  const hear = (revision: number, name = 'a') =>
+  const fetchedFrom: string[] = [];
+  const reportProgress = (revision: number, name = 'a') =>
     exchange.hearReach(name, { completeTo: at(revision), currentTo: at(revision) }, (fetch) => {
       fetches.push(fetch);
-      asked.push(name);
+      fetchedFrom.push(name);
     });
-  return { clock, records, fetches, asked, news, exchange, hear };
+  return { clock, records, fetches, fetchedFrom, applied, exchange, reportProgress };
 }
 
-test('a replica whose store is dark asks at once, and only one that is ahead', (t) => {
-  const { fetches, hear, records } = startExchange(false);
+test('a replica that cannot reach the store fetches at once, and only from a replica that is ahead', (t) => {
+  const { fetches, reportProgress, records } = startExchange(false);
   records.applyListing([], at(5));
-  hear(5);
+  reportProgress(5);
   t.deepEqual(fetches, []);
-  hear(6);
+  reportProgress(6);
   t.deepEqual(fetches, [{ kind: 'fetch', since: at(5) }]);
 });
 
-test('while the store answers, changes are given time to come from there', async (t) => {
-  const { clock, fetches, hear, records } = startExchange(true);
-  hear(6);
+test('a replica that can reach the store waits for changes from it before it fetches', async (t) => {
+  const { clock, fetches, reportProgress, records } = startExchange(true);
+  reportProgress(6);
   await clock.runUntil(100);
   records.applyListing([], at(6));
   await clock.runUntil(1_000);
   t.deepEqual(fetches, []);
-  hear(7);
+  reportProgress(7);
   await clock.runUntil(2_000);
   t.deepEqual(fetches, [{ kind: 'fetch', since: at(6) }]);
 });
 
-test('one fetch is under way at a time, and another replica is asked when it is not answered', async (t) => {
-  const { clock, fetches, hear } = startExchange(false);
-  hear(6);
-  hear(6);
+test('only one fetch is pending at a time, and the next is sent after a timeout', async (t) => {
+  const { clock, fetches, reportProgress } = startExchange(false);
+  reportProgress(6);
+  reportProgress(6);
   t.is(fetches.length, 1);
   await clock.runUntil(500);
-  hear(6);
+  reportProgress(6);
   t.is(fetches.length, 2);
 });
 
-test('replicas that are ahead are asked in turn until one answers', async (t) => {
-  const { clock, asked, hear, exchange } = startExchange(false);
-  hear(6, 'deaf');
-  hear(6, 'b');
-  hear(7, 'c');
+test('fetches go to the replicas that are ahead in turn until one responds', async (t) => {
+  const { clock, fetchedFrom, reportProgress, exchange } = startExchange(false);
+  reportProgress(6, 'deaf');
+  reportProgress(6, 'b');
+  reportProgress(7, 'c');
   await clock.runUntil(500);
-  hear(6, 'deaf');
+  reportProgress(6, 'deaf');
   await clock.runUntil(900);
-  t.deepEqual(asked, ['deaf', 'b', 'c']);
+  t.deepEqual(fetchedFrom, ['deaf', 'b', 'c']);
   t.is(exchange.behindMs, 900);
   exchange.receive({
     kind: 'records',
@@ -78,11 +78,11 @@
     records: [],
   });
   await clock.runUntil(3_000);
-  t.is(asked.length, 3);
+  t.is(fetchedFrom.length, 3);
   t.is(exchange.behindMs, 0);
 });
 
-test('values that are known without their removals are asked for as well', (t) => {
+test('a replica fetches values from a replica that is ahead in `currentTo` only', (t) => {
   const { fetches, exchange, records } = startExchange(false);
   records.applyListing([], at(5));
   exchange.hearReach('a', { completeTo: at(5), currentTo: at(7) }, (fetch) => fetches.push(fetch));
@@ -100,9 +100,9 @@
   t.is(exchange.behindMs, 0);
 });
 
-test('one that answers with less than it told is not asked again at once', async (t) => {
-  const { clock, asked, hear, exchange } = startExchange(false);
-  hear(6);
+test('a replica that responds with less than it reported gets no further fetch at once', async (t) => {
+  const { clock, fetchedFrom, reportProgress, exchange } = startExchange(false);
+  reportProgress(6);
   exchange.receive({
     kind: 'records',
     since: at(0),
@@ -113,21 +113,21 @@
     records: [],
   });
   await clock.runUntil(2_000);
-  t.is(asked.length, 1);
+  t.is(fetchedFrom.length, 1);
 });
 
-test('a replica that never answers is asked once for each word of it', async (t) => {
-  const { clock, asked, hear } = startExchange(false);
-  hear(6, 'a');
-  hear(6, 'b');
+test('a replica that never responds gets one fetch for each progress report', async (t) => {
+  const { clock, fetchedFrom, reportProgress } = startExchange(false);
+  reportProgress(6, 'a');
+  reportProgress(6, 'b');
   await clock.runUntil(20_000);
-  t.deepEqual(asked, ['a', 'b']);
-  hear(6, 'a');
-  t.deepEqual(asked, ['a', 'b', 'a']);
+  t.deepEqual(fetchedFrom, ['a', 'b']);
+  reportProgress(6, 'a');
+  t.deepEqual(fetchedFrom, ['a', 'b', 'a']);
 });
 
-test('what was fetched is taken in, and answers what others ask', (t) => {
-  const { exchange, news, records } = startExchange(false);
+test('fetched records are applied and served to other replicas', (t) => {
+  const { exchange, applied, records } = startExchange(false);
   const record = { key: 'a', ...at(4), value: 'v' };
   exchange.receive({
     kind: 'records',
@@ -138,7 +138,7 @@
     epochStart: at(0),
     records: [record],
   });
-  t.deepEqual(news, ['a']);
+  t.deepEqual(applied, ['a']);
   t.deepEqual(records.completeTo, at(4));
   t.deepEqual(exchange.answer({ kind: 'fetch', since: at(3) }).records, [record]);
   t.deepEqual(exchange.answer({ kind: 'fetch', since: at(4) }).records, []);
--- a/test/replica.test.ts
+++ b/test/replica.test.ts
@@ -19,7 +19,10 @@
 import type { StorePosition } from '../src/cluster/store-position.js';
 
 const HOST = '127.0.4.1';
-/** Ports below those that the system hands out, on an address of this file's own: nobody else takes them. */
+/**
+ * Below the ephemeral port range, on an address that no other test file uses, so that the ports are
+ * free.
+ */
 let lastPort = 28_500;
 const RECORD: StoreRecord = { key: 'k', ...at(3), value: 'v' };
 
@@ -33,14 +36,17 @@
   return { kind: 'hello', role: 'gateway', name, incarnation: `${name}.1`, address };
 }
 
-/** A gateway's mesh and replica; resolves with the first records that it learns of others. */
+/**
+ * Starts a gateway's mesh and replica; `received` resolves with the first records from another
+ * replica.
+ */
 function startMesh(
   hello: PeerHello,
   seeds: string[],
   known: StoreRecord[] = [],
 ): {
   mesh: PeerMesh;
-  heard: Promise<readonly StoreRecord[]>;
+  received: Promise<readonly StoreRecord[]>;
   peers: string[];
   kinds: ReadonlySet<string>;
 } {
@@ -49,13 +55,13 @@
   const records = new ReplicatedRecords();
   records.applyListing(known, known.reduce<StorePosition>(laterOf, NO_POSITION));
   let mesh: PeerMesh | undefined;
-  const heard = new Promise<readonly StoreRecord[]>((resolve) => {
+  const received = new Promise<readonly StoreRecord[]>((resolve) => {
     const exchange = new RecordExchange(
       records,
       { isStoreReachable: () => false, onNews: resolve },
       SYSTEM_CLOCK,
     );
-    const beat = (): PeerMessage => ({
+    const heartbeat = (): PeerMessage => ({
       kind: 'beat',
       ageMs: 0,
       quotaPosition: NO_POSITION,
@@ -67,7 +73,7 @@
         kinds.add(message.kind);
         if (message.kind === 'records') {
           exchange.receive(message);
-          mesh!.broadcast(beat());
+          mesh!.broadcast(heartbeat());
         } else if (message.kind === 'beat' || message.kind === 'reach') {
           exchange.hearReach(peer.name, message.reach, reply);
         }
@@ -77,27 +83,27 @@
           reply(exchange.answer(message));
         }
       },
-      onOpened: (send) => send(beat()),
+      onOpened: (send) => send(heartbeat()),
       onPeer: (peer) => void peers.push(peer),
     };
     mesh = new PeerMesh(hello, seeds, handlers, SYSTEM_CLOCK, new SeededRandom(1));
     mesh.listen(HOST, Number(hello.address.split(':')[1]));
     mesh.start();
   });
-  return { mesh: mesh!, heard, peers, kinds };
+  return { mesh: mesh!, received, peers, kinds };
 }
 
-test('gateways hand records to each other and learn of third ones', async (t) => {
+test('gateways exchange records and the addresses of other gateways', async (t) => {
   const [portA, portB, portC] = [nextPort(), nextPort(), nextPort()];
   const a = startMesh(helloOf('a', portA), [], [RECORD]);
   const b = startMesh(helloOf('b', portB), [`${HOST}:${portA}`]);
   const c = startMesh(helloOf('c', portC), [`${HOST}:${portB}`]);
-  t.deepEqual(await c.heard, [RECORD]);
+  t.deepEqual(await c.received, [RECORD]);
   t.true(c.peers.includes('a.1'));
   [a, b, c].forEach(({ mesh }) => mesh.stop());
 });
 
-test('the connection to a peer that is not heard is opened anew, that to one that speaks is not', async (t) => {
+test('the connection to a silent peer is reopened, but not the one to a peer that sends messages', async (t) => {
   const [portA, portB] = [nextPort(), nextPort()];
   const a = startMesh(helloOf('a', portA), []);
   const b = startMesh(helloOf('b', portB), [`${HOST}:${portA}`]);
@@ -125,7 +131,7 @@
   [a, b].forEach(({ mesh }) => mesh.stop());
 });
 
-test('a mesh with a limit of connections takes another address when one fails', async (t) => {
+test('a mesh at its connection limit connects to another address when one fails', async (t) => {
   const [portA, portB, deadPort] = [nextPort(), nextPort(), nextPort()];
   const a = startMesh(helloOf('a', portA), [], [RECORD]);
   const handlers = {
@@ -149,8 +155,10 @@
   a.mesh.stop();
 });
 
-/** Plays a gateway that hands its records to an agent and dies once the agent has taken them in. */
-function handRecordsToAgent(port: number): Promise<void> {
+/**
+ * Acts as a gateway that sends its records to an agent and closes once the agent has applied them.
+ */
+function sendRecordsToAgent(port: number): Promise<void> {
   return new Promise((resolve) => {
     const channel = new MessageChannel<GatewayToAgent, AgentToGateway>(connect(port, HOST), {
       onMessage: (message) => {
@@ -159,7 +167,8 @@
           const reach = { completeTo: at(3), currentTo: at(3) };
           const answer = { since, isWhole: false, records: [RECORD], epochStart: at(0) };
           channel.send({ kind: 'records', ...reach, ...answer });
-          // Messages are taken in order: the answer to this one shows that the records arrived.
+          // Messages are processed in order: the response to this one shows that the records
+          // arrived.
           channel.send({ kind: 'hello', gateway: 'dead', peersAddress: '', held: 0, slots: 1 });
         } else {
           channel.close();
@@ -171,7 +180,7 @@
   });
 }
 
-test('an agent hands the records of a gateway that died to one that starts', async (t) => {
+test('an agent passes the records of a gateway that exited to one that starts', async (t) => {
   const [agentPort, gatewayPort] = [nextPort(), nextPort()];
   const seeds = [`${HOST}:${gatewayPort}`];
   const agent = new SlotAgentRole({
@@ -186,11 +195,11 @@
     metrics: new SlotAgentMetrics(),
   });
   agent.start({ host: HOST, port: agentPort, metricsPort: 0 });
-  await handRecordsToAgent(agentPort);
+  await sendRecordsToAgent(agentPort);
   const started = startMesh(helloOf('g', gatewayPort), []);
-  t.deepEqual(await started.heard, [RECORD]);
+  t.deepEqual(await started.received, [RECORD]);
   t.deepEqual(started.peers, []);
-  // Whoever beats has a share in the quotas.
+  // A process that sends heartbeats gets a share of the quotas, so an agent must not send any.
   t.false(started.kinds.has('beat'));
   started.mesh.stop();
   agent.stop();
--- a/test/replicated-records.test.ts
+++ b/test/replicated-records.test.ts
@@ -16,13 +16,13 @@
   t.is(records.snapshot()[0]?.value, 'new');
 });
 
-test('a listing removes what it lacks, unless a later change is known', (t) => {
+test('a listing removes the keys that it lacks, unless a later change is known', (t) => {
   const records = new ReplicatedRecords();
   records.apply(recordOf('gone', 3));
   records.apply(recordOf('later', 9));
-  const news = records.applyListing([recordOf('here', 4)], at(7));
+  const applied = records.applyListing([recordOf('here', 4)], at(7));
   t.deepEqual(
-    news.map(({ key, value }) => [key, value]),
+    applied.map(({ key, value }) => [key, value]),
     [
       ['here', 'v'],
       ['gone', undefined],
@@ -30,7 +30,7 @@
   );
 });
 
-test('a removal is not undone by an old announcement that a peer still passes on', (t) => {
+test('a removal is not undone by an older record that a peer still sends', (t) => {
   const records = new ReplicatedRecords();
   records.apply(recordOf('a', 3));
   records.apply({ key: 'a', ...at(6), value: undefined });
@@ -38,7 +38,7 @@
   t.is(records.snapshot()[0]?.value, undefined);
 });
 
-test('whatever the order of arrival, the newest record of each key remains', (t) => {
+test('the newest record of each key remains, whatever the order of arrival', (t) => {
   const change = fc.record({
     key: fc.constantFrom('a', 'b', 'c'),
     revision: fc.integer({ min: 1, max: 50 }),
@@ -59,62 +59,60 @@
   t.pass();
 });
 
-test('a replica that is behind takes over what another holds beyond its revision', (t) => {
-  const ahead = new ReplicatedRecords();
-  ahead.applyListing([recordOf('a', 3), recordOf('b', 4)], at(5));
-  ahead.applyChanges([recordOf('c', 7), { key: 'a', ...at(8), value: undefined }], at(5), at(8));
-  const behind = new ReplicatedRecords();
-  behind.applyListing([recordOf('a', 3), recordOf('b', 4)], at(5));
-  const update = ahead.updateSince(behind.completeTo);
+test('a replica that is behind applies the records of another beyond its revision', (t) => {
+  const newer = new ReplicatedRecords();
+  newer.applyListing([recordOf('a', 3), recordOf('b', 4)], at(5));
+  newer.applyChanges([recordOf('c', 7), { key: 'a', ...at(8), value: undefined }], at(5), at(8));
+  const older = new ReplicatedRecords();
+  older.applyListing([recordOf('a', 3), recordOf('b', 4)], at(5));
+  const update = newer.updateSince(older.completeTo);
   t.deepEqual(
     update.records.map(({ key }) => key),
     ['c', 'a'],
   );
-  t.is(behind.applyUpdate(update).length, 2);
-  t.deepEqual(behind.completeTo, at(8));
+  t.is(older.applyUpdate(update).length, 2);
+  t.deepEqual(older.completeTo, at(8));
 });
 
-test('changes after a gap do not make a replica complete', (t) => {
+test('changes after a gap do not advance `completeTo`', (t) => {
   const records = new ReplicatedRecords();
   records.applyListing([recordOf('a', 3)], at(5));
   records.applyChanges([recordOf('b', 9)], at(8), at(9));
   t.deepEqual(records.completeTo, at(5));
 });
 
-test('a replica behind removals that were forgotten takes over the whole', (t) => {
-  const ahead = new ReplicatedRecords();
-  ahead.applyListing([recordOf('kept', 1), recordOf('removed', 2)], at(2));
+test('a replica behind pruned tombstones gets a complete update', (t) => {
+  const newer = new ReplicatedRecords();
+  newer.applyListing([recordOf('kept', 1), recordOf('removed', 2)], at(2));
   const removals = Array.from({ length: 2_100 }, (_unused, index) => ({
     key: index === 0 ? 'removed' : `k${index}`,
     ...at(3 + index),
     value: undefined,
   }));
-  ahead.applyChanges(removals, at(2), at(2_102));
-  const behind = new ReplicatedRecords();
-  behind.applyListing([recordOf('kept', 1), recordOf('removed', 2)], at(2));
-  const update = ahead.updateSince(behind.completeTo);
+  newer.applyChanges(removals, at(2), at(2_102));
+  const older = new ReplicatedRecords();
+  older.applyListing([recordOf('kept', 1), recordOf('removed', 2)], at(2));
+  const update = newer.updateSince(older.completeTo);
   t.true(update.isWhole);
   t.deepEqual(
-    behind.applyUpdate(update).map(({ key, value }) => [key, value]),
+    older.applyUpdate(update).map(({ key, value }) => [key, value]),
     [['removed', undefined]],
   );
 });
 
-test('a replica that began with a listing hands over removals that it never saw', (t) => {
-  const behind = new ReplicatedRecords();
-  behind.applyListing([recordOf('kept', 1), recordOf('removed', 2)], at(5));
+test('a replica that started with a listing passes on removals that it never received', (t) => {
+  const older = new ReplicatedRecords();
+  older.applyListing([recordOf('kept', 1), recordOf('removed', 2)], at(5));
   const started = new ReplicatedRecords();
   started.applyListing([recordOf('kept', 1)], at(9));
   t.deepEqual(
-    behind
-      .applyUpdate(started.updateSince(behind.completeTo))
-      .map(({ key, value }) => [key, value]),
+    older.applyUpdate(started.updateSince(older.completeTo)).map(({ key, value }) => [key, value]),
     [['removed', undefined]],
   );
-  t.deepEqual(behind.completeTo, at(9));
+  t.deepEqual(older.completeTo, at(9));
 });
 
-test('whatever replicas learn from listings, watches and each other, those that are complete to one revision agree', (t) => {
+test('replicas complete to the same revision agree, whatever mix of listings, watches and fetches they applied', (t) => {
   const step = fc.record({
     act: fc.constantFrom('put', 'remove', 'list', 'watch', 'fetch'),
     key: fc.constantFrom('a', 'b', 'c'),
@@ -160,26 +158,26 @@
   t.pass();
 });
 
-test('a listing that removes nothing is passed on, and only one that counts removes what it lacks', (t) => {
+test('a merged listing is passed on without removals; only a complete listing removes missing keys', (t) => {
   const holder = new ReplicatedRecords();
   holder.applyListing([{ key: 'gone', ...at(1), value: 'v' }], at(4));
   const receiver = new ReplicatedRecords();
   receiver.applyUpdate(holder.updateSince(at(0)));
-  const news = [{ key: 'new', ...at(7), value: 'v' }];
-  t.deepEqual(holder.addListing(news, at(8)), news);
+  const listed = [{ key: 'new', ...at(7), value: 'v' }];
+  t.deepEqual(holder.addListing(listed, at(8)), listed);
   t.deepEqual(holder.reach, { completeTo: at(4), currentTo: at(8) });
   t.true(receiver.isBehind(holder.reach));
-  t.deepEqual(receiver.applyUpdate(holder.updateSince(receiver.completeTo)), news);
+  t.deepEqual(receiver.applyUpdate(holder.updateSince(receiver.completeTo)), listed);
   t.deepEqual(receiver.reach, { completeTo: at(4), currentTo: at(8) });
   t.false(receiver.isBehind(holder.reach));
   t.true(receiver.snapshot().some(({ key, value }) => key === 'gone' && value !== undefined));
-  holder.applyListing(news, at(9));
+  holder.applyListing(listed, at(9));
   t.deepEqual(holder.reach, { completeTo: at(9), currentTo: at(9) });
   receiver.applyUpdate(holder.updateSince(receiver.completeTo));
   t.false(receiver.snapshot().some(({ key, value }) => key === 'gone' && value !== undefined));
 });
 
-test('an update for a replica that reaches further back does not make this one current', (t) => {
+test('an update that starts after the position of a replica does not advance `currentTo`', (t) => {
   const records = new ReplicatedRecords();
   records.applyListing([], at(3));
   const update = {
--- a/test/restored-replica.test.ts
+++ b/test/restored-replica.test.ts
@@ -1,4 +1,4 @@
-/** A replica of the store's records beside a store that comes back from a copy. */
+/** A replica of the store's records when the store is restored from a backup. */
 import fc from 'fast-check';
 import test from 'ava';
 import { ReplicatedRecords } from '../src/cluster/replicated-records.js';
@@ -6,12 +6,12 @@
 import { isLater } from '../src/cluster/store-position.js';
 import { at } from './support/positions.js';
 
-/** Values of keys that are counted begin with their owner's count. */
-const byLeadingNumber: CompareByOwner = (left, right) => {
-  const [leftCount, rightCount] = [left, right].map(({ value }) =>
+/** Values of versioned keys begin with the version number that their owner wrote. */
+const compareLeadingNumber: CompareByOwner = (left, right) => {
+  const [leftVersion, rightVersion] = [left, right].map(({ value }) =>
     Number.parseInt(value ?? '', 10),
   );
-  const difference = leftCount! - rightCount!;
+  const difference = leftVersion! - rightVersion!;
   return Number.isNaN(difference) ? undefined : difference;
 };
 
@@ -19,9 +19,9 @@
   return { key, ...at(revision, epoch), value };
 }
 
-/** A replica that knew the store through revision 10 of its first epoch. */
+/** Returns a replica that is complete through revision 10 of the first epoch. */
 function replicaOf(...records: StoreRecord[]): ReplicatedRecords {
-  const replica = new ReplicatedRecords(byLeadingNumber);
+  const replica = new ReplicatedRecords(compareLeadingNumber);
   replica.applyListing(records, at(10, 1));
   return replica;
 }
@@ -30,32 +30,32 @@
   return replica.snapshot().find((record) => record.key === key)?.value;
 }
 
-test('a change written after the return is news, though revision 10 was known', (t) => {
+test('a change written after the restore is applied, though its revision is below the known 10', (t) => {
   const replica = replicaOf(recordOf('config', 10, 1, '5 five'));
   replica.addListing([recordOf('config', 4, 2, '3 three')], at(6, 2));
-  const [news] = replica.applyChanges([recordOf('config', 7, 2, '6 six')], at(6, 2), at(7, 2));
-  t.is(news?.value, '6 six');
+  const [applied] = replica.applyChanges([recordOf('config', 7, 2, '6 six')], at(6, 2), at(7, 2));
+  t.is(applied?.value, '6 six');
   t.deepEqual(replica.reach, { completeTo: at(10, 1), currentTo: at(7, 2) });
 });
 
-test('what the copy holds in an older state, by its owner or by its revision, replaces nothing yet', (t) => {
+test('records of the backup that are older, by owner version or by revision, replace nothing before settling', (t) => {
   const replica = replicaOf(recordOf('config', 8, 1, '5 five'), recordOf('order', 9, 1, 'newer'));
-  const copy = [recordOf('config', 4, 2, '3 three'), recordOf('order', 5, 2, 'older')];
-  t.deepEqual(replica.addListing(copy, at(6, 2)), []);
+  const backup = [recordOf('config', 4, 2, '3 three'), recordOf('order', 5, 2, 'older')];
+  t.deepEqual(replica.addListing(backup, at(6, 2)), []);
   t.is(replica.countKept(), 2);
   t.false(replica.isSettled);
-  replica.applyListing(copy, at(6, 2));
+  replica.applyListing(backup, at(6, 2));
   t.deepEqual([valueOf(replica, 'config'), valueOf(replica, 'order')], ['3 three', 'older']);
   t.true(replica.isSettled);
 });
 
-test('what its owner wrote again before the first listing is news, though its revision is lower', (t) => {
+test('a record that its owner wrote again before the first listing is applied, though its revision is lower', (t) => {
   const replica = replicaOf(recordOf('backend', 9, 1, '7 ready'));
-  const [news] = replica.addListing([recordOf('backend', 6, 2, '8 draining')], at(6, 2));
-  t.is(news?.value, '8 draining');
+  const [applied] = replica.addListing([recordOf('backend', 6, 2, '8 draining')], at(6, 2));
+  t.is(applied?.value, '8 draining');
 });
 
-test('what the copy lacks stays until the replica has settled', (t) => {
+test('a record that the backup lacks is retained until the replica has settled', (t) => {
   const replica = replicaOf(recordOf('a', 3, 1, 'v'), recordOf('lost', 9, 1, 'v'));
   t.deepEqual(replica.addListing([recordOf('a', 3, 2, 'v')], at(6, 2)), [
     { ...recordOf('a', 3, 2, 'v'), isUnchanged: true },
@@ -65,19 +65,19 @@
   t.is(valueOf(replica, 'lost'), undefined);
 });
 
-test('a back end that had ended is not back because the copy lists it', (t) => {
+test('a removed back end stays removed, though the backup holds it', (t) => {
   const replica = replicaOf(recordOf('backend', 5, 1, '7 ready'));
   replica.applyChanges([{ key: 'backend', ...at(11, 1), value: undefined }], at(10, 1), at(11, 1));
   replica.addListing([recordOf('backend', 5, 2, '7 ready')], at(6, 2));
   t.is(valueOf(replica, 'backend'), undefined);
 });
 
-test('one that knows only the copy learns from another what that lacks, and gives nothing of it back', (t) => {
+test('a replica that knows only the backup fetches newer records and does not spread the older ones', (t) => {
   const old = replicaOf(recordOf('backend', 9, 1, '8 draining'), recordOf('lost', 10, 1, 'v'));
-  const copy = [recordOf('backend', 4, 2, '7 ready')];
-  old.addListing(copy, at(6, 2));
-  const started = new ReplicatedRecords(byLeadingNumber);
-  started.addListing(copy, at(6, 2));
+  const backup = [recordOf('backend', 4, 2, '7 ready')];
+  old.addListing(backup, at(6, 2));
+  const started = new ReplicatedRecords(compareLeadingNumber);
+  started.addListing(backup, at(6, 2));
   t.true(started.isBehind(old.reach));
   old.applyUpdate(started.updateSince(old.completeTo));
   t.is(valueOf(old, 'backend'), '8 draining');
@@ -86,20 +86,20 @@
   t.false(started.isSettled);
 });
 
-test('one that has settled takes nothing back that another still keeps', (t) => {
-  const keeping = replicaOf(recordOf('lost', 9, 1, 'v'), recordOf('config', 8, 1, '5 five'));
-  keeping.addListing([recordOf('config', 4, 2, '3 three')], at(6, 2));
+test('a settled replica does not apply records that an unsettled one still retains', (t) => {
+  const unsettled = replicaOf(recordOf('lost', 9, 1, 'v'), recordOf('config', 8, 1, '5 five'));
+  unsettled.addListing([recordOf('config', 4, 2, '3 three')], at(6, 2));
   const settled = replicaOf();
   settled.applyListing([recordOf('config', 4, 2, '3 three')], at(6, 2));
-  settled.applyUpdate(keeping.updateSince(at(0)));
+  settled.applyUpdate(unsettled.updateSince(at(0)));
   t.deepEqual([valueOf(settled, 'lost'), valueOf(settled, 'config')], [undefined, '3 three']);
-  keeping.applyUpdate(settled.updateSince(keeping.completeTo));
-  t.deepEqual([valueOf(keeping, 'lost'), valueOf(keeping, 'config')], [undefined, '3 three']);
-  t.true(keeping.isSettled);
+  unsettled.applyUpdate(settled.updateSince(unsettled.completeTo));
+  t.deepEqual([valueOf(unsettled, 'lost'), valueOf(unsettled, 'config')], [undefined, '3 three']);
+  t.true(unsettled.isSettled);
 });
 
-/** A store whose every state is kept, and that may go back to one of them. */
-class CopiedStore {
+/** A store that keeps all its states and can be restored to an earlier one. */
+class RestorableStore {
   epoch = 1;
   private changes: Array<{ readonly key: string; readonly value: string | undefined }> = [];
   private writes = 0;
@@ -117,8 +117,8 @@
     this.changes.push({ key, value: undefined });
   }
 
-  restore(lost: number): void {
-    this.changes = this.changes.slice(0, Math.max(0, this.changes.length - lost));
+  restore(lostChanges: number): void {
+    this.changes = this.changes.slice(0, Math.max(0, this.changes.length - lostChanges));
     this.epoch += 1;
   }
 
@@ -134,7 +134,7 @@
   }
 }
 
-test('however often the store comes back from copies, replicas that have settled hold what it holds', (t) => {
+test('settled replicas match the store, however often it is restored from backups', (t) => {
   const step = fc.record({
     act: fc.constantFrom('put', 'put', 'remove', 'restore', 'list', 'count', 'watch', 'fetch'),
     key: fc.constantFrom('a', 'b', 'c'),
@@ -144,8 +144,8 @@
   });
   fc.assert(
     fc.property(fc.array(step, { minLength: 30, maxLength: 80 }), (steps) => {
-      const store = new CopiedStore();
-      const replicas = [0, 1, 2].map(() => new ReplicatedRecords(byLeadingNumber));
+      const store = new RestorableStore();
+      const replicas = [0, 1, 2].map(() => new ReplicatedRecords(compareLeadingNumber));
       for (const { act, key, replica, other, lost } of steps) {
         const records = replicas[replica]!;
         if (act === 'put') {
@@ -172,8 +172,8 @@
       return replicas.every((records) => {
         const live = records.snapshot().filter(({ value }) => value !== undefined);
         const expected = store.list();
-        const holdsAll = expected.every(({ key, value }) => valueOf(records, key) === value);
-        return records.isSettled && live.length === expected.length && holdsAll;
+        const hasAll = expected.every(({ key, value }) => valueOf(records, key) === value);
+        return records.isSettled && live.length === expected.length && hasAll;
       });
     }),
     { seed: 20_261_203, numRuns: 1_000 },
@@ -181,23 +181,23 @@
   t.pass();
 });
 
-test('whatever copies show, a counted value never falls before its owner had time to write it again', (t) => {
+test('the value of a versioned key never goes back before settling, whatever the backups hold', (t) => {
   const step = fc.record({
     act: fc.constantFrom('put', 'put', 'restore', 'list', 'watch', 'fetch'),
     replica: fc.integer({ min: 0, max: 2 }),
     other: fc.integer({ min: 0, max: 2 }),
     lost: fc.integer({ min: 0, max: 12 }),
   });
-  const countOf = (records: ReplicatedRecords) =>
+  const versionOf = (records: ReplicatedRecords) =>
     Number.parseInt(valueOf(records, 'config') ?? '0', 10);
   fc.assert(
     fc.property(fc.array(step, { minLength: 20, maxLength: 60 }), (steps) => {
-      const store = new CopiedStore();
+      const store = new RestorableStore();
       store.put('config');
-      const replicas = [0, 1, 2].map(() => new ReplicatedRecords(byLeadingNumber));
+      const replicas = [0, 1, 2].map(() => new ReplicatedRecords(compareLeadingNumber));
       replicas.forEach((records) => records.applyListing(store.list(), store.position));
       return steps.every(({ act, replica, other, lost }) => {
-        const before = replicas.map(countOf);
+        const before = replicas.map(versionOf);
         const records = replicas[replica]!;
         if (act === 'put') {
           store.put('config');
@@ -211,7 +211,7 @@
         } else if (act === 'fetch') {
           records.applyUpdate(replicas[other]!.updateSince(records.completeTo));
         }
-        return replicas.every((each, index) => countOf(each) >= before[index]!);
+        return replicas.every((each, index) => versionOf(each) >= before[index]!);
       });
     }),
     { seed: 20_261_203, numRuns: 1_000 },
--- a/test/support/fleet-troubles.ts
+++ b/test/support/fleet-troubles.ts
@@ -1,101 +1,115 @@
-/** Troubles of a fleet that learns the store's records, drawn from a seed: in series and overlapping. */
+/**
+ * Random faults, sequential and overlapping, in a fleet of gateways that replicates the store's
+ * records.
+ */
 import { randomInteger } from '../../src/random.js';
 import type { RandomSource } from '../../src/random.js';
 import { scenarioRandom, StoreFleet } from './store-fleet.js';
 import type { FleetChange, FleetMachine, LateGateway, StoreFleetOptions } from './store-fleet.js';
 
-/** Time in which a change is in force in calm, and while something is in trouble elsewhere, in milliseconds. */
-const CALM_BOUND_MS = 1_000;
-const TROUBLE_BOUND_MS = 3_000;
-/** Time after the end of a trouble of the store, and of a gateway's own, in milliseconds. */
-const AFTER_STORE_MS = 2_000;
-const AFTER_OWN_MS = 3_000;
-/** Time by which a removal may be later after troubles: what is missing may only have lapsed. */
-const REMOVAL_MS = 6_600;
+/**
+ * Time within which gateways apply a change without faults, and during faults elsewhere, in
+ * milliseconds.
+ */
+const HEALTHY_BOUND_MS = 1_000;
+const FAULT_BOUND_MS = 3_000;
+/**
+ * Time to recover after a fault of the store, and after one of the gateway itself, in milliseconds.
+ */
+const STORE_RECOVERY_MS = 2_000;
+const GATEWAY_RECOVERY_MS = 3_000;
+/**
+ * Extra time for a removal after faults, in milliseconds: a missing record may only have expired.
+ */
+const REMOVAL_GRACE_MS = 6_600;
 const SETTLE_MS = 6_000;
-const MOODS = ['silent', 'refuses', 'resets'] as const;
+const STORE_FAULT_MODES = ['silent', 'refuses', 'resets'] as const;
 
-/** How a run with troubles is made. */
+/** Options of a run with faults. */
 export interface TroubledRunOptions extends StoreFleetOptions {
-  /** Time with troubles, in milliseconds. */
+  /** Time during which faults occur, in milliseconds. */
   readonly lengthMs: number;
 }
 
-/** What a run with troubles showed. */
+/** Result of a run with faults. */
 export interface TroubledRun {
   readonly late: readonly LateGateway[];
   readonly lateForOrders: readonly string[];
   readonly lateForLeaves: readonly string[];
-  /** Gateways that took a back end for ready that they had known to leave. */
+  /** Gateways that considered a back end ready after they had learned that it was leaving. */
   readonly readyAgain: readonly string[];
-  /** What happened, in order. */
+  /** Events of the run, in order, each line with its time in milliseconds. */
   readonly story: readonly string[];
 }
 
-/** Whether a gateway that does not know a change breaks the bounds that the fleet is held to. */
+/** Whether a gateway that has not applied a change at `nowMs` exceeds the time limits above. */
 function isTooLate(
   fleet: StoreFleet,
   machine: FleetMachine,
   change: Pick<FleetChange, 'atMs'>,
   nowMs: number,
 ): boolean {
-  const isTroubled = fleet.wasTroubled(change.atMs - TROUBLE_BOUND_MS);
+  const hadFaults = fleet.wasTroubled(change.atMs - FAULT_BOUND_MS);
   const dueMs = Math.max(
-    change.atMs + (isTroubled ? TROUBLE_BOUND_MS : CALM_BOUND_MS),
-    fleet.storeTroubledUntilMs(true) + AFTER_STORE_MS,
-    // Before that nobody can know.
-    fleet.storePathSinceMs + AFTER_OWN_MS,
-    machine.disturbedUntilMs + AFTER_OWN_MS,
-    machine.isolatedUntilMs + AFTER_OWN_MS,
+    change.atMs + (hadFaults ? FAULT_BOUND_MS : HEALTHY_BOUND_MS),
+    fleet.storeTroubledUntilMs(true) + STORE_RECOVERY_MS,
+    // No gateway can learn of the change before the store is reachable again.
+    fleet.storePathSinceMs + GATEWAY_RECOVERY_MS,
+    machine.disturbedUntilMs + GATEWAY_RECOVERY_MS,
+    machine.isolatedUntilMs + GATEWAY_RECOVERY_MS,
   );
   return nowMs > dueMs;
 }
 
-/** Plays changes beside troubles. */
+/** Runs a fleet with changes and faults. */
 export async function runTroubled(options: TroubledRunOptions): Promise<TroubledRun> {
   const fleet = new StoreFleet(options);
   const random = scenarioRandom(options.seed + 1);
-  const orders = scenarioRandom(options.seed + 2);
-  const story: string[] = [];
-  const tell = (words: string) => story.push(`${Math.round(fleet.clock.now())} ${words}`);
+  const orderRandom = scenarioRandom(options.seed + 2);
+  const events: string[] = [];
+  const logEvent = (text: string) => events.push(`${Math.round(fleet.clock.now())} ${text}`);
   await fleet.run(SETTLE_MS);
   fleet.isLate = (machine, change, nowMs) => isTooLate(fleet, machine, change, nowMs);
   fleet.isLateForOrder = (machine, order, nowMs) => {
-    const isTroubled = fleet.wasTroubled(order.atMs - REMOVAL_MS);
-    const extraMs = !order.isOrdered && isTroubled ? REMOVAL_MS : 0;
+    const hadFaults = fleet.wasTroubled(order.atMs - REMOVAL_GRACE_MS);
+    const extraMs = !order.isOrdered && hadFaults ? REMOVAL_GRACE_MS : 0;
     return isTooLate(fleet, machine, order, nowMs - extraMs);
   };
   fleet.isLateForLeave = (machine, leave, nowMs) => isTooLate(fleet, machine, leave, nowMs);
-  const troubles = options.countsEpochs === true ? TROUBLES_AND_COPIES : TROUBLES;
+  const faults = options.countsEpochs === true ? FAULTS_AND_RESTORES : FAULTS;
   const endMs = fleet.clock.now() + options.lengthMs;
   for (let atMs = fleet.clock.now(); atMs < endMs; atMs += randomInteger(random, 300, 5_000)) {
-    const trouble = pick(random, troubles);
-    fleet.at(atMs, () => tell(trouble(fleet, random)));
+    const injectFault = pick(random, faults);
+    fleet.at(atMs, () => logEvent(injectFault(fleet, random)));
   }
   for (let atMs = fleet.clock.now(); atMs < endMs; atMs += randomInteger(random, 100, 6_000)) {
-    fleet.at(atMs, () => tell(`change ${fleet.change().version}`));
+    fleet.at(atMs, () => logEvent(`change ${fleet.change().version}`));
   }
-  for (let atMs = fleet.clock.now(); atMs < endMs; atMs += randomInteger(orders, 1_000, 12_000)) {
+  for (
+    let atMs = fleet.clock.now();
+    atMs < endMs;
+    atMs += randomInteger(orderRandom, 1_000, 12_000)
+  ) {
     fleet.at(atMs, () => {
       const isOrdered = fleet.orders.at(-1)?.isOrdered !== true;
       fleet.order(isOrdered);
-      tell(isOrdered ? 'the zone is evacuated' : 'the zone is taken back');
+      logEvent(isOrdered ? 'the zone is evacuated' : 'the evacuation is revoked');
     });
   }
   if (options.countsEpochs === true) {
-    planBackends(fleet, scenarioRandom(options.seed + 3), endMs, tell);
+    scheduleBackends(fleet, scenarioRandom(options.seed + 3), endMs, logEvent);
   }
-  await fleet.run(options.lengthMs + TROUBLE_BOUND_MS);
+  await fleet.run(options.lengthMs + FAULT_BOUND_MS);
   const { late, lateForOrders, lateForLeaves, readyAgain } = fleet;
-  return { late, lateForOrders, lateForLeaves, readyAgain, story };
+  return { late, lateForOrders, lateForLeaves, readyAgain, story: events };
 }
 
-/** Back ends announce themselves, and say some time later that they leave. */
-function planBackends(
+/** Schedules back ends that register and some time later report that they are leaving. */
+function scheduleBackends(
   fleet: StoreFleet,
   random: RandomSource,
   endMs: number,
-  tell: (words: string) => void,
+  logEvent: (text: string) => void,
 ): void {
   let number = 0;
   for (let atMs = fleet.clock.now(); atMs < endMs; atMs += randomInteger(random, 500, 4_000)) {
@@ -104,119 +118,121 @@
     fleet.at(atMs, () => fleet.announce(backend));
     fleet.at(atMs + randomInteger(random, 200, 12_000), () => {
       fleet.leave(backend);
-      tell(`${backend} leaves`);
+      logEvent(`${backend} is leaving`);
     });
   }
 }
 
-/** Brings a trouble about; returns what it was. */
-type Trouble = (fleet: StoreFleet, random: RandomSource) => string;
+/** Injects a fault and returns its description. */
+type Fault = (fleet: StoreFleet, random: RandomSource) => string;
 
-const TROUBLES: readonly Trouble[] = [
-  function troubleStore(fleet, random) {
-    const mood = pick(random, MOODS);
-    const forMs = duration(random, 200, 8_000);
-    fleet.troubleStore(mood, forMs);
-    return `the store ${mood} for ${forMs} ms`;
+const FAULTS: readonly Fault[] = [
+  function failStore(fleet, random) {
+    const mode = pick(random, STORE_FAULT_MODES);
+    const forMs = logUniformMs(random, 200, 8_000);
+    fleet.troubleStore(mode, forMs);
+    return `store fault '${mode}' for ${forMs} ms`;
   },
-  function troubleStoreAgainAndAgain(fleet, random) {
-    const mood = pick(random, MOODS);
+  function failStoreRepeatedly(fleet, random) {
+    const mode = pick(random, STORE_FAULT_MODES);
     const times = randomInteger(random, 2, 5);
     for (let time = 0; time < times; time += 1) {
-      fleet.at(fleet.clock.now() + time * 2_000, () => fleet.troubleStore(mood, 600));
+      fleet.at(fleet.clock.now() + time * 2_000, () => fleet.troubleStore(mode, 600));
     }
-    return `the store ${mood} for 600 ms, ${times} times`;
+    return `store fault '${mode}' for 600 ms, ${times} times`;
   },
-  function turnAway(fleet, random) {
-    const mood = pick(random, MOODS);
-    const forMs = duration(random, 300, 9_000);
-    const isReaders = random.next() < 0.5;
+  function failStoreForGateways(fleet, random) {
+    const mode = pick(random, STORE_FAULT_MODES);
+    const forMs = logUniformMs(random, 300, 9_000);
+    const hitsReaders = random.next() < 0.5;
     const machines = fleet.machines.filter(
       ({ cluster }) =>
-        cluster !== undefined && (isReaders ? cluster.isReadingStore : random.next() < 0.4),
+        cluster !== undefined && (hitsReaders ? cluster.isReadingStore : random.next() < 0.4),
     );
-    fleet.turnAway(machines, mood, forMs);
-    return `the store ${mood} for ${machines.length} gateways for ${forMs} ms`;
+    fleet.turnAway(machines, mode, forMs);
+    return `store fault '${mode}' for ${machines.length} gateways for ${forMs} ms`;
   },
   function slowStore(fleet, random) {
-    const forMs = duration(random, 500, 6_000);
+    const forMs = logUniformMs(random, 500, 6_000);
     const slowMs = randomInteger(random, 50, 1_400);
     fleet.slowStore(slowMs, forMs);
-    return `the store is slower by ${slowMs} ms for ${forMs} ms`;
+    return `store latency increased by ${slowMs} ms for ${forMs} ms`;
   },
-  function loseAnswers(fleet, random) {
-    const forMs = duration(random, 500, 6_000);
+  function dropResponses(fleet, random) {
+    const forMs = logUniformMs(random, 500, 6_000);
     const share = random.next();
     fleet.loseAnswers(share, forMs);
-    return `the store loses ${share.toFixed(2)} of its answers for ${forMs} ms`;
+    return `store drops a share of ${share.toFixed(2)} of its responses for ${forMs} ms`;
   },
-  function forgetHistory(fleet, random) {
+  function dropHistory(fleet, random) {
     const afterMs = randomInteger(random, 200, 1_200);
     fleet.forgetHistory(afterMs);
-    return `the store holds changes back for ${afterMs} ms and drops its history`;
+    return `store withholds changes for ${afterMs} ms and drops its history`;
   },
-  function cut(fleet, random) {
-    const forMs = duration(random, 300, 12_000);
-    const way = pick(random, ['both', 'out', 'in'] as const);
+  function partition(fleet, random) {
+    const forMs = logUniformMs(random, 300, 12_000);
+    const direction = pick(random, ['both', 'out', 'in'] as const);
     const scope = pick(random, ['all', 'store', 'peers'] as const);
-    const machines = some(fleet, random, 0.3);
-    machines.forEach((machine) => machine.cut(scope, way, forMs));
-    return `${names(machines)} cut off from ${scope}, ${way}, for ${forMs} ms`;
+    const machines = sampleMachines(fleet, random, 0.3);
+    machines.forEach((machine) => machine.cut(scope, direction, forMs));
+    return `${formatAddresses(machines)} partitioned from ${scope}, direction ${direction}, for ${forMs} ms`;
   },
   function pause(fleet, random) {
-    const forMs = duration(random, 200, 6_000);
-    const machines = some(fleet, random, 0.2);
+    const forMs = logUniformMs(random, 200, 6_000);
+    const machines = sampleMachines(fleet, random, 0.2);
     machines.forEach((machine) => machine.pause(forMs));
-    return `${names(machines)} stand still for ${forMs} ms`;
+    return `${formatAddresses(machines)} paused for ${forMs} ms`;
   },
   function kill(fleet, random) {
-    const awayMs = duration(random, 200, 3_000);
-    const machines = some(fleet, random, random.next() < 0.3 ? 1 : 0.2);
-    machines.forEach((machine) => machine.kill(awayMs));
-    return `${names(machines)} killed, back after ${awayMs} ms`;
+    const downtimeMs = logUniformMs(random, 200, 3_000);
+    const machines = sampleMachines(fleet, random, random.next() < 0.3 ? 1 : 0.2);
+    machines.forEach((machine) => machine.kill(downtimeMs));
+    return `${formatAddresses(machines)} killed, restarted after ${downtimeMs} ms`;
   },
 ];
 
-/** The same, and a store that comes back from a copy, alone or again within seconds. */
-const TROUBLES_AND_COPIES: readonly Trouble[] = [
-  ...TROUBLES,
+/**
+ * The same faults, and a store that is restored from a backup, once or repeatedly within seconds.
+ */
+const FAULTS_AND_RESTORES: readonly Fault[] = [
+  ...FAULTS,
   function restore(fleet, random) {
-    return restoreTimes(fleet, random, 1);
+    return scheduleRestores(fleet, random, 1);
   },
-  function restoreAgain(fleet, random) {
-    return restoreTimes(fleet, random, randomInteger(random, 2, 4));
+  function restoreRepeatedly(fleet, random) {
+    return scheduleRestores(fleet, random, randomInteger(random, 2, 4));
   },
 ];
 
-function restoreTimes(fleet: StoreFleet, random: RandomSource, times: number): string {
-  const words: string[] = [];
+function scheduleRestores(fleet: StoreFleet, random: RandomSource, times: number): string {
+  const descriptions: string[] = [];
   for (let time = 0; time < times; time += 1) {
-    const awayMs = randomInteger(random, 0, 5) * randomInteger(random, 0, 2_000);
-    const copyAgeMs = duration(random, 200, 20_000);
-    const mood = pick(random, MOODS);
+    const downtimeMs = randomInteger(random, 0, 5) * randomInteger(random, 0, 2_000);
+    const backupAgeMs = logUniformMs(random, 200, 20_000);
+    const mode = pick(random, STORE_FAULT_MODES);
     const atMs = fleet.clock.now() + time * randomInteger(random, 300, 4_000);
-    fleet.at(atMs, () => fleet.restoreStore(awayMs, copyAgeMs, mood));
-    words.push(
-      `at ${Math.round(atMs)} the store ${mood} for ${awayMs} ms, then ${copyAgeMs} ms older`,
+    fleet.at(atMs, () => fleet.restoreStore(downtimeMs, backupAgeMs, mode));
+    descriptions.push(
+      `at ${Math.round(atMs)} store fault '${mode}' for ${downtimeMs} ms, then a restore from ${backupAgeMs} ms before`,
     );
   }
-  return words.join('; ');
+  return descriptions.join('; ');
 }
 
 function pick<Item>(random: RandomSource, items: readonly Item[]): Item {
   return items[randomInteger(random, 0, items.length - 1)]!;
 }
 
-/** Short ones are as likely as long ones. */
-function duration(random: RandomSource, leastMs: number, mostMs: number): number {
-  return Math.round(leastMs * (mostMs / leastMs) ** random.next());
+/** Returns a log-uniform random duration, so that short ones are as likely as long ones. */
+function logUniformMs(random: RandomSource, minMs: number, maxMs: number): number {
+  return Math.round(minMs * (maxMs / minMs) ** random.next());
 }
 
-function some(fleet: StoreFleet, random: RandomSource, share: number): FleetMachine[] {
-  const drawn = fleet.machines.filter(() => random.next() < share);
-  return drawn.length > 0 ? drawn : [pick(random, fleet.machines)];
+function sampleMachines(fleet: StoreFleet, random: RandomSource, share: number): FleetMachine[] {
+  const sample = fleet.machines.filter(() => random.next() < share);
+  return sample.length > 0 ? sample : [pick(random, fleet.machines)];
 }
 
-function names(machines: readonly FleetMachine[]): string {
+function formatAddresses(machines: readonly FleetMachine[]): string {
   return machines.map(({ address }) => address).join(', ');
 }
--- a/test/support/virtual-network.ts
+++ b/test/support/virtual-network.ts
@@ -1,41 +1,46 @@
 /**
- * A network on a virtual clock whose connections behave as TCP does when a path is cut: bytes are held and sent
- * again at intervals that double, a connection that does not come up is silent, and nothing is told of a machine
- * that lost its power.
+ * A network on a virtual clock whose connections behave as TCP does during a partition:
+ * unacknowledged bytes are retransmitted at intervals that double, a connection attempt that gets
+ * no response raises no error, and peers are not notified when a machine loses power.
  */
 import { EventEmitter } from 'node:events';
-import type { OpenedSocket, PeerListener, PeerNetwork } from '../../src/cluster/peer-network.js';
+import type { OutgoingSocket, PeerListener, PeerNetwork } from '../../src/cluster/peer-network.js';
 import type { MessageSocket } from '../../src/protocol/message-channel.js';
 import type { HeapClock } from './heap-clock.js';
 
-/** One way of a path, in milliseconds. */
+/** One-way delay, in milliseconds. */
 const DELAY_MS = 1;
-/** First interval after which bytes that were not acknowledged are sent again. */
-const RESEND_MS = 200;
-/** First interval after which a connection that does not come up is asked for again. */
-const CONNECT_RESEND_MS = 1_000;
+/** First retransmission interval of unacknowledged bytes, in milliseconds. */
+const RETRANSMIT_MS = 200;
+/**
+ * First interval after which a connection attempt without a response is repeated, in milliseconds.
+ */
+const CONNECT_RETRANSMIT_MS = 1_000;
 
-/** Whether bytes pass from one machine to another. */
+/** Whether bytes can pass from one machine to another. */
 export type IsOpen = (from: string, to: string) => boolean;
 
-/** A machine as the network sees it. */
+/** A process on a machine, as the network uses it. */
 export interface NetworkHost {
   /** Address of the machine. */
   readonly address: string;
-  /** Runs something in the machine's process once that is not paused; not at all if it ended. */
+  /**
+   * Runs `action` in the process, after its pause if it is paused; drops it if the process has
+   * exited.
+   */
   act(action: () => void): void;
 }
 
+/** Bytes on a connection, or its end if `bytes` is undefined. */
 interface Segment {
   readonly bytes: Buffer | undefined;
 }
 
-/** A network of machines. */
 export class VirtualNetwork {
   isOpen: IsOpen = () => true;
   /**
-   * Whether a sender holds back while nothing is acknowledged, as TCP does. Without it bytes pass one way while
-   * the other is cut.
+   * Whether bytes pass only while acknowledgements can return, as with TCP. If false, bytes pass in
+   * one direction while the other is cut.
    */
   needsAcknowledgement = true;
   private readonly listeners = new Map<string, VirtualListener>();
@@ -43,7 +48,7 @@
 
   constructor(readonly clock: HeapClock) {}
 
-  /** The network as a process of `host` uses it. */
+  /** Returns the network as the process of `host` uses it. */
   of(host: NetworkHost): PeerNetwork {
     return {
       connect: (port, address) => this.connect(host, `${address}:${port}`),
@@ -51,7 +56,7 @@
     };
   }
 
-  /** The process of `host` ended: its system ends its connections, and nothing listens there any more. */
+  /** Ends the process of `host`: its connections are closed and its listeners removed. */
   endProcess(host: NetworkHost): void {
     this.sockets.get(host)?.forEach((socket) => socket.end());
     this.sockets.delete(host);
@@ -62,7 +67,6 @@
     }
   }
 
-  /** A socket of the process of `host`. */
   private createSocket(host: NetworkHost): VirtualSocket {
     const socket = new VirtualSocket(this, host);
     const sockets = this.sockets.get(host) ?? new Set();
@@ -70,7 +74,7 @@
     return socket;
   }
 
-  /** Whether bytes that are sent now arrive and are acknowledged. */
+  /** Whether bytes sent now arrive and, if needed, are acknowledged. */
   passes(from: string, to: string): boolean {
     return this.isOpen(from, to) && (!this.needsAcknowledgement || this.isOpen(to, from));
   }
@@ -79,51 +83,51 @@
     this.listeners.set(address, listener);
   }
 
-  /** A listener is gone; another process may listen there already. */
+  /** Removes `listener`, unless another process already listens on `address`. */
   unlisten(address: string, listener: VirtualListener): void {
     if (this.listeners.get(address) === listener) {
       this.listeners.delete(address);
     }
   }
 
-  private connect(host: NetworkHost, address: string): OpenedSocket {
+  private connect(host: NetworkHost, address: string): OutgoingSocket {
     const socket = this.createSocket(host);
-    this.askForConnection(socket, address, CONNECT_RESEND_MS);
+    this.attemptConnect(socket, address, CONNECT_RETRANSMIT_MS);
     return socket;
   }
 
-  private askForConnection(socket: VirtualSocket, address: string, resendMs: number): void {
+  private attemptConnect(socket: VirtualSocket, address: string, retransmitMs: number): void {
     const target = addressOf(address);
     this.clock.setTimeout(() => {
       if (socket.isClosed) {
         return;
       }
-      const isPassing =
+      const isReachable =
         this.isOpen(socket.host.address, target) && this.isOpen(target, socket.host.address);
-      if (isPassing) {
-        this.answerConnection(socket, address);
+      if (isReachable) {
+        this.completeConnect(socket, address);
       } else {
-        const waitMs = resendMs - DELAY_MS;
-        this.clock.setTimeout(() => this.askForConnection(socket, address, resendMs * 2), waitMs);
+        const waitMs = retransmitMs - DELAY_MS;
+        this.clock.setTimeout(() => this.attemptConnect(socket, address, retransmitMs * 2), waitMs);
       }
     }, DELAY_MS);
   }
 
-  private answerConnection(socket: VirtualSocket, address: string): void {
+  private completeConnect(socket: VirtualSocket, address: string): void {
     const listener = this.listeners.get(address);
     if (listener === undefined) {
       this.clock.setTimeout(() => socket.fail(), DELAY_MS);
       return;
     }
     const accepted = this.createSocket(listener.host);
-    accepted.join(socket);
-    socket.join(accepted);
+    accepted.pairWith(socket);
+    socket.pairWith(accepted);
     listener.host.act(() => listener.onConnection(accepted));
     this.clock.setTimeout(() => socket.host.act(() => socket.open()), DELAY_MS);
   }
 }
 
-/** Takes connections of a process. */
+/** Accepts connections for a process. */
 class VirtualListener implements PeerListener {
   private address = '';
 
@@ -144,14 +148,14 @@
 }
 
 /** One end of a connection. */
-export class VirtualSocket extends EventEmitter implements OpenedSocket {
+export class VirtualSocket extends EventEmitter implements OutgoingSocket {
   readonly writableLength = 0;
   isClosed = false;
-  private other: VirtualSocket | undefined;
-  /** Bytes that were not acknowledged, in order; undefined stands for the end. */
-  private held: Segment[] = [];
-  private resendMs = RESEND_MS;
-  private isWaiting = false;
+  private remote: VirtualSocket | undefined;
+  /** Segments that were not acknowledged, in order. */
+  private unacknowledged: Segment[] = [];
+  private retransmitMs = RETRANSMIT_MS;
+  private isRetransmitting = false;
 
   constructor(
     private readonly network: VirtualNetwork,
@@ -164,8 +168,8 @@
     return this;
   }
 
-  join(other: VirtualSocket): void {
-    this.other = other;
+  pairWith(other: VirtualSocket): void {
+    this.remote = other;
   }
 
   open(): void {
@@ -174,7 +178,7 @@
     }
   }
 
-  /** Nothing listens there. */
+  /** Refuses the connection: nothing listens on the address. */
   fail(): void {
     this.host.act(() => {
       if (!this.isClosed) {
@@ -202,48 +206,48 @@
   }
 
   private send(segment: Segment): void {
-    if (this.other === undefined) {
+    if (this.remote === undefined) {
       return;
     }
-    if (!this.isWaiting && this.passes()) {
+    if (!this.isRetransmitting && this.canDeliver()) {
       this.deliver(segment);
       return;
     }
-    this.held.push(segment);
-    if (!this.isWaiting) {
-      this.isWaiting = true;
-      this.resendLater();
+    this.unacknowledged.push(segment);
+    if (!this.isRetransmitting) {
+      this.isRetransmitting = true;
+      this.scheduleRetransmit();
     }
   }
 
-  private passes(): boolean {
-    return this.network.passes(this.host.address, this.other!.host.address);
+  private canDeliver(): boolean {
+    return this.network.passes(this.host.address, this.remote!.host.address);
   }
 
-  private resendLater(): void {
-    const waitMs = this.resendMs;
-    this.resendMs *= 2;
+  private scheduleRetransmit(): void {
+    const waitMs = this.retransmitMs;
+    this.retransmitMs *= 2;
     this.network.clock.setTimeout(() => {
-      if (!this.passes()) {
-        this.resendLater();
+      if (!this.canDeliver()) {
+        this.scheduleRetransmit();
         return;
       }
-      this.isWaiting = false;
-      this.resendMs = RESEND_MS;
-      const held = this.held;
-      this.held = [];
-      held.forEach((segment) => this.deliver(segment));
+      this.isRetransmitting = false;
+      this.retransmitMs = RETRANSMIT_MS;
+      const segments = this.unacknowledged;
+      this.unacknowledged = [];
+      segments.forEach((segment) => this.deliver(segment));
     }, waitMs);
   }
 
   private deliver({ bytes }: Segment): void {
-    const { other } = this;
+    const { remote } = this;
     this.network.clock.setTimeout(() => {
-      if (other!.isClosed) {
-        // The other end is gone: its machine resets the connection.
+      if (remote!.isClosed) {
+        // The remote socket is closed, so its machine resets the connection.
         this.network.clock.setTimeout(() => this.reset(), DELAY_MS);
       } else {
-        other!.host.act(() => other!.receive(bytes));
+        remote!.host.act(() => remote!.receive(bytes));
       }
     }, DELAY_MS);
   }
@@ -268,7 +272,9 @@
     }
   }
 
-  /** The process is gone: nothing of it hears of this any more. */
+  /**
+   * Closes the socket after its process has exited: sends the end to the remote and emits no event.
+   */
   end(): void {
     if (!this.isClosed) {
       this.isClosed = true;
