--- a/src/telemetry/bounded-output.ts
+++ b/src/telemetry/bounded-output.ts
@@ -1,53 +1,53 @@
-/** Writes log lines without ever waiting: a reader that stops costs lines, not requests. */
+/** Non-blocking log output: drops lines if the reader stalls, so requests are never delayed. */
 import { fstatSync, write } from 'node:fs';
 import { Socket } from 'node:net';
 
-/** Bounds of the output. */
+/** Options of `BoundedOutput`. */
 export interface BoundedOutputOptions {
   /** File descriptor. Default 1, standard output. */
   readonly descriptor: number;
-  /** Most bytes that wait to be written. Default 1 MiB. */
+  /** Maximum number of bytes that are buffered for writing. Default 1 MiB. */
   readonly maxPendingBytes: number;
 }
 
-/** Defaults of the output. */
+/** Default options of `BoundedOutput`. */
 export const DEFAULT_BOUNDED_OUTPUT_OPTIONS: BoundedOutputOptions = {
   descriptor: 1,
   maxPendingBytes: 1024 * 1024,
 };
 
-const GATHER_MS = 50;
+const FLUSH_DELAY_MS = 50;
 
-/** Writes bytes and calls back once they are written or lost. */
+/** Writes bytes and calls `done` once they are written or lost. */
 type Sink = (bytes: Buffer, done: () => void) => void;
 
-/** Whole lines to a file descriptor, one write under way at a time. */
+/** Writes whole lines to a file descriptor, with at most one write in progress. */
 export class BoundedOutput {
   private pending: string[] = [];
   private pendingBytes = 0;
   private isWriting = false;
-  private isGathering = false;
+  private isFlushScheduled = false;
   private readonly sink: Sink;
 
   constructor(
-    private readonly onLost: () => void,
+    private readonly onDropped: () => void,
     private readonly options = DEFAULT_BOUNDED_OUTPUT_OPTIONS,
   ) {
     this.sink = openSink(options.descriptor);
   }
 
-  /** Takes one line, or drops it when too much waits. */
+  /** Buffers one line, or drops it if the buffer is full. */
   write(line: string): void {
     if (this.pendingBytes + line.length > this.options.maxPendingBytes) {
-      this.onLost();
+      this.onDropped();
       return;
     }
     this.pending.push(line);
     this.pendingBytes += line.length;
-    this.gather();
+    this.scheduleFlush();
   }
 
-  /** Begins to write what waits. */
+  /** Starts writing the buffered lines. */
   flush(): void {
     if (this.isWriting || this.pending.length === 0) {
       return;
@@ -62,22 +62,22 @@
     });
   }
 
-  /** Several lines go out in one write. */
-  private gather(): void {
-    if (this.isGathering || this.isWriting) {
+  /** Delays the flush so that several lines are written at once. */
+  private scheduleFlush(): void {
+    if (this.isFlushScheduled || this.isWriting) {
       return;
     }
-    this.isGathering = true;
+    this.isFlushScheduled = true;
     setTimeout(() => {
-      this.isGathering = false;
+      this.isFlushScheduled = false;
       this.flush();
-    }, GATHER_MS).unref();
+    }, FLUSH_DELAY_MS).unref();
   }
 }
 
 /**
- * A pipe is written through the event loop: a write that waits for its reader in
- * another thread would keep the process from ending. Files do not wait.
+ * Writes to a pipe through the event loop: a write that blocks in a thread of the pool until the
+ * pipe is read would keep the process from exiting. Writes to files do not block.
  */
 function openSink(descriptor: number): Sink {
   if (isPipe(descriptor)) {
@@ -100,9 +100,9 @@
 
 function writeAll(descriptor: number, bytes: Buffer, done: () => void): void {
   write(descriptor, bytes, 0, bytes.length, null, (error, written) => {
-    const left = error === null ? bytes.subarray(written) : bytes.subarray(bytes.length);
-    if (left.length > 0) {
-      writeAll(descriptor, left, done);
+    const remaining = error === null ? bytes.subarray(written) : bytes.subarray(bytes.length);
+    if (remaining.length > 0) {
+      writeAll(descriptor, remaining, done);
     } else {
       done();
     }
--- a/src/telemetry/decision-log.ts
+++ b/src/telemetry/decision-log.ts
@@ -1,14 +1,14 @@
 /**
- * Structured log of one process: one line for each decision that touches a
- * request or changes what the process believes. docs/LOGS.md lists the lines.
+ * Structured log of one process: one line for each decision that affects a request or changes the
+ * process's view of the system. docs/LOGS.md lists the events.
  */
 import bunyan from 'bunyan';
 import type { Clock } from '../clock.js';
 import { BoundedOutput } from './bounded-output.js';
-import { LineBudget } from './line-budget.js';
+import { LineRateLimiter } from './line-budget.js';
 import type { LinePriority } from './line-budget.js';
 
-/** Names every line; docs/LOGS.md explains each. */
+/** Event names of all log lines; docs/LOGS.md describes each. */
 export const LOG_EVENTS = [
   'started',
   'stopping',
@@ -76,23 +76,23 @@
   'lines-dropped',
 ] as const;
 
-/** The name of a line. */
+/** Event name of a log line. */
 export type LogEvent = (typeof LOG_EVENTS)[number];
 
-/** Values of a line. */
+/** Fields of a log line. */
 export type LogFields = Readonly<Record<string, unknown>>;
 
-/** Who writes. */
+/** Identifies the process that writes the log; part of every line. */
 export interface LogIdentity {
   readonly role: string;
   readonly process: string;
   readonly zone: string;
 }
 
-/** Structured log of one process. */
+/** Writes log lines as JSON, within a rate limit, without blocking. */
 export class DecisionLog {
   private readonly logger: bunyan;
-  private readonly budget: LineBudget;
+  private readonly rateLimiter: LineRateLimiter;
   private readonly output: BoundedOutput;
 
   constructor(
@@ -100,8 +100,8 @@
     linesPerS: number,
     private readonly clock: Clock,
   ) {
-    this.budget = new LineBudget({ linesPerS });
-    this.output = new BoundedOutput(() => this.budget.countLost());
+    this.rateLimiter = new LineRateLimiter({ linesPerS });
+    this.output = new BoundedOutput(() => this.rateLimiter.countDropped());
     this.logger = bunyan.createLogger({
       name: 'weirvaled',
       ...identity,
@@ -109,29 +109,29 @@
     });
   }
 
-  /** Writes a line, if the budget allows it. */
+  /** Writes a line if the rate limit allows it. */
   write(event: LogEvent, priority: LinePriority, fields: LogFields = {}): void {
-    if (this.budget.take(priority, this.clock.now())) {
+    if (this.rateLimiter.tryAcquire(priority, this.clock.now())) {
       this.logger.info({ event, ...roundNumbers(fields) }, event);
     }
   }
 
-  /** Says, and returns, how many lines were dropped since it last did; to be called now and then. */
+  /** Logs and returns the number of lines dropped since the last call; called periodically. */
   reportDropped(): number {
-    const dropped = this.budget.takeDropped();
+    const dropped = this.rateLimiter.drainDropped();
     if (dropped > 0) {
       this.logger.info({ event: 'lines-dropped', dropped }, 'lines-dropped');
     }
     return dropped;
   }
 
-  /** Begins to write what waits. */
+  /** Starts writing the buffered lines. */
   flush(): void {
     this.output.flush();
   }
 }
 
-/** Times are told to a tenth of a millisecond. */
+/** Rounds numbers to one decimal: times to a tenth of a millisecond. */
 function roundNumbers(fields: LogFields): Record<string, unknown> {
   const TENTHS = 10;
   return Object.fromEntries(
--- a/src/telemetry/line-budget.ts
+++ b/src/telemetry/line-budget.ts
@@ -1,47 +1,47 @@
-/** Limits log lines a second; what matters more may use what is kept back from the rest. */
+/** Limits log lines per second; a part of the rate is reserved for lines of higher priority. */
 
-/** How much a line matters, most first. */
+/** Priority of a log line, highest first. */
 export type LinePriority = 'state' | 'failure' | 'success';
 
-/** Lines a second over all priorities. */
-export interface LineBudgetOptions {
-  /** Default 400. */
+/** Options of `LineRateLimiter`. */
+export interface LineRateLimiterOptions {
+  /** Maximum number of lines per second over all priorities. Default 400. */
   readonly linesPerS: number;
 }
 
-/** Share of a second's lines that a priority may use up to. */
+/** Share of `linesPerS` up to which lines of a priority are accepted. */
 const SHARE_BY_PRIORITY: Record<LinePriority, number> = { state: 1, failure: 0.9, success: 0.6 };
 const MS_PER_S = 1_000;
 
-/** Limits log lines a second. */
-export class LineBudget {
-  private secondStartedAtMs = 0;
-  private used = 0;
+/** Fixed-window rate limiter for log lines, with a window of one second. */
+export class LineRateLimiter {
+  private windowStartMs = 0;
+  private linesUsed = 0;
   private droppedLines = 0;
 
-  constructor(private readonly options: LineBudgetOptions) {}
+  constructor(private readonly options: LineRateLimiterOptions) {}
 
-  /** Takes one line; false when it must be dropped. */
-  take(priority: LinePriority, nowMs: number): boolean {
-    if (nowMs - this.secondStartedAtMs >= MS_PER_S) {
-      this.secondStartedAtMs = nowMs;
-      this.used = 0;
+  /** Counts one line against the limit; returns false if it must be dropped. */
+  tryAcquire(priority: LinePriority, nowMs: number): boolean {
+    if (nowMs - this.windowStartMs >= MS_PER_S) {
+      this.windowStartMs = nowMs;
+      this.linesUsed = 0;
     }
-    if (this.used >= this.options.linesPerS * SHARE_BY_PRIORITY[priority]) {
+    if (this.linesUsed >= this.options.linesPerS * SHARE_BY_PRIORITY[priority]) {
       this.droppedLines += 1;
       return false;
     }
-    this.used += 1;
+    this.linesUsed += 1;
     return true;
   }
 
-  /** Counts a line that was lost behind the budget. */
-  countLost(): void {
+  /** Counts a line that was accepted here but dropped by the output. */
+  countDropped(): void {
     this.droppedLines += 1;
   }
 
-  /** Lines dropped since this was asked last. */
-  takeDropped(): number {
+  /** Returns and resets the number of dropped lines. */
+  drainDropped(): number {
     const dropped = this.droppedLines;
     this.droppedLines = 0;
     return dropped;
--- a/src/telemetry/metrics-endpoint.ts
+++ b/src/telemetry/metrics-endpoint.ts
@@ -1,14 +1,14 @@
 /**
- * Serves the metrics of one process as text.
+ * Serves the metrics of one process in the Prometheus text format.
  *
- * The metrics' library is loaded after the start, which it would lengthen; what is
- * recorded before then is kept.
+ * The metrics library is loaded after startup, since loading it would delay startup; updates
+ * recorded before then are queued.
  */
 import { createServer } from 'node:http';
 import type { Server, ServerResponse } from 'node:http';
 import type { Registry } from 'prom-client';
 
-/** The counters, gauges and histograms of a process. */
+/** Counters, gauges and histograms of a process. */
 export interface Instruments {
   readonly registry: Registry;
 }
@@ -17,40 +17,40 @@
 const HTTP_UNAVAILABLE = 503;
 
 /** Records and serves the metrics of one process. */
-export class MetricsEndpoint<Kind extends Instruments> {
-  private instruments: Kind | undefined;
+export class MetricsEndpoint<T extends Instruments> {
+  private instruments: T | undefined;
   private server: Server | undefined;
-  private updatesBeforeLoad: Array<(instruments: Kind) => void> = [];
+  private pendingUpdates: Array<(instruments: T) => void> = [];
 
-  /** Records something. */
-  record(update: (instruments: Kind) => void): void {
+  /** Applies an update to the metrics, or queues it until they are loaded. */
+  record(update: (instruments: T) => void): void {
     if (this.instruments === undefined) {
-      this.updatesBeforeLoad.push(update);
+      this.pendingUpdates.push(update);
     } else {
       update(this.instruments);
     }
   }
 
-  /** Serves the metrics on every path of `port`. */
+  /** Serves the metrics on `port`, under every path. */
   serve(host: string, port: number): void {
     this.server = createServer((_request, response) => void this.answer(response));
     this.server.on('error', () => undefined);
     this.server.listen(port, host);
   }
 
-  /** Serves the metrics no longer. */
+  /** Stops serving and closes all connections. */
   close(): void {
     this.server?.close();
     this.server?.closeAllConnections();
   }
 
-  /** Takes the instruments once they are loaded, and records in them what was kept. */
-  protected use(instruments: Kind): void {
+  /** Sets the loaded instruments and applies the queued updates. */
+  protected use(instruments: T): void {
     this.instruments = instruments;
-    for (const update of this.updatesBeforeLoad) {
+    for (const update of this.pendingUpdates) {
       update(instruments);
     }
-    this.updatesBeforeLoad = [];
+    this.pendingUpdates = [];
   }
 
   private async answer(response: ServerResponse): Promise<void> {
--- a/test/logs.test.ts
+++ b/test/logs.test.ts
@@ -4,33 +4,35 @@
 import { join } from 'node:path';
 import test from 'ava';
 import { LOG_EVENTS } from '../src/telemetry/decision-log.js';
-import { LineBudget } from '../src/telemetry/line-budget.js';
+import { LineRateLimiter } from '../src/telemetry/line-budget.js';
 
-test('docs/LOGS.md lists every line and no other', (t) => {
+test('docs/LOGS.md lists exactly the events in LOG_EVENTS', (t) => {
   const page = readFileSync('docs/LOGS.md', 'utf8');
   const listed = [...page.matchAll(/^\| `([a-z-]+)`/gm)].map(([, name]) => name);
   t.deepEqual(listed, [...LOG_EVENTS]);
 });
 
-test('changes of belief are logged when successes have used up their share', (t) => {
-  const budget = new LineBudget({ linesPerS: 10 });
-  const taken = Array.from({ length: 20 }, () => budget.take('success', 0)).filter(Boolean).length;
-  t.is(taken, 6);
-  t.true(budget.take('failure', 0));
-  t.true(budget.take('state', 0));
-  t.is(budget.takeDropped(), 14);
-  t.true(budget.take('success', 1_001));
+test('failure and state lines are logged after success lines have used up their share', (t) => {
+  const limiter = new LineRateLimiter({ linesPerS: 10 });
+  const accepted = Array.from({ length: 20 }, () => limiter.tryAcquire('success', 0)).filter(
+    Boolean,
+  ).length;
+  t.is(accepted, 6);
+  t.true(limiter.tryAcquire('failure', 0));
+  t.true(limiter.tryAcquire('state', 0));
+  t.is(limiter.drainDropped(), 14);
+  t.true(limiter.tryAcquire('success', 1_001));
 });
 
-test('a reader that stopped costs lines, never time', async (t) => {
+test('a log reader that stalls causes dropped lines, but no delay', async (t) => {
   const writer = spawn('node', ['dist/test/support/write-many-lines.js'], {
     stdio: ['ignore', 'pipe', 'pipe'],
   });
   writer.stdout.pause();
-  let told = '';
-  writer.stderr.on('data', (bytes: Buffer) => (told += bytes.toString()));
+  let report = '';
+  writer.stderr.on('data', (bytes: Buffer) => (report += bytes.toString()));
   await new Promise((resolve) => writer.stderr.on('end', resolve));
-  const { lost, longestPauseMs } = JSON.parse(told) as { lost: number; longestPauseMs: number };
+  const { lost, longestPauseMs } = JSON.parse(report) as { lost: number; longestPauseMs: number };
   t.true(lost > 1_000);
   t.true(longestPauseMs < 200);
 });
@@ -64,7 +66,7 @@
   time: '2026-01-01T00:00:01.000Z',
 };
 
-test('logs explain tells what a request would have taken of a spent quota, and what was left', (t) => {
+test('logs explain shows the cost of a request that exceeded its quota, and what was left', (t) => {
   const file = join(mkdtempSync(join(tmpdir(), 'weirvale-logs-')), 'edge.log');
   const refused = {
     ...EJECTED,
@@ -75,11 +77,11 @@
     quota: { tenant: 'shop', cost: 700, left: 30 },
   };
   writeFileSync(file, JSON.stringify(refused));
-  const told = execFileSync('node', ['dist/src/bin/weirvale.js', 'logs', 'explain', 'q-1', file]);
-  t.regex(told.toString(), /tenant shop: it would have cost 700, 30 were left/);
+  const text = execFileSync('node', ['dist/src/bin/weirvale.js', 'logs', 'explain', 'q-1', file]);
+  t.regex(text.toString(), /tenant shop: it would have cost 700, 30 were left/);
 });
 
-test('logs explain tells for which crashes, at whatever gateway, a request was refused', (t) => {
+test('logs explain shows the crashes, at any gateway, for which a request was refused', (t) => {
   const file = join(mkdtempSync(join(tmpdir(), 'weirvale-logs-')), 'edge.log');
   const crash = (second: number, fields: object) => ({
     name: 'weirvaled',
@@ -107,17 +109,17 @@
   const lines = [1, 2, 3].map((second) => crash(second, {}));
   lines.push(crash(4, { fingerprint: 'f-2' }));
   writeFileSync(file, [...lines, refused].map((line) => JSON.stringify(line)).join('\n'));
-  const words = execFileSync('node', ['dist/src/bin/weirvale.js', 'logs', 'explain', 'q-1', file], {
+  const text = execFileSync('node', ['dist/src/bin/weirvale.js', 'logs', 'explain', 'q-1', file], {
     encoding: 'utf8',
   });
-  t.regex(words, /earlier runs of the same request had ended the back ends/);
-  t.regex(words, /edge-3: crash 3, request earlier-3 ended w-3 after 130 ms \(agent\)/);
-  t.is([...words.matchAll(/: crash \d/g)].length, 3);
+  t.regex(text, /earlier runs of the same request had ended the back ends/);
+  t.regex(text, /edge-3: crash 3, request earlier-3 ended w-3 after 130 ms \(agent\)/);
+  t.is([...text.matchAll(/: crash \d/g)].length, 3);
 });
 
-test('logs explain tells that a request was moved on from a lost path, and what was believed of it', (t) => {
+test('logs explain shows a retry after a lost path, and when the path was suspected', (t) => {
   const file = join(mkdtempSync(join(tmpdir(), 'weirvale-logs-')), 'edge.log');
-  const moved = {
+  const retried = {
     ...ENDED,
     status: 200,
     reason: 'answered',
@@ -139,7 +141,7 @@
     cause: 'zone-silent',
     silentMs: 690,
   };
-  writeFileSync(file, [moved, suspected].map((line) => JSON.stringify(line)).join('\n'));
+  writeFileSync(file, [retried, suspected].map((line) => JSON.stringify(line)).join('\n'));
   const tool = 'dist/src/bin/weirvale.js';
   const text = execFileSync('node', [tool, 'logs', 'explain', 'q-1', file], { encoding: 'utf8' });
   t.regex(text, /path-suspected w-1/);
@@ -147,7 +149,7 @@
   t.regex(text, /after 650 ms to w-2/);
 });
 
-test('logs explain tells the cause, the tries and the beliefs before them', (t) => {
+test('logs explain shows the reason, the attempts and the state changes before them', (t) => {
   const file = join(mkdtempSync(join(tmpdir(), 'weirvale-logs-')), 'edge.log');
   const lines = [`  1.0 edge-1 ${JSON.stringify(ENDED)}`, 'no line', JSON.stringify(EJECTED)];
   writeFileSync(file, lines.join('\n'));
@@ -161,7 +163,7 @@
   t.throws(() => execFileSync('node', [tool, 'logs', 'explain', 'other', file], { stdio: 'pipe' }));
 });
 
-test('logs explain tells that the store came back from a copy before the request', (t) => {
+test('logs explain shows that the store was restored before the request', (t) => {
   const file = join(mkdtempSync(join(tmpdir(), 'weirvale-logs-')), 'edge.log');
   const epoch = {
     ...EJECTED,
@@ -177,26 +179,36 @@
   t.regex(text, /store-epoch 2 \(revision 36, 4 records kept that it lacks\)/);
 });
 
-test('logs explain tells what a back end said of itself, and when it began to', (t) => {
+test('logs explain shows the statement of a back end in its response, and when it began', (t) => {
   const file = join(mkdtempSync(join(tmpdir(), 'weirvale-logs-')), 'edge.log');
-  const said = { restMs: 3_000, isLeaving: false };
+  const statement = { restMs: 3_000, isLeaving: false };
   const refused = {
     ...ENDED,
     status: 503,
     reason: 'backend-refused',
     tries: [
-      { ...ENDED.tries[0], outcome: 'refused', detail: 'it did not run the request', stated: said },
+      {
+        ...ENDED.tries[0],
+        outcome: 'refused',
+        detail: 'it did not run the request',
+        stated: statement,
+      },
     ],
   };
-  const began = { ...EJECTED, event: 'backend-condition', source: 'peer', limitPerS: 2.4 };
-  writeFileSync(file, [refused, began].map((line) => JSON.stringify(line)).join('\n'));
+  const conditionChange = {
+    ...EJECTED,
+    event: 'backend-condition',
+    source: 'peer',
+    limitPerS: 2.4,
+  };
+  writeFileSync(file, [refused, conditionChange].map((line) => JSON.stringify(line)).join('\n'));
   const tool = 'dist/src/bin/weirvale.js';
   const text = execFileSync('node', [tool, 'logs', 'explain', 'q-1', file], { encoding: 'utf8' });
   t.regex(text, /backend-condition w-1: takes 2.4 requests a second from all gateways\n/);
   t.regex(text, /it said: rests for 3000 ms\n/);
 });
 
-test('logs explain tells which home kept a request from which back end', (t) => {
+test('logs explain shows which region restriction excluded which back end', (t) => {
   const refused = {
     ...ENDED,
     status: 503,
@@ -224,7 +236,7 @@
   t.regex(text, /configuration 7/);
 });
 
-test('logs explain tells the evacuation that a refusal is due to, however old the order is', (t) => {
+test('logs explain shows the evacuation that caused a refusal, however old the order is', (t) => {
   const file = join(mkdtempSync(join(tmpdir(), 'weirvale-logs-')), 'edge.log');
   const refused = { ...ENDED, status: 503, reason: 'zone-evacuated', tries: [] };
   const order = {
--- a/test/platform-names.test.ts
+++ b/test/platform-names.test.ts
@@ -2,10 +2,10 @@
 import { join } from 'node:path';
 import test from 'ava';
 
-/** Names that only the adapter may know. */
+/** Names of the platform, which only the adapter may contain. */
 const PLATFORM_NAMES =
   /X-Weirvale-|op\/config|servers\/|\/-\/|WEIRVALE_SETTINGS|pathPrefix=|kv-(key|range|watch|txn|lease)|apiKeys['"]|gapAimMs|ratePerS['"]|coldRemainingMs/;
-/** What the adapter may import of the product: interfaces, plumbing and the roles it starts. */
+/** Modules that make decisions; the adapter may import only interfaces, plumbing and roles. */
 const DECIDING_MODULES =
   /gateway\/(\w+\/)?(dispatcher|proxied-request|retry-budget|backend-health)|quotas\/|slot-ledger|routing-table|policy\//;
 
@@ -16,14 +16,14 @@
   });
 }
 
-test('no file outside platform/ and deploy/ knows a name of the platform', (t) => {
-  const knowing = filesBelow('src')
+test('no file in src/ contains a name of the platform', (t) => {
+  const violations = filesBelow('src')
     .filter((path) => path.endsWith('.ts'))
     .filter((path) => PLATFORM_NAMES.test(readFileSync(path, 'utf8')));
-  t.deepEqual(knowing, []);
+  t.deepEqual(violations, []);
 });
 
-test('platform/ imports nothing that decides, and stays small', (t) => {
+test('platform/ imports no module that makes decisions, and has fewer than 700 lines', (t) => {
   const files = filesBelow('platform').filter((path) => path.endsWith('.ts'));
   const importing = files.filter((path) =>
     readFileSync(path, 'utf8')
--- a/test/platform-store.test.ts
+++ b/test/platform-store.test.ts
@@ -1,4 +1,4 @@
-/** The adapter's calls of a store that names its epochs. */
+/** Tests of the store client against a store that reports epochs. */
 import test from 'ava';
 import type { ExecutionContext } from 'ava';
 import { PlatformStore } from '../platform/store-client.js';
@@ -15,14 +15,14 @@
   return { standin, store };
 }
 
-/** The connections of before are reset: the first call may find that out. */
+/** Lists until it succeeds: the first call may fail on a connection that was reset. */
 async function reconnect(store: PlatformStore): Promise<void> {
   while (!(await store.list()).ok) {
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
 }
 
-test('records and answers have the position of the epoch that the store names', async (t) => {
+test('listings, watches and their records have the epoch that the store reports', async (t) => {
   const { standin, store } = await startStore(t);
   standin.epoch = 3;
   standin.put('a', 1);
@@ -33,7 +33,7 @@
   t.like((await watched).unwrap(), { epoch: 3, revision: 2 });
 });
 
-test('a store that names no epochs has none, and one that did before must go on to', async (t) => {
+test('a response without an epoch is epoch 0, or an error after one with an epoch', async (t) => {
   const { standin, store } = await startStore(t);
   standin.put('a', 1);
   t.is((await store.list()).unwrap().epoch, 0);
@@ -44,7 +44,7 @@
   t.true(failed.val instanceof StoreUnavailableError);
 });
 
-test('pages of two epochs are no listing', async (t) => {
+test('a listing fails if its pages are of different epochs', async (t) => {
   const { standin, store } = await startStore(t);
   standin.epoch = 1;
   ['a', 'b', 'c', 'd', 'e'].forEach((key) => standin.put(key, key));
@@ -55,7 +55,7 @@
   t.true(failed.val instanceof StoreRestoredError);
 });
 
-test('nothing is written after a position of a former epoch, whoever has its revision now', async (t) => {
+test('a write that expects an earlier epoch fails without a call to the store', async (t) => {
   const { standin, store } = await startStore(t);
   standin.epoch = 1;
   const first = (await store.put('own', 'first', at(0, 1))).unwrap();
@@ -71,7 +71,7 @@
   t.is(standin.read('own'), 'somebody else');
 });
 
-test('a write that met another epoch than it followed is no success', async (t) => {
+test('a write fails if the response has a later epoch than the expected position', async (t) => {
   const { standin, store } = await startStore(t);
   standin.epoch = 1;
   const first = (await store.put('own', '"first"', at(0, 1))).unwrap();
--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -8,15 +8,15 @@
 import { StandinStore, StandinWorker } from './support/platform-standin.js';
 
 const HOST = '127.0.3.1';
-/** Ports below those that the system hands out, on an address of this file's own: nobody else takes them. */
+/** Ports below the ephemeral range, on an address that only this file uses, to avoid conflicts. */
 const { start: startGateway, isReady } = platformGateways(HOST, 28_000);
 const KEY = 'secret-key';
 
-async function until(isTrue: () => Promise<boolean> | boolean): Promise<void> {
+async function until(condition: () => Promise<boolean> | boolean): Promise<void> {
   const endAt = Date.now() + 8_000;
-  while (!(await isTrue())) {
+  while (!(await condition())) {
     if (Date.now() > endAt) {
-      throw new Error('did not come true in 8 s');
+      throw new Error('the condition did not become true within 8 s');
     }
     await new Promise((resolve) => setTimeout(resolve, 20));
   }
@@ -65,23 +65,23 @@
   return answer.statusCode;
 }
 
-function answerWell(_seen: unknown, response: ServerResponse): void {
+function respondOk(_seen: unknown, response: ServerResponse): void {
   response.writeHead(200, { 'X-Weirvale-Server-Seal': 'seal' });
   response.end('good');
 }
 
-test('a request reaches its worker unchanged, under the key’s tenant and what is left of the time', async (t) => {
+test("a back end gets the request unchanged, with the key's tenant and time left", async (t) => {
   const store = new StandinStore();
-  const worker = new StandinWorker('w-1', answerWell);
+  const backend = new StandinWorker('w-1', respondOk);
   store.put('op/config', configuration(1));
-  store.announce('w-1', { service: 's', address: await worker.start(), slots: 2 });
+  store.announce('w-1', { service: 's', address: await backend.start(), slots: 2 });
   const gateway = await startGateway('g', await store.start());
   await until(() => isReady(gateway));
   const answer = await call(gateway);
   t.is(answer.statusCode, 200);
   t.is(await answer.body.text(), 'good');
   t.is(answer.headers['x-weirvale-server-seal'], 'seal');
-  const seen = worker.received[0]!;
+  const seen = backend.received[0]!;
   t.deepEqual([seen.method, seen.path, seen.body], ['POST', '/a/x?y=1', 'the body']);
   t.is(seen.headers['x-weirvale-attempt-id'], 'id-1');
   t.is(seen.headers['x-weirvale-tenant'], 'shop');
@@ -90,11 +90,11 @@
   const leftMs = Number(seen.headers['x-weirvale-deadline-ms']);
   t.true(leftMs > 1_000 && leftMs <= 1_500);
   gateway.gateway.stop(() => undefined);
-  worker.stop();
+  backend.stop();
   store.stop();
 });
 
-test('no configuration, no route and an unknown key have their typed answers', async (t) => {
+test('a missing configuration gives 503, an unknown route 404, an unknown key 401', async (t) => {
   const store = new StandinStore();
   const gateway = await startGateway('g', await store.start());
   t.false(await isReady(gateway));
@@ -107,7 +107,7 @@
   store.stop();
 });
 
-test('a configuration that cannot be read leaves the last one in force, and versions never fall', async (t) => {
+test('an invalid configuration or a lower version leaves the current one in force', async (t) => {
   const store = new StandinStore();
   store.put('op/config', configuration(3));
   const gateway = await startGateway('g', await store.start());
@@ -121,7 +121,7 @@
   store.stop();
 });
 
-test('a change made while the watch was cut and its history dropped is in force within a second', async (t) => {
+test('a change made with the watch cut and history dropped is applied within 1 s', async (t) => {
   const store = new StandinStore();
   store.put('op/config', configuration(1));
   const gateway = await startGateway('g', await store.start());
@@ -137,11 +137,11 @@
   store.stop();
 });
 
-test('a gateway that cannot know whether a route or a key exists claims nothing of them', async (t) => {
+test('an unknown route or key gives 503 while the configuration is unconfirmed', async (t) => {
   const store = new StandinStore();
-  const worker = new StandinWorker('w-1', answerWell);
+  const backend = new StandinWorker('w-1', respondOk);
   store.put('op/config', configuration(1));
-  store.announce('w-1', { service: 's', address: await worker.start(), slots: 2 });
+  store.announce('w-1', { service: 's', address: await backend.start(), slots: 2 });
   const gateway = await startGateway('g', await store.start());
   await until(() => isReady(gateway));
   const callsBefore = store.calls.length;
@@ -150,7 +150,10 @@
     t.is(await statusOf(gateway, { host: 'other.example' }), 404);
     t.is(await statusOf(gateway, { authorization: 'Bearer other' }), 401);
   }
-  t.true(store.calls.length - callsBefore <= 3, 'requests for what never existed cause no calls');
+  t.true(
+    store.calls.length - callsBefore <= 3,
+    'requests with an unknown route or key cause no store calls',
+  );
   store.mood = 'silent';
   await new Promise((resolve) => setTimeout(resolve, 3_600));
   t.is(await statusOf(gateway), 200);
@@ -167,24 +170,24 @@
   await until(async () => (await statusOf(gateway, { authorization: 'Bearer other' })) === 200);
   t.is(await statusOf(gateway, { host: 'other.example' }), 404);
   gateway.gateway.stop(() => undefined);
-  worker.stop();
+  backend.stop();
   store.stop();
 });
 
-test('a gateway that the store turns away learns of drains and configurations from its peers', async (t) => {
-  const [store, darkStore] = [new StandinStore(), new StandinStore()];
-  darkStore.mood = 'refuses';
+test('a gateway that the store refuses gets drains and configurations from peers', async (t) => {
+  const [store, refusingStore] = [new StandinStore(), new StandinStore()];
+  refusingStore.mood = 'refuses';
   const [leaving, staying] = [
-    new StandinWorker('w-1', answerWell),
-    new StandinWorker('w-2', answerWell),
+    new StandinWorker('w-1', respondOk),
+    new StandinWorker('w-2', respondOk),
   ];
   const leavingAddress = await leaving.start();
   store.put('op/config', configuration(1));
   store.announce('w-1', { service: 's', address: leavingAddress, slots: 2 });
-  const informed = await startGateway('g-1', await store.start());
-  const dark = await startGateway('g-2', await darkStore.start(), [informed.peers]);
-  await until(() => isReady(dark));
-  t.is(await statusOf(dark), 200);
+  const connected = await startGateway('g-1', await store.start());
+  const disconnected = await startGateway('g-2', await refusingStore.start(), [connected.peers]);
+  await until(() => isReady(disconnected));
+  t.is(await statusOf(disconnected), 200);
   const stayingAddress = await staying.start();
   store.announce('w-1', {
     service: 's',
@@ -192,51 +195,51 @@
     slots: 2,
     state: 'draining',
   });
-  // Whoever knows this change knows the drain, which has the lower revision.
+  // A gateway that has this change also has the drain, which has the lower revision.
   store.announce('w-2', { service: 's', address: stayingAddress, slots: 2 });
-  await until(async () => (await statusOf(dark)) === 200 && staying.received.length > 0);
+  await until(async () => (await statusOf(disconnected)) === 200 && staying.received.length > 0);
   const before = leaving.received.length;
   for (let index = 0; index < 5; index += 1) {
-    t.is(await statusOf(dark), 200);
+    t.is(await statusOf(disconnected), 200);
   }
   t.is(leaving.received.length, before);
-  [informed, dark].forEach(({ gateway }) => gateway.stop(() => undefined));
-  [leaving, staying].forEach((worker) => worker.stop());
-  [store, darkStore].forEach((each) => each.stop());
+  [connected, disconnected].forEach(({ gateway }) => gateway.stop(() => undefined));
+  [leaving, staying].forEach((backend) => backend.stop());
+  [store, refusingStore].forEach((each) => each.stop());
 });
 
-/** Whether a gateway has learned that a zone is to get nothing. */
-function knowsEvacuated({ gateway }: RunningGateway, zone: string): boolean {
-  const inside = gateway as unknown as {
+/** Whether a gateway has the evacuation order of a zone. */
+function hasEvacuationOrder({ gateway }: RunningGateway, zone: string): boolean {
+  const internals = gateway as unknown as {
     readonly evacuations: { readonly zones: { isEvacuated(zone: string): boolean } };
   };
-  return inside.evacuations.zones.isEvacuated(zone);
+  return internals.evacuations.zones.isEvacuated(zone);
 }
 
-test('an evacuation reaches every gateway, also one that the store turns away or that starts, and ends with its record', async (t) => {
-  const [store, darkStore] = [new StandinStore(), new StandinStore()];
-  darkStore.mood = 'refuses';
+test('every gateway, late or disconnected, applies an evacuation until its removal', async (t) => {
+  const [store, refusingStore] = [new StandinStore(), new StandinStore()];
+  refusingStore.mood = 'refuses';
   const [inside, outside] = [
-    new StandinWorker('w-1', answerWell),
-    new StandinWorker('w-2', answerWell),
+    new StandinWorker('w-1', respondOk),
+    new StandinWorker('w-2', respondOk),
   ];
   store.put('op/config', configuration(1));
-  const worker = async (each: StandinWorker, zone: string) =>
+  const announceIn = async (each: StandinWorker, zone: string) =>
     store.announce(each.id, { service: 's', address: await each.start(), slots: 9, zone });
-  await worker(inside, 'za');
-  await worker(outside, 'zb');
-  const [address, darkAddress] = [await store.start(), await darkStore.start()];
-  const informed = await startGateway('g-1', address);
-  const started = [informed];
-  // Also after a failure: what goes on running would keep the process from ending.
+  await announceIn(inside, 'za');
+  await announceIn(outside, 'zb');
+  const [address, refusingAddress] = [await store.start(), await refusingStore.start()];
+  const connected = await startGateway('g-1', address);
+  const started = [connected];
+  // Runs after a failure too: servers that are still open would keep the process from exiting.
   t.teardown(() => {
     started.forEach(({ gateway }) => gateway.stop(() => undefined));
     [inside, outside].forEach((each) => each.stop());
-    [store, darkStore].forEach((each) => each.stop());
+    [store, refusingStore].forEach((each) => each.stop());
   });
-  const dark = await startGateway('g-2', darkAddress, [informed.peers]);
-  started.push(dark);
-  await until(async () => (await isReady(dark)) && (await isReady(informed)));
+  const disconnected = await startGateway('g-2', refusingAddress, [connected.peers]);
+  started.push(disconnected);
+  await until(async () => (await isReady(disconnected)) && (await isReady(connected)));
   const sentInside = async (...gateways: RunningGateway[]) => {
     const before = inside.received.length;
     for (let index = 0; index < 20; index += 1) {
@@ -246,8 +249,8 @@
     }
     return inside.received.length - before;
   };
-  t.true((await sentInside(informed, dark)) > 0);
-  // Neither a zone that nobody knows, nor an order without a zone, nor one taken back at once, does any harm.
+  t.true((await sentInside(connected, disconnected)) > 0);
+  // An unknown zone, an order without a zone and an order removed at once have no effect.
   store.put('op/evacuate/nowhere', {});
   store.put('op/evacuate/', {});
   store.put('op/evacuate/zb', {});
@@ -255,23 +258,26 @@
   store.put('op/evacuate/za', {});
   store.remove('op/evacuate/za');
   store.put('op/evacuate/za', {});
-  // That nothing goes there for a moment may be chance, and whoever starts learns only what these two know.
-  await until(() => Promise.resolve([informed, dark].every((each) => knowsEvacuated(each, 'za'))));
-  t.is(await sentInside(informed, dark), 0);
+  // Waits for the orders themselves: a moment without requests may be chance, and the gateways that
+  // start next get only the records that these two have.
+  await until(() =>
+    Promise.resolve([connected, disconnected].every((each) => hasEvacuationOrder(each, 'za'))),
+  );
+  t.is(await sentInside(connected, disconnected), 0);
   const late = await startGateway('g-3', address);
-  const lateAndDark = await startGateway('g-4', darkAddress, [informed.peers]);
-  started.push(late, lateAndDark);
+  const lateDisconnected = await startGateway('g-4', refusingAddress, [connected.peers]);
+  started.push(late, lateDisconnected);
   await until(() => isReady(late));
   t.is(await sentInside(late), 0);
-  await until(() => isReady(lateAndDark));
-  t.is(await sentInside(lateAndDark), 0);
+  await until(() => isReady(lateDisconnected));
+  t.is(await sentInside(lateDisconnected), 0);
   store.put('op/evacuate/zb', {});
-  const all = [informed, dark, late, lateAndDark];
+  const all = [connected, disconnected, late, lateDisconnected];
   await until(async () =>
     (await Promise.all(all.map((each) => statusOf(each)))).every((status) => status === 503),
   );
-  // The removal is lost with the history: a listing takes its place. The other zone stays evacuated, so that
-  // only the one that was taken back can answer.
+  // The removal is lost with the history, so that only a listing shows it. The other zone stays
+  // evacuated, so that only the zone whose order was removed can serve.
   store.mood = 'silent';
   store.remove('op/evacuate/za');
   store.forgetHistory();
@@ -282,10 +288,10 @@
   }
 });
 
-test('a worker found to be another one is not asked for the same again, and the request goes on', async (t) => {
+test('a back end that answers 421 is not tried again, and the request is retried', async (t) => {
   const store = new StandinStore();
-  const worker = new StandinWorker('w-new', answerWell);
-  const address = await worker.start();
+  const backend = new StandinWorker('w-new', respondOk);
+  const address = await backend.start();
   store.put('op/config', configuration(1));
   store.announce('w-new', { service: 's', address, slots: 2 });
   store.announce('w-old', { service: 's', address, slots: 2 });
@@ -293,19 +299,19 @@
   await until(() => isReady(gateway));
   t.is(await statusOf(gateway), 200);
   t.is(await statusOf(gateway), 200);
-  t.is(worker.received.length, 3);
+  t.is(backend.received.length, 3);
   gateway.gateway.stop(() => undefined);
-  worker.stop();
+  backend.stop();
   store.stop();
 });
 
-test('a planned stop turns readiness off at once, serves on, and ends what runs', async (t) => {
+test('a planned stop fails readiness at once, but serves late and running requests', async (t) => {
   const store = new StandinStore();
-  const worker = new StandinWorker('w-1', (_seen, response) => {
-    setTimeout(() => answerWell(undefined, response), 300);
+  const backend = new StandinWorker('w-1', (_seen, response) => {
+    setTimeout(() => respondOk(undefined, response), 300);
   });
   store.put('op/config', configuration(1));
-  store.announce('w-1', { service: 's', address: await worker.start(), slots: 2 });
+  store.announce('w-1', { service: 's', address: await backend.start(), slots: 2 });
   const gateway = await startGateway('g', await store.start());
   await until(() => isReady(gateway));
   const running = statusOf(gateway);
@@ -319,15 +325,15 @@
   t.is(await late.body.text(), 'good');
   t.is(late.headers.connection, 'close');
   await until(() => hasStopped);
-  worker.stop();
+  backend.stop();
   store.stop();
 });
 
-test('a request smuggled behind a body reaches no worker', async (t) => {
+test('a request smuggled behind a body does not reach a back end', async (t) => {
   const store = new StandinStore();
-  const worker = new StandinWorker('w-1', answerWell);
+  const backend = new StandinWorker('w-1', respondOk);
   store.put('op/config', configuration(1));
-  store.announce('w-1', { service: 's', address: await worker.start(), slots: 2 });
+  store.announce('w-1', { service: 's', address: await backend.start(), slots: 2 });
   const gateway = await startGateway('g', await store.start());
   await until(() => isReady(gateway));
   const [, , authority] = gateway.callers.split('/');
@@ -344,18 +350,15 @@
     );
   });
   t.true(answer.startsWith('HTTP/1.1 400'));
-  t.is(worker.received.length, 0);
+  t.is(backend.received.length, 0);
   gateway.gateway.stop(() => undefined);
-  worker.stop();
+  backend.stop();
   store.stop();
 });
 
-test('an ordered roll-out is told in the store, and the new version gets a small share', async (t) => {
+test('a rollout records its state, and the new version gets a small share', async (t) => {
   const store = new StandinStore();
-  const [old, target] = [
-    new StandinWorker('w-1', answerWell),
-    new StandinWorker('w-2', answerWell),
-  ];
+  const [old, target] = [new StandinWorker('w-1', respondOk), new StandinWorker('w-2', respondOk)];
   store.put('op/config', configuration(1));
   store.announce('w-1', { service: 's', address: await old.start(), slots: 9, version: 'v1' });
   store.put('op/rollout/s', { service: 's', targetVersion: 'v2', durationS: 60 });
@@ -374,11 +377,11 @@
   t.deepEqual(store.read('status/rollout/s'), { state: 'in_progress', targetVersion: 'v2' });
   t.true(target.received.length >= 1 && target.received.length <= 4, `${target.received.length}`);
   gateway.gateway.stop(() => undefined);
-  [old, target].forEach((worker) => worker.stop());
+  [old, target].forEach((backend) => backend.stop());
   store.stop();
 });
 
-test('records of the store are read in pages', async (t) => {
+test('records of the store are listed in pages', async (t) => {
   const standin = new StandinStore();
   for (let index = 0; index < 8; index += 1) {
     standin.put(`servers/w-${index}`, { service: 's', address: '10.0.0.1:1' });
--- a/test/support/platform-standin.ts
+++ b/test/support/platform-standin.ts
@@ -14,40 +14,40 @@
   readonly put: ReadonlyArray<{ key: string; value: string }>;
 }
 
-interface Write {
+interface LoggedWrite {
   readonly item: Item;
   readonly atMs: number;
   readonly epoch: number | undefined;
 }
 
-/** What a copy lacks or holds in an older state: the value of before, in base64; undefined for a key that was removed. */
-export interface LostItem {
+/** A key that a restore changed, with its value before in base64; undefined if it was removed. */
+export interface RevertedItem {
   readonly key: string;
   readonly value: string | undefined;
 }
 
-/** Keys of operators and back ends. */
-const OWNERS_KEYS = /^(op|servers)\//;
+/** Keys that operators and back ends write. */
+const EXTERNAL_OWNER_KEYS = /^(op|servers)\//;
 
-/** What the store does with calls. */
+/** How the store treats calls. */
 export type StoreMood = 'answers' | 'refuses' | 'silent' | 'resets';
 
-const PAGE_ITEMS = 3;
+const PAGE_SIZE = 3;
 
-/** A stand-in of the platform's store: listings in pages, watches, history that can be forgotten. */
+/** Fake of the platform's store: paged listings, watches, and history that can be dropped. */
 export class StandinStore {
   mood: StoreMood = 'answers';
-  /** What the header of its answers names; rises when it comes back from a copy. Undefined for no such header. */
+  /** Epoch in the response header; increases with each restore. Undefined sends no such header. */
   epoch: number | undefined;
   readonly calls: string[] = [];
-  /** Called for each call before it is answered. */
+  /** Runs on each call, before the response. */
   onCall: (() => void) | undefined;
   private revision = 0;
-  private oldestHistory = 0;
+  private historyStartRevision = 0;
   private readonly items = new Map<string, Item>();
   private history: Item[] = [];
-  private writes: Write[] = [];
-  private readonly watches = new Set<() => void>();
+  private writeLog: LoggedWrite[] = [];
+  private readonly pendingWatches = new Set<() => void>();
   private readonly sockets = new Set<Socket>();
   private readonly server: Server;
 
@@ -65,7 +65,7 @@
   }
 
   stop(): void {
-    this.cutAll();
+    this.resetConnections();
     this.server.close();
   }
 
@@ -73,13 +73,13 @@
     this.putBytes(key, Buffer.from(JSON.stringify(value)));
   }
 
-  /** Anything that anybody may write. */
+  /** Writes any bytes, valid or not. */
   putBytes(key: string, bytes: Buffer): void {
     this.revision += 1;
     this.record({ key, revision: this.revision, value: bytes.toString('base64') });
   }
 
-  /** A back end announces itself; what `fields` leaves out is as usual. */
+  /** Writes the record of a back end, with defaults for fields that are left out. */
   announce(
     id: string,
     fields: { readonly address: string; readonly [field: string]: unknown },
@@ -96,7 +96,7 @@
     });
   }
 
-  /** The value of a key, read as JSON; undefined where there is none. */
+  /** Returns the value of a key, parsed as JSON; undefined if the key does not exist. */
   read(key: string): unknown {
     const value = this.items.get(key)?.value;
     return value === undefined ? undefined : JSON.parse(Buffer.from(value, 'base64').toString());
@@ -108,37 +108,37 @@
   }
 
   /**
-   * Comes back as it was `copyAgeMs` ago: what was written since is gone, and its revisions are given out again. What
-   * waits is cut.
+   * Restores the state of `backupAgeMs` ago: later writes are lost, and their revisions are reused.
+   * Resets every connection.
    *
-   * @returns what is gone, for its owners to write again
+   * @returns the keys that the restore changed, for their owners to write again
    */
-  restore(copyAgeMs: number): LostItem[] {
-    const copyAtMs = performance.now() - copyAgeMs;
+  restore(backupAgeMs: number): RevertedItem[] {
+    const backupAtMs = performance.now() - backupAgeMs;
     const before = new Map(this.items);
-    this.writes = this.writes.filter(({ atMs }) => atMs <= copyAtMs);
+    this.writeLog = this.writeLog.filter(({ atMs }) => atMs <= backupAtMs);
     this.items.clear();
     this.revision = 0;
-    for (const { item } of this.writes) {
+    for (const { item } of this.writeLog) {
       this.revision = item.revision;
-      this.keep(item);
+      this.applyItem(item);
     }
     this.history = this.history.filter(({ revision }) => revision <= this.revision);
     this.epoch = (this.epoch ?? 0) + 1;
-    this.cutAll();
+    this.resetConnections();
     const keys = new Set([...before.keys(), ...this.items.keys()]);
     return [...keys]
       .filter((key) => before.get(key) !== this.items.get(key))
       .map((key) => ({ key, value: before.get(key)?.value }));
   }
 
-  /** Operators and back ends write again what is theirs, but for keys that were written since. */
-  writeAgain(lost: readonly LostItem[]): void {
+  /** Writes lost values of operators and back ends again, except for keys written since. */
+  writeAgain(lost: readonly RevertedItem[]): void {
     for (const { key, value } of lost) {
-      const isWritten = this.writes.some(
+      const isWritten = this.writeLog.some(
         ({ item, epoch }) => item.key === key && epoch === this.epoch,
       );
-      if (isWritten || !OWNERS_KEYS.test(key)) {
+      if (isWritten || !EXTERNAL_OWNER_KEYS.test(key)) {
         continue;
       }
       if (value === undefined) {
@@ -149,14 +149,14 @@
     }
   }
 
-  /** Drops the history and cuts every connection. */
+  /** Drops the history and resets every connection. */
   forgetHistory(): void {
     this.history = [];
-    this.oldestHistory = this.revision;
-    this.cutAll();
+    this.historyStartRevision = this.revision;
+    this.resetConnections();
   }
 
-  cutAll(): void {
+  resetConnections(): void {
     for (const socket of this.sockets) {
       socket.resetAndDestroy();
     }
@@ -164,14 +164,14 @@
 
   private record(item: Item): void {
     this.history.push(item);
-    this.writes.push({ item, atMs: performance.now(), epoch: this.epoch });
-    this.keep(item);
-    for (const wake of [...this.watches]) {
-      wake();
+    this.writeLog.push({ item, atMs: performance.now(), epoch: this.epoch });
+    this.applyItem(item);
+    for (const notify of [...this.pendingWatches]) {
+      notify();
     }
   }
 
-  private keep(item: Item): void {
+  private applyItem(item: Item): void {
     if (item.gone === true) {
       this.items.delete(item.key);
     } else {
@@ -198,27 +198,27 @@
       return;
     }
     if (url.pathname === '/-/kv-range') {
-      this.answerRange(url, response);
+      this.handleRange(url, response);
     } else if (url.pathname === '/-/kv-watch') {
-      this.answerWatch(url, response);
+      this.handleWatch(url, response);
     } else if (url.pathname === '/-/kv-txn') {
-      void this.answerTransaction(request, response);
+      void this.handleTransaction(request, response);
     } else {
       reply(response, 404, {});
     }
   }
 
-  private answerRange(url: URL, response: ServerResponse): void {
+  private handleRange(url: URL, response: ServerResponse): void {
     const after = url.searchParams.get('afterRevision') ?? '';
     const prefix = url.searchParams.get('pathPrefix') ?? '';
     const rest = [...this.items.values()]
       .filter(({ key }) => key.startsWith(prefix) && key > after)
       .sort((left, right) => (left.key < right.key ? -1 : 1));
-    const items = rest.slice(0, PAGE_ITEMS);
-    reply(response, 200, { items, more: rest.length > PAGE_ITEMS, at: this.revision });
+    const items = rest.slice(0, PAGE_SIZE);
+    reply(response, 200, { items, more: rest.length > PAGE_SIZE, at: this.revision });
   }
 
-  private async answerTransaction(
+  private async handleTransaction(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
@@ -241,38 +241,38 @@
     reply(response, 200, { revision: this.revision });
   }
 
-  private answerWatch(url: URL, response: ServerResponse): void {
+  private handleWatch(url: URL, response: ServerResponse): void {
     const after = Number(url.searchParams.get('afterRevision'));
-    if (after < this.oldestHistory || after > this.revision) {
+    if (after < this.historyStartRevision || after > this.revision) {
       reply(response, 410, {});
       return;
     }
     const end = () => {
       if (this.mood === 'silent') {
-        // What a silent store would have answered is lost.
-        this.watches.delete(end);
+        // A silent store drops the response.
+        this.pendingWatches.delete(end);
         clearTimeout(timer);
         return;
       }
       const events = this.history.filter(({ revision }) => revision > after);
-      if (events.length > 0 || !this.watches.has(end)) {
-        this.watches.delete(end);
+      if (events.length > 0 || !this.pendingWatches.has(end)) {
+        this.pendingWatches.delete(end);
         clearTimeout(timer);
         reply(response, 200, { events, at: this.revision });
       }
     };
     const timer = setTimeout(
       () => {
-        this.watches.delete(end);
+        this.pendingWatches.delete(end);
         end();
       },
       Number(url.searchParams.get('waitMs')),
     );
     response.on('close', () => {
-      this.watches.delete(end);
+      this.pendingWatches.delete(end);
       clearTimeout(timer);
     });
-    this.watches.add(end);
+    this.pendingWatches.add(end);
     if (this.history.some(({ revision }) => revision > after)) {
       end();
     }
@@ -284,7 +284,7 @@
   response.end(JSON.stringify(body));
 }
 
-/** A request as a stand-in worker received it. */
+/** A request as a fake back end received it. */
 export interface WorkerRequest {
   readonly method: string;
   readonly path: string;
@@ -292,10 +292,10 @@
   readonly body: string;
 }
 
-/** A stand-in worker: answers as its handler says and keeps what it received. */
+/** Fake back end that responds by a handler and records the requests it receives. */
 export class StandinWorker {
   readonly received: WorkerRequest[] = [];
-  /** Where it listens, IP:PORT; empty before its start. */
+  /** Listening address as IP:PORT; empty before the start. */
   address = '';
   private readonly sockets = new Set<Socket>();
   readonly server: Server;
@@ -329,7 +329,7 @@
     });
   }
 
-  /** Listens at `address`, or at a port that the system chooses. */
+  /** Listens on `address`, by default on an ephemeral port. */
   async start(address = '127.0.0.1:0'): Promise<string> {
     const [host, port] = address.split(':');
     await new Promise<void>((resolve) => this.server.listen(Number(port), host, resolve));
@@ -337,7 +337,7 @@
     return this.address;
   }
 
-  /** Ends at once: every connection is reset, and nothing listens any more. */
+  /** Stops listening and resets every connection. */
   crash(): void {
     this.server.close();
     this.sockets.forEach((socket) => socket.resetAndDestroy());
--- a/test/support/write-many-lines.ts
+++ b/test/support/write-many-lines.ts
@@ -1,4 +1,4 @@
-/** Writes far more than a pipe holds to standard output, and tells on standard error what it cost. */
+/** Overfills the pipe at standard output; reports dropped lines and delays on standard error. */
 import { BoundedOutput } from '../../src/telemetry/bounded-output.js';
 
 const LINES = 20_000;
