--- a/src/bin/run-process.ts
+++ b/src/bin/run-process.ts
@@ -7,7 +7,7 @@
 import { parseGatewaySettings } from '../gateway/gateway-settings.js';
 import type { GatewaySettings } from '../gateway/gateway-settings.js';
 import { SeededRandom } from '../random.js';
-import { Places } from '../routing/places.js';
+import { ZoneTopology } from '../routing/places.js';
 import { SlotAgentMetrics } from '../slot-agent/slot-agent-metrics.js';
 import { SlotAgentRole } from '../slot-agent/slot-agent-role.js';
 import type { EngineReport } from '../slot-agent/slot-agent-role.js';
@@ -75,7 +75,7 @@
       engine: { address: engine.address, zone: self.zone },
       seeds: cluster.seeds,
     },
-    places: new Places(places.zones),
+    places: new ZoneTopology(places.zones),
     limits,
     decode,
     readReport: parts.createEngineReport(engine.address),
--- a/src/cluster/peer-messages.ts
+++ b/src/cluster/peer-messages.ts
@@ -4,7 +4,7 @@
 import type { SendRightAsk } from '../gateway/statements/send-rights.js';
 import type { QuotaAsk } from '../gateway/quotas/quota-charges.js';
 import type { QuotaGrant } from '../gateway/quotas/quota-pools.js';
-import type { PeerRollouts } from '../rollout/rollouts.js';
+import type { PeerRolloutReports } from '../rollout/rollouts.js';
 import type { ReplicaReach } from './replicated-records.js';
 import type { StorePosition } from './store-position.js';
 import type { RecordsAnswer, RecordsFetch, RecordsReach } from './record-exchange.js';
@@ -56,7 +56,7 @@
   /** Region of the sender; missing if the deployment names none. */
   readonly region?: string | undefined;
   /** The sender's state in active rollouts; missing if there are none. */
-  readonly rollouts?: PeerRollouts | undefined;
+  readonly rollouts?: PeerRolloutReports | undefined;
 }
 
 /** Crash counts of requests that crash back ends, sent when the sender's counts have changed. */
--- a/src/gateway/admission/request-admission.ts
+++ b/src/gateway/admission/request-admission.ts
@@ -3,7 +3,7 @@
 import { err, ok } from '../../result.js';
 import type { Result } from '../../result.js';
 import type { AllowedRegions } from '../../routing/backend-restriction.js';
-import { commonRegions } from '../../routing/backend-restriction.js';
+import { intersectRegionLists } from '../../routing/backend-restriction.js';
 import type { Route, Tenant, TenantQuota, WeightedService } from '../../routing/configuration.js';
 import { pickService } from '../../routing/routing-table.js';
 import type { RoutingTable } from '../../routing/routing-table.js';
@@ -76,8 +76,8 @@
     if (route === undefined) {
       return err({ reason: 'no-route' });
     }
-    const tenant = caller.apiKey === undefined ? undefined : table.findTenant(caller.apiKey);
-    if (table.needsKey && !route.allowsAnonymous && tenant === undefined) {
+    const tenant = caller.apiKey === undefined ? undefined : table.findTenantByKey(caller.apiKey);
+    if (table.requiresApiKey && !route.allowsAnonymous && tenant === undefined) {
       return err({ reason: 'unknown-key' });
     }
     const { method, path } = head;
@@ -96,7 +96,7 @@
   ): AcceptedRequest {
     const { head, caller, body, arrivedAtMs } = received;
     const { tokens } = caller;
-    const allowedRegions = commonRegions(route.allowedRegions, tenant?.allowedRegions);
+    const allowedRegions = intersectRegionLists(route.allowedRegions, tenant?.allowedRegions);
     const services = this.servicesInRegions(route, allowedRegions);
     const service = pickService(services, this.random.next()) ?? '';
     const units =
--- a/src/gateway/attempt/accepted-request.ts
+++ b/src/gateway/attempt/accepted-request.ts
@@ -1,7 +1,7 @@
 /** The request model after admission. */
 import type { AllowedRegions } from '../../routing/backend-restriction.js';
 import type { Route } from '../../routing/configuration.js';
-import type { HomeOwner } from '../../routing/named-homes.js';
+import type { RouteAndTenant } from '../../routing/named-homes.js';
 import type { RawHeaders } from '../admission/caller-protocol.js';
 
 /** A request that passed admission, with its complete body. */
@@ -19,7 +19,7 @@
   /**
    * Route and tenant whose settings restrict the regions; sent to agents that support home regions.
    */
-  readonly homeOwner?: HomeOwner | undefined;
+  readonly homeOwner?: RouteAndTenant | undefined;
   readonly arrivedAtMs: number;
   /** Estimated time of the caller's first attempt; `arrivedAtMs` unless this is a retry. */
   readonly firstTriedAtMs: number;
--- a/src/gateway/configuration-in-force.ts
+++ b/src/gateway/configuration-in-force.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../clock.js';
 import { DEFAULT_CALLER_LIMITS } from '../routing/configuration.js';
 import type { CallerLimits, RoutingConfiguration, Service } from '../routing/configuration.js';
-import type { NamedHomes } from '../routing/named-homes.js';
+import type { RegionRestrictions } from '../routing/named-homes.js';
 import type { ColdStartHello } from '../slot-agent/slot-messages.js';
 import { RoutingTable } from '../routing/routing-table.js';
 
@@ -24,8 +24,8 @@
   }
 
   /** Regions that its routes and tenants are restricted to; undefined before the first one. */
-  get namedRegions(): NamedHomes | undefined {
-    return this.current?.homes;
+  get namedRegions(): RegionRestrictions | undefined {
+    return this.current?.regionRestrictions;
   }
 
   /** Size limits for requests of callers. */
--- a/src/gateway/dispatch/agent-homes.ts
+++ b/src/gateway/dispatch/agent-homes.ts
@@ -6,7 +6,7 @@
  * checks the agent's report before it sends.
  */
 import type { AllowedRegions } from '../../routing/backend-restriction.js';
-import type { HomeOwner } from '../../routing/named-homes.js';
+import type { RouteAndTenant } from '../../routing/named-homes.js';
 import { isAccepted } from '../../routing/place-matching.js';
 import type { AgentHomes } from '../../slot-agent/slot-messages.js';
 
@@ -25,8 +25,8 @@
 
 /** Whether two requests have the same route and tenant, and so the same rules for their homes. */
 export function isSameHomeOwner(
-  left: HomeOwner | undefined,
-  right: HomeOwner | undefined,
+  left: RouteAndTenant | undefined,
+  right: RouteAndTenant | undefined,
 ): boolean {
   return left?.route === right?.route && left?.tenant === right?.tenant;
 }
--- a/src/gateway/dispatch/backend-chooser.ts
+++ b/src/gateway/dispatch/backend-chooser.ts
@@ -2,7 +2,7 @@
 import { restrictionOf } from '../../routing/backend-restriction.js';
 import type { OperatorRules, RestrictionReason } from '../../routing/backend-restriction.js';
 import type { BackendDirectory } from './backend-directory.js';
-import type { HomeOwner } from '../../routing/named-homes.js';
+import type { RouteAndTenant } from '../../routing/named-homes.js';
 import { isOutsideAllowedRegions, isSameHomeOwner, requiresGrant } from './agent-homes.js';
 import { bindingCostMs, stallsOtherStreams } from './backend-choice.js';
 import type { ColdStarts } from './cold-starts.js';
@@ -208,7 +208,7 @@
   pickForGrant(
     queue: readonly DispatchRequest[],
     known: KnownBackend,
-    grantedTo: HomeOwner | undefined,
+    grantedTo: RouteAndTenant | undefined,
     nowMs: number,
   ): DispatchRequest | undefined {
     const needsSameOwner = this.requiresGrant(known);
--- a/src/gateway/dispatch/backend-directory.ts
+++ b/src/gateway/dispatch/backend-directory.ts
@@ -250,14 +250,14 @@
       const created = new KnownBackend(backend, nowMs, distance, condition);
       this.backends.set(backendId, created);
       if (this.hasInitialListing) {
-        created.cold.noteIncarnation(nowMs);
+        created.cold.noteNewIncarnation(nowMs);
       }
-      created.cold.noteAnnounced(backend.remainingColdMs, nowMs);
+      created.cold.noteAnnouncement(backend.remainingColdMs, nowMs);
     } else {
       if (known.unlistedAtMs !== undefined) {
-        known.cold.suspect('was-gone', nowMs);
+        known.cold.assumeCold('was-gone', nowMs);
       }
-      known.cold.noteAnnounced(backend.remainingColdMs, nowMs);
+      known.cold.noteAnnouncement(backend.remainingColdMs, nowMs);
       known.backend = backend;
       known.isWithdrawn = false;
       known.unlistedAtMs = undefined;
--- a/src/gateway/dispatch/cold-share.ts
+++ b/src/gateway/dispatch/cold-share.ts
@@ -3,7 +3,7 @@
  * backend; each computes its share without coordination.
  */
 import { pairShare } from '../../pair-share.js';
-import { partByRank } from '../../routing/cold-start.js';
+import { shareByRank } from '../../routing/cold-start.js';
 
 /** A gateway's view of its peers. */
 export interface GatewayView {
@@ -45,7 +45,11 @@
   const precedingPeers = [...others].filter(
     (other) => other !== self && ranksBefore(other, self, backendId),
   );
-  return partByRank(total, precedingPeers.length, others.has(self) ? others.size : others.size + 1);
+  return shareByRank(
+    total,
+    precedingPeers.length,
+    others.has(self) ? others.size : others.size + 1,
+  );
 }
 
 function ranksBefore(other: string, self: string, backendId: string): boolean {
--- a/src/gateway/dispatch/cold-starts.ts
+++ b/src/gateway/dispatch/cold-starts.ts
@@ -8,7 +8,7 @@
  */
 import { GRANT_LIFE_MS } from '../../slot-agent/start-limiter.js';
 import { StartWindow } from '../../slot-agent/start-window.js';
-import type { ColdStartBound, Coldness } from '../../routing/cold-start.js';
+import type { ColdStartBound, ColdPeriod } from '../../routing/cold-start.js';
 import type { KnownBackend } from './known-backend.js';
 
 /** Dependencies of the limiter. */
@@ -25,7 +25,7 @@
   /** Called when a backend with a free slot was skipped because of its start rate limit. */
   onHeld(known: KnownBackend): void;
   /** Called when a backend becomes cold, or warm again. */
-  onChange(known: KnownBackend, coldness: Coldness | undefined): void;
+  onChange(known: KnownBackend, coldness: ColdPeriod | undefined): void;
 }
 
 /** Cold-start fields of a demand message. */
@@ -59,12 +59,12 @@
   constructor(private readonly ports: ColdStartPorts = NO_PORTS) {}
 
   /** Returns why and until when the backend counts as cold; undefined while it is warm. */
-  coldness(known: KnownBackend, nowMs: number): Coldness | undefined {
+  coldness(known: KnownBackend, nowMs: number): ColdPeriod | undefined {
     const { service, zone } = known.backend;
     const bound = this.ports.boundOf(service);
     return bound === undefined
       ? undefined
-      : known.cold.coldness(bound.coldStartMs, this.ports.returnedAtMs(zone), nowMs);
+      : known.cold.currentPeriod(bound.coldStartMs, this.ports.returnedAtMs(zone), nowMs);
   }
 
   /** Whether this gateway or the backend's agent considers it cold. */
--- a/src/gateway/dispatch/dispatch-request.ts
+++ b/src/gateway/dispatch/dispatch-request.ts
@@ -1,7 +1,7 @@
 /** The view of a request that the dispatcher works with. */
 import type { Backend } from '../../routing/backend.js';
 import type { AllowedRegions } from '../../routing/backend-restriction.js';
-import type { HomeOwner } from '../../routing/named-homes.js';
+import type { RouteAndTenant } from '../../routing/named-homes.js';
 import type { WaitingPlace } from '../../slot-agent/waiting-order.js';
 
 /** A request that needs a backend. */
@@ -13,7 +13,7 @@
    */
   readonly allowedRegions: AllowedRegions;
   /** Route and tenant that determine the allowed regions; sent to agents that report homes. */
-  readonly homeOwner?: HomeOwner | undefined;
+  readonly homeOwner?: RouteAndTenant | undefined;
   /** Amount of work, in a unit that is uniform within the service. */
   readonly units: number;
   /** Number of prompt tokens; 0 for a plain service. */
--- a/src/gateway/dispatch/dispatcher.ts
+++ b/src/gateway/dispatch/dispatcher.ts
@@ -241,7 +241,7 @@
     }
     known.outstanding = Math.max(0, known.outstanding - 1);
     if (outcome === 'unreachable') {
-      known.cold.suspect('was-gone', nowMs);
+      known.cold.assumeCold('was-gone', nowMs);
     }
     if (known.health.learn(outcome, nowMs)) {
       this.ports.onEjected(backendId);
@@ -337,7 +337,7 @@
     const known = this.directory.find(backendId);
     if (known !== undefined) {
       if (known.agent?.grantsOnly === 'cold' && known.agent.hasReportedState) {
-        known.cold.suspect('agent-lost', nowMs);
+        known.cold.assumeCold('agent-lost', nowMs);
       }
       known.agent = undefined;
       known.endAgentWait();
@@ -399,7 +399,7 @@
       return;
     }
     if (agent.availability === 'closed') {
-      known.cold.suspect('was-gone', nowMs);
+      known.cold.assumeCold('was-gone', nowMs);
     }
     agent.availability = availability;
     if (availability === 'open') {
--- a/src/gateway/dispatch/engine-subset.ts
+++ b/src/gateway/dispatch/engine-subset.ts
@@ -11,7 +11,7 @@
 import { pairShare } from '../../pair-share.js';
 import type { Distance } from '../../routing/places.js';
 import { distanceFrom, regionNameOf } from '../../routing/standpoint.js';
-import type { Standpoint } from '../../routing/standpoint.js';
+import type { Locality } from '../../routing/standpoint.js';
 
 /** The fields of an engine that the selection uses. */
 export interface SubsetEngine {
@@ -49,7 +49,7 @@
 };
 
 /** The gateway that selects, and its zone. */
-export interface SubsetOwner extends Standpoint {
+export interface SubsetOwner extends Locality {
   readonly name: string;
 }
 
--- a/src/gateway/dispatch/known-backend.ts
+++ b/src/gateway/dispatch/known-backend.ts
@@ -2,7 +2,7 @@
 import type { Backend } from '../../routing/backend.js';
 import type { EngineAvailability } from '../../slot-agent/engine-watch.js';
 import type { GrantsOnly } from '../../slot-agent/start-limiter.js';
-import { ColdPeriod } from '../../routing/cold-start.js';
+import { ColdStartTracker } from '../../routing/cold-start.js';
 import type { Distance } from '../../routing/places.js';
 import { RoundTrip } from '../../round-trip.js';
 import type { AgentHomes, LearnedSpeed } from '../../slot-agent/slot-messages.js';
@@ -57,7 +57,7 @@
   readonly health = new BackendHealth();
   readonly speed = new EngineSpeed();
   /** Cold-start state since its last known start. */
-  readonly cold = new ColdPeriod();
+  readonly cold = new ColdStartTracker();
   readonly path = new PathState();
   /** Measured network round-trip time. */
   readonly roundTrip: RoundTrip;
--- a/src/gateway/gateway-backends.ts
+++ b/src/gateway/gateway-backends.ts
@@ -1,7 +1,7 @@
 /** Processes backend announcements: tracks incarnations, rejects unusable records and logs both. */
 import type { Clock } from '../clock.js';
 import type { StorePosition } from '../cluster/store-position.js';
-import { BackendLives } from '../routing/backend-lives.js';
+import { BackendIncarnations } from '../routing/backend-lives.js';
 import type { Backend } from '../routing/backend.js';
 import type { DecodedBackend } from '../routing/decoded-record.js';
 import type { UnknownZones } from '../routing/unknown-zones.js';
@@ -22,7 +22,7 @@
 
 /** The backends that are announced in the store. */
 export class GatewayBackends {
-  private readonly incarnations = new BackendLives();
+  private readonly incarnations = new BackendIncarnations();
   /** The last logged problem of each backend's record, by name. */
   private readonly loggedProblems = new Map<string, string>();
 
@@ -33,7 +33,11 @@
     { name, announcement, problem: unreadable }: DecodedBackend,
     position: StorePosition,
   ): void {
-    const { changes, formerId, problem: rejected } = this.incarnations.take(name, announcement);
+    const {
+      changes,
+      previousId: formerId,
+      problem: rejected,
+    } = this.incarnations.apply(name, announcement);
     this.reportProblem(name, unreadable ?? rejected, position);
     for (const { id, backend } of changes) {
       this.logChange(id, backend, position);
@@ -82,7 +86,7 @@
       epoch,
       revision,
     });
-    if (backend !== undefined && unknownZones.isNews(backend.zone)) {
+    if (backend !== undefined && unknownZones.recordIfUnknown(backend.zone)) {
       log.write('zone-unknown', 'state', { backendZone: backend.zone, backend: id });
     }
   }
--- a/src/gateway/gateway-cold-starts.ts
+++ b/src/gateway/gateway-cold-starts.ts
@@ -4,7 +4,7 @@
  */
 import type { Clock } from '../clock.js';
 import { coldStartBound } from '../routing/cold-start.js';
-import type { ColdStartBound, ColdStartLimits, Coldness } from '../routing/cold-start.js';
+import type { ColdStartBound, ColdStartLimits, ColdPeriod } from '../routing/cold-start.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { ActiveConfiguration } from './configuration-in-force.js';
 import { coldShare } from './dispatch/cold-share.js';
@@ -65,7 +65,7 @@
 
 function logChange(
   { backend, agent }: KnownBackend,
-  coldness: Coldness | undefined,
+  coldness: ColdPeriod | undefined,
   { log, clock }: GatewayColdStartsDependencies,
 ): void {
   const nowMs = clock.now();
--- a/src/gateway/gateway-evacuations.ts
+++ b/src/gateway/gateway-evacuations.ts
@@ -4,7 +4,7 @@
  */
 import type { Clock } from '../clock.js';
 import { isLater } from '../cluster/store-position.js';
-import type { Places } from '../routing/places.js';
+import type { ZoneTopology } from '../routing/places.js';
 import { ZoneEvacuations } from '../routing/zone-evacuations.js';
 import type { EvacuationChange, KnownEvacuation } from '../routing/zone-evacuations.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
@@ -16,7 +16,7 @@
 export interface GatewayEvacuationsDependencies {
   readonly directory: Pick<BackendDirectory, 'list'>;
   readonly dispatcher: Pick<Dispatcher, 'changeOrders'>;
-  readonly places: Places;
+  readonly places: ZoneTopology;
   readonly clock: Clock;
   readonly log: Pick<DecisionLog, 'write'>;
   /** Age of the view of the store, in milliseconds; undefined before the first confirmation. */
@@ -41,7 +41,7 @@
     if (previous !== undefined && !isLater(change, previous)) {
       return;
     }
-    dispatcher.changeOrders(() => this.zones.take(change, nowMs), nowMs);
+    dispatcher.changeOrders(() => this.zones.apply(change, nowMs), nowMs);
     const withdrawn = change.isOrdered ? this.dependencies.withdrawUnsent() : 0;
     this.logApplied(change, previous, withdrawn);
   }
--- a/src/gateway/gateway-quotas.ts
+++ b/src/gateway/gateway-quotas.ts
@@ -13,7 +13,7 @@
 import type { RandomSource } from '../random.js';
 import type { WeirvaleError } from '../request/errors.js';
 import type { TenantQuota } from '../routing/configuration.js';
-import type { Places } from '../routing/places.js';
+import type { ZoneTopology } from '../routing/places.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { GatewayAdapter } from './gateway-adapter.js';
 import type { GatewaySettings } from './gateway-settings.js';
@@ -34,7 +34,7 @@
   readonly incarnation: string;
   /** Start of this process, in milliseconds; its predecessor had ended by then. */
   readonly startedAtMs: number;
-  readonly places: Places;
+  readonly places: ZoneTopology;
   readonly adapter: Pick<GatewayAdapter, 'writeOwnRecord'>;
   readonly clock: Clock;
   readonly random: RandomSource;
--- a/src/gateway/gateway-role.ts
+++ b/src/gateway/gateway-role.ts
@@ -6,12 +6,12 @@
 import type { RandomSource } from '../random.js';
 import type { Backend } from '../routing/backend.js';
 import type { EngineAvailability } from '../slot-agent/engine-watch.js';
-import { findUnknownHome } from '../routing/home-regions.js';
-import type { InvalidHomesError } from '../routing/home-regions.js';
+import { findUnknownRegion } from '../routing/home-regions.js';
+import type { InvalidRegionsError } from '../routing/home-regions.js';
 import type { OperatorRules } from '../routing/backend-restriction.js';
 import type { DecodedRecord } from '../routing/decoded-record.js';
-import { createCompareByOwner } from '../routing/owner-counts.js';
-import { Places } from '../routing/places.js';
+import { createOwnerComparator } from '../routing/owner-counts.js';
+import { ZoneTopology } from '../routing/places.js';
 import { UnknownZones } from '../routing/unknown-zones.js';
 import type { RoutingConfiguration } from '../routing/configuration.js';
 import { ActiveConfiguration } from './configuration-in-force.js';
@@ -77,7 +77,7 @@
   private readonly cluster: GatewayCluster;
   private readonly directory: BackendDirectory;
   private readonly evacuations: GatewayEvacuations;
-  private readonly places: Places;
+  private readonly places: ZoneTopology;
   private readonly backends: GatewayBackends;
   private readonly dispatcher: Dispatcher;
   private readonly paths: GatewayPaths;
@@ -112,10 +112,10 @@
       onChange: (backendId) => this.applyCondition(backendId),
       isKnown: (backendId) => this.directory.find(backendId) !== undefined,
     });
-    this.places = new Places(settings.places.zones);
+    this.places = new ZoneTopology(settings.places.zones);
     const isEngine = (service: string) => this.configuration.isEngine(service);
     const orders: OperatorRules = {
-      versionUse: (backend) => this.rollouts.rollouts.useOf(backend),
+      versionUse: (backend) => this.rollouts.rollouts.versionUse(backend),
       isEvacuated: (zone) => this.evacuations.zones.isEvacuated(zone),
       regionOf: (zone) => this.places.regionOf(zone),
     };
@@ -200,7 +200,7 @@
       incarnation,
       startedAtMs: clock.now() - process.uptime() * MS_PER_S,
       places: this.places,
-      quotaOf: (tenant) => this.configuration.table?.tenantNamed(tenant)?.quota,
+      quotaOf: (tenant) => this.configuration.table?.findTenantByName(tenant)?.quota,
       sendToPeer: (address, message) => this.cluster.sendTo(address, message),
       learnPeers: (addresses) => this.cluster.addPeers(addresses),
       storeAgeMs: () => this.cluster.storeAgeMs,
@@ -211,7 +211,7 @@
       ...dependencies,
       incarnation,
       store: adapter.store,
-      compareByOwner: createCompareByOwner(adapter.decode),
+      compareByOwner: createOwnerComparator(adapter.decode),
       quotas: this.quotas,
       rollouts: this.rollouts.rollouts,
       crashes: {
@@ -425,7 +425,7 @@
     { epoch, revision }: StorePosition,
     source: RecordsSource,
   ): void {
-    const problem = findUnknownHome(configuration, this.places);
+    const problem = findUnknownRegion(configuration, this.places);
     if (problem !== undefined && this.configuration.version !== undefined) {
       this.logRefusedConfiguration(problem, { epoch, revision });
       return;
@@ -459,7 +459,7 @@
   }
 
   private logRefusedConfiguration(
-    { message, key, found, allowed }: InvalidHomesError,
+    { message, key, found, allowed }: InvalidRegionsError,
     { epoch, revision }: StorePosition,
   ): void {
     const fields = { problem: message, key, found, allowed, epoch, revision };
--- a/src/gateway/gateway-rollouts.ts
+++ b/src/gateway/gateway-rollouts.ts
@@ -4,7 +4,7 @@
 import type { WeirvaleError } from '../request/errors.js';
 import type { RolloutOrder, RolloutState, RolloutStatus } from '../rollout/rollout-order.js';
 import { Rollouts } from '../rollout/rollouts.js';
-import type { ReadyVersions } from '../rollout/service-rollout.js';
+import type { ReadyBackendCounts } from '../rollout/service-rollout.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { BackendDirectory } from './dispatch/backend-directory.js';
 import type { GatewayAdapter } from './gateway-adapter.js';
@@ -41,33 +41,33 @@
 
   /** Applies an operator's rollout order. */
   applyOrder(order: RolloutOrder): void {
-    if (this.rollouts.takeOrder(order)) {
+    if (this.rollouts.applyOrder(order)) {
       this.dependencies.log.write('rollout-ordered', 'state', { ...order });
     }
   }
 
   /** Ends the rollout whose order was removed. */
   removeOrder(service: string, position: StorePosition): void {
-    if (this.rollouts.takeRemoval(service, position)) {
+    if (this.rollouts.applyOrderRemoval(service, position)) {
       this.dependencies.log.write('rollout-order-removed', 'state', { service, ...position });
     }
   }
 
   /** Applies the removal of a rollout's status record. */
   removeStatus(service: string, position: StorePosition): void {
-    this.rollouts.takeStatusRemoval(service, position);
+    this.rollouts.applyStatusRemoval(service, position);
   }
 
   /** Applies a rollout's status record. */
   applyStatus(status: RolloutStatus): void {
-    this.rollouts.takeStatus(status);
+    this.rollouts.applyStatus(status);
     this.dependencies.log.write('rollout-state', 'state', { ...status });
   }
 
   /**
    * Counts ready backends by version; those in evacuated zones take no traffic and do not count.
    */
-  private countReady(service: string, targetVersion: string): ReadyVersions {
+  private countReady(service: string, targetVersion: string): ReadyBackendCounts {
     const { directory, isEvacuated } = this.dependencies;
     const ready = directory
       .ofService(service)
--- a/src/gateway/homes/request-homes.ts
+++ b/src/gateway/homes/request-homes.ts
@@ -7,8 +7,12 @@
  */
 import type { AcceptedRequest } from '../attempt/accepted-request.js';
 import type { AllowedRegions } from '../../routing/backend-restriction.js';
-import { narrow } from '../../routing/named-homes.js';
-import type { HomeOwner, NamedHome, NamedHomes } from '../../routing/named-homes.js';
+import { intersectRegions } from '../../routing/named-homes.js';
+import type {
+  RouteAndTenant,
+  RegionRestriction,
+  RegionRestrictions,
+} from '../../routing/named-homes.js';
 
 /** Allowed regions of one route or tenant over the lifetime of a request. */
 interface TrackedRegions {
@@ -25,13 +29,13 @@
   private ofRoute = ANYWHERE;
   private ofTenant = ANYWHERE;
   private intersection: AllowedRegions;
-  private lastApplied: NamedHomes | undefined;
+  private lastApplied: RegionRestrictions | undefined;
 
   constructor(
     /** Route and tenant whose entries restrict the regions. */
-    readonly owner: HomeOwner,
+    readonly owner: RouteAndTenant,
     /** Returns the allowed regions of the active configuration. */
-    private readonly activeRegions: () => NamedHomes | undefined,
+    private readonly activeRegions: () => RegionRestrictions | undefined,
   ) {
     this.refresh();
   }
@@ -62,12 +66,12 @@
     }
     this.lastApplied = active;
     const { route, tenant } = this.owner;
-    this.ofRoute = track(this.ofRoute, active.ofRoute(route));
+    this.ofRoute = track(this.ofRoute, active.forRoute(route));
     this.ofTenant = track(
       this.ofTenant,
-      tenant === undefined ? undefined : active.ofTenant(tenant),
+      tenant === undefined ? undefined : active.forTenant(tenant),
     );
-    this.intersection = narrow(this.ofRoute.current, this.ofTenant.current);
+    this.intersection = intersectRegions(this.ofRoute.current, this.ofTenant.current);
   }
 }
 
@@ -82,9 +86,12 @@
   };
 }
 
-function track({ narrowest }: TrackedRegions, named: NamedHome | undefined): TrackedRegions {
+function track(
+  { narrowest }: TrackedRegions,
+  named: RegionRestriction | undefined,
+): TrackedRegions {
   if (named === undefined) {
     return { current: narrowest, narrowest };
   }
-  return { current: named.regions, narrowest: narrow(narrowest, named.regions) };
+  return { current: named.regions, narrowest: intersectRegions(narrowest, named.regions) };
 }
--- a/src/rollout/rollouts.ts
+++ b/src/rollout/rollouts.ts
@@ -7,15 +7,15 @@
 import type { Backend } from '../routing/backend.js';
 import type { RolloutOrder, RolloutState, RolloutStatus, VersionUse } from './rollout-order.js';
 import { ServiceRollout } from './service-rollout.js';
-import type { PeerRolloutReport, ReadyVersions } from './service-rollout.js';
+import type { PeerRolloutReport, ReadyBackendCounts } from './service-rollout.js';
 
 /** Roll-out reports that gateways exchange, by service. */
-export type PeerRollouts = Readonly<Record<string, PeerRolloutReport>>;
+export type PeerRolloutReports = Readonly<Record<string, PeerRolloutReport>>;
 
 /** Dependencies of `Rollouts`. */
 export interface RolloutPorts {
   /** Counts a service's ready back ends with `targetVersion`, and those with other versions. */
-  countReady(service: string, targetVersion: string): ReadyVersions;
+  countReady(service: string, targetVersion: string): ReadyBackendCounts;
   /** Counts the known gateways, including this one. */
   countGateways(): number;
   /** Writes a state on condition that the stored one is at `follows` (revision 0: none stored). */
@@ -48,7 +48,7 @@
   ) {}
 
   /** Applies an order; returns true if it starts a new roll-out. */
-  takeOrder(order: RolloutOrder): boolean {
+  applyOrder(order: RolloutOrder): boolean {
     const known = this.rollouts.get(order.service);
     if (known !== undefined && !isLater(order, known.order)) {
       return false;
@@ -67,7 +67,7 @@
   }
 
   /** Applies the removal of an order at `position`; returns true if that ended a known roll-out. */
-  takeRemoval(service: string, position: StorePosition): boolean {
+  applyOrderRemoval(service: string, position: StorePosition): boolean {
     const known = this.rollouts.get(service);
     if (known === undefined || !isLater(position, known.order)) {
       return false;
@@ -81,7 +81,7 @@
   }
 
   /** Applies a stored roll-out state. */
-  takeStatus(status: RolloutStatus): void {
+  applyStatus(status: RolloutStatus): void {
     this.statuses.set(status.service, status);
     this.rollouts.get(status.service)?.applyStatus(status);
   }
@@ -90,7 +90,7 @@
    * Handles a roll-out state missing from the store as of `position`. Only a later epoch counts:
    * there the store was restored without the state.
    */
-  takeStatusRemoval(service: string, position: StorePosition): void {
+  applyStatusRemoval(service: string, position: StorePosition): void {
     const status = this.statuses.get(service);
     if (status !== undefined && position.epoch > status.epoch) {
       this.statuses.delete(service);
@@ -99,7 +99,7 @@
   }
 
   /** Returns how a back end may be used. */
-  useOf({ service, version }: Backend): VersionUse {
+  versionUse({ service, version }: Backend): VersionUse {
     const rollout = this.rollouts.get(service);
     if (rollout === undefined) {
       return 'open';
@@ -135,14 +135,14 @@
   }
 
   /** Applies a peer's reports; those of unknown services are ignored. */
-  hear(peer: string, reports: PeerRollouts): void {
+  hear(peer: string, reports: PeerRolloutReports): void {
     for (const [service, report] of Object.entries(reports)) {
       this.rollouts.get(service)?.applyPeerReport(peer, report, this.clock.now());
     }
   }
 
   /** Returns the reports for peers; undefined where no roll-out is in progress. */
-  tell(): PeerRollouts | undefined {
+  tell(): PeerRolloutReports | undefined {
     const inProgress = [...this.rollouts].filter(([, { isOver }]) => !isOver);
     if (inProgress.length === 0) {
       return undefined;
--- a/src/rollout/service-rollout.ts
+++ b/src/rollout/service-rollout.ts
@@ -32,14 +32,14 @@
 }
 
 /** Numbers of ready back ends of a service with the target version and with other versions. */
-export interface ReadyVersions {
+export interface ReadyBackendCounts {
   readonly target: number;
   readonly others: number;
 }
 
 /** External inputs to a decision about the state. */
 export interface RolloutContext {
-  readonly ready: ReadyVersions;
+  readonly ready: ReadyBackendCounts;
   /** Number of known gateways, including this one. */
   readonly gateways: number;
 }
@@ -267,7 +267,7 @@
     return elapsed >= DECISION_AT ? 'rolled-back' : 'in-progress';
   }
 
-  private mayCutOver({ target, others }: ReadyVersions, elapsed: number): boolean {
+  private mayCutOver({ target, others }: ReadyBackendCounts, elapsed: number): boolean {
     const { verdict, targetEnded, isLikelyGood } = this.evidence;
     const isGood = verdict === 'good' || (elapsed >= DECISION_AT && isLikelyGood);
     return (
--- a/src/routing/backend-lives.ts
+++ b/src/routing/backend-lives.ts
@@ -23,20 +23,20 @@
   /** In the order in which to apply them. */
   readonly changes: readonly IncarnationChange[];
   /** Incarnation that the announcement shows to have ended; missing for none. */
-  readonly formerId?: string;
+  readonly previousId?: string;
   /** Why the announcement was ignored; missing where it was applied. */
   readonly problem?: string;
 }
 
 /** The latest incarnation of each back end, by record name. */
-export class BackendLives {
+export class BackendIncarnations {
   private readonly latest = new Map<string, Backend>();
 
   /**
    * Applies the newest record of a name; `announcement` is undefined once it was removed or is
    * unusable.
    */
-  take(name: string, announcement: Announcement | undefined): IncarnationUpdate {
+  apply(name: string, announcement: Announcement | undefined): IncarnationUpdate {
     const known = this.latest.get(name);
     if (announcement === undefined) {
       // Keeps the incarnation: if it is announced again, its collected statistics still apply.
@@ -55,7 +55,7 @@
       : [];
     // The new incarnation comes first: at the shared address it supersedes the previous one.
     const changes = [{ id: backend.id, backend }, ...previous];
-    return isNewIncarnation ? { changes, formerId: known.id } : { changes };
+    return isNewIncarnation ? { changes, previousId: known.id } : { changes };
   }
 }
 
--- a/src/routing/backend-restriction.ts
+++ b/src/routing/backend-restriction.ts
@@ -45,7 +45,7 @@
 }
 
 /** Returns the intersection of two region lists; an undefined list allows all. */
-export function commonRegions(
+export function intersectRegionLists(
   left: readonly string[] | undefined,
   right: readonly string[] | undefined,
 ): AllowedRegions {
--- a/src/routing/cold-start.ts
+++ b/src/routing/cold-start.ts
@@ -95,23 +95,23 @@
   | 'not-known';
 
 /** A period during which a back end is assumed cold. */
-export interface Coldness {
+export interface ColdPeriod {
   readonly reason: ColdReason;
   readonly sinceMs: number;
   readonly untilMs: number;
 }
 
 /** Tracks the most recent start of a back end. */
-export class ColdPeriod {
-  private announced: Coldness | undefined;
+export class ColdStartTracker {
+  private announced: ColdPeriod | undefined;
   private suspected: { readonly reason: ColdReason; readonly sinceMs: number } | undefined;
   /** Time of the last warm announcement that ended an announced cold period, in milliseconds. */
   private announcedWarmAtMs = -Infinity;
 
   /** Applies an announcement; its age is unknown, so the remaining time counts from now. */
-  noteAnnounced(remainingColdMs: number, nowMs: number): void {
+  noteAnnouncement(remainingColdMs: number, nowMs: number): void {
     if (remainingColdMs > 0) {
-      this.tell(remainingColdMs, nowMs);
+      this.noteReportedCold(remainingColdMs, nowMs);
     } else if (this.announced !== undefined) {
       this.announced = undefined;
       this.suspected = undefined;
@@ -125,15 +125,15 @@
    * whole fleet whose agents restarted would grant nothing for a second and a half, and little for
    * three.
    */
-  noteFirstAnnounced(remainingColdMs: number, nowMs: number): void {
+  noteInitialAnnouncement(remainingColdMs: number, nowMs: number): void {
     if (this.suspected?.reason === 'not-known') {
       this.suspected = undefined;
     }
-    this.noteAnnounced(remainingColdMs, nowMs);
+    this.noteAnnouncement(remainingColdMs, nowMs);
   }
 
   /** Applies a reported remaining cold time; the latest end of all reports counts. */
-  tell(remainingColdMs: number, nowMs: number): void {
+  noteReportedCold(remainingColdMs: number, nowMs: number): void {
     const untilMs = nowMs + remainingColdMs;
     if (untilMs > (this.announced?.untilMs ?? -Infinity)) {
       const sinceMs = this.announced?.sinceMs ?? nowMs;
@@ -142,13 +142,13 @@
   }
 
   /** Handles a new incarnation: announcements of the previous one no longer apply. */
-  noteIncarnation(nowMs: number): void {
+  noteNewIncarnation(nowMs: number): void {
     this.announced = undefined;
-    this.suspect('new-incarnation', nowMs);
+    this.assumeCold('new-incarnation', nowMs);
   }
 
   /** Assumes that the back end started at `nowMs`. */
-  suspect(reason: ColdReason, nowMs: number): void {
+  assumeCold(reason: ColdReason, nowMs: number): void {
     if (this.announced !== undefined && this.announced.untilMs <= nowMs) {
       this.announced = undefined;
     }
@@ -161,17 +161,17 @@
    * @param zoneReturnedAtMs - when this process learned that the zone was returned to use;
    * undefined if it was not
    */
-  coldness(
+  currentPeriod(
     coldStartMs: number,
     zoneReturnedAtMs: number | undefined,
     nowMs: number,
-  ): Coldness | undefined {
+  ): ColdPeriod | undefined {
     const candidates = [
       this.announced,
       this.assumedPeriod(coldStartMs),
       this.zoneReturnPeriod(coldStartMs, zoneReturnedAtMs),
     ];
-    let latest: Coldness | undefined;
+    let latest: ColdPeriod | undefined;
     for (const candidate of candidates) {
       if (candidate !== undefined && candidate.untilMs > (latest?.untilMs ?? nowMs)) {
         latest = candidate;
@@ -180,12 +180,15 @@
     return latest;
   }
 
-  private assumedPeriod(coldStartMs: number): Coldness | undefined {
+  private assumedPeriod(coldStartMs: number): ColdPeriod | undefined {
     const { suspected } = this;
     return suspected && { ...suspected, untilMs: suspected.sinceMs + coldStartMs };
   }
 
-  private zoneReturnPeriod(coldStartMs: number, sinceMs: number | undefined): Coldness | undefined {
+  private zoneReturnPeriod(
+    coldStartMs: number,
+    sinceMs: number | undefined,
+  ): ColdPeriod | undefined {
     return sinceMs === undefined || sinceMs <= this.announcedWarmAtMs
       ? undefined
       : { reason: 'zone-returned', sinceMs, untilMs: sinceMs + coldStartMs };
@@ -197,6 +200,6 @@
  * each in rank order, round robin. A view with more gateways than there are only makes the share
  * smaller, so the shares sum to at most `total` whenever each gateway's view contains all others.
  */
-export function partByRank(total: number, rank: number, gateways: number): number {
+export function shareByRank(total: number, rank: number, gateways: number): number {
   return Math.max(0, Math.ceil((total - rank) / Math.max(1, gateways)));
 }
--- a/src/routing/home-regions.ts
+++ b/src/routing/home-regions.ts
@@ -1,10 +1,10 @@
 /** Parses and checks the allowed regions in a configuration. */
 import { WeirvaleError } from '../request/errors.js';
 import type { RoutingConfiguration } from './configuration.js';
-import type { Places } from './places.js';
+import type { ZoneTopology } from './places.js';
 
 /** A region list is malformed, or contains a region that the settings do not define. */
-export class InvalidHomesError extends WeirvaleError {
+export class InvalidRegionsError extends WeirvaleError {
   readonly code = 'invalid-homes';
 
   constructor(
@@ -31,13 +31,13 @@
  *
  * @throws {InvalidRegionsError} if the value is not a list of names
  */
-export function readHomeRegions(key: string, value: unknown): readonly string[] | undefined {
+export function parseRegionList(key: string, value: unknown): readonly string[] | undefined {
   if (value === undefined) {
     return undefined;
   }
   const isList = Array.isArray(value) && value.every(isName);
   if (!isList) {
-    throw new InvalidHomesError(key, quote(value), EXPECTED_REGION_LIST);
+    throw new InvalidRegionsError(key, quote(value), EXPECTED_REGION_LIST);
   }
   return value.length === 0 ? undefined : [...new Set(value)];
 }
@@ -46,10 +46,10 @@
  * Returns an error for the first allowed region without any zone; undefined if every region has
  * one.
  */
-export function findUnknownHome(
+export function findUnknownRegion(
   { routes, tenants }: RoutingConfiguration,
-  places: Places,
-): InvalidHomesError | undefined {
+  places: ZoneTopology,
+): InvalidRegionsError | undefined {
   const known = new Set(places.zones.map((zone) => places.regionOf(zone)));
   const lists = [
     ...routes.map((route) => [`routes.${route.name}`, route.allowedRegions] as const),
@@ -60,7 +60,7 @@
     if (unknown !== undefined) {
       const allowed =
         known.size === 0 ? 'nothing: the settings name no places' : [...known].join(', ');
-      return new InvalidHomesError(`${owner}.allowedRegions`, quote(unknown), allowed);
+      return new InvalidRegionsError(`${owner}.allowedRegions`, quote(unknown), allowed);
     }
   }
   return undefined;
--- a/src/routing/named-homes.ts
+++ b/src/routing/named-homes.ts
@@ -3,13 +3,13 @@
 import type { RoutingConfiguration } from './configuration.js';
 
 /** The route of a request, and its tenant if it has one; both may restrict its regions. */
-export interface HomeOwner {
+export interface RouteAndTenant {
   readonly route: string;
   readonly tenant: string | undefined;
 }
 
 /** The restriction of one route or tenant; `regions` is undefined for any region. */
-export interface NamedHome {
+export interface RegionRestriction {
   readonly regions: AllowedRegions;
 }
 
@@ -19,11 +19,11 @@
 }
 
 /** Region restrictions of one configuration, by route and tenant name. */
-export class NamedHomes {
+export class RegionRestrictions {
   /** Union of the regions of all routes and tenants. */
   readonly regions: ReadonlySet<string>;
-  private readonly routes: ReadonlyMap<string, NamedHome>;
-  private readonly tenants: ReadonlyMap<string, NamedHome>;
+  private readonly routes: ReadonlyMap<string, RegionRestriction>;
+  private readonly tenants: ReadonlyMap<string, RegionRestriction>;
 
   constructor({ routes, tenants }: Pick<RoutingConfiguration, 'routes' | 'tenants'>) {
     this.routes = mergeByName(routes);
@@ -33,17 +33,17 @@
   }
 
   /** Whether any route or tenant restricts regions. */
-  get hasAny(): boolean {
+  get hasRestrictions(): boolean {
     return this.regions.size > 0;
   }
 
   /** Returns the restriction of a route; undefined for one that is not in the configuration. */
-  ofRoute(name: string): NamedHome | undefined {
+  forRoute(name: string): RegionRestriction | undefined {
     return this.routes.get(name);
   }
 
   /** Returns the restriction of a tenant; undefined for one that is not in the configuration. */
-  ofTenant(name: string): NamedHome | undefined {
+  forTenant(name: string): RegionRestriction | undefined {
     return this.tenants.get(name);
   }
 
@@ -51,14 +51,14 @@
    * Returns the regions that both the route and the tenant allow; an unknown name restricts
    * nothing.
    */
-  allowed({ route, tenant }: HomeOwner): AllowedRegions {
-    const tenantRegions = tenant === undefined ? undefined : this.ofTenant(tenant)?.regions;
-    return narrow(this.ofRoute(route)?.regions, tenantRegions);
+  allowedRegionsOf({ route, tenant }: RouteAndTenant): AllowedRegions {
+    const tenantRegions = tenant === undefined ? undefined : this.forTenant(tenant)?.regions;
+    return intersectRegions(this.forRoute(route)?.regions, tenantRegions);
   }
 }
 
 /** Returns the intersection of two restrictions; undefined allows all. */
-export function narrow(left: AllowedRegions, right: AllowedRegions): AllowedRegions {
+export function intersectRegions(left: AllowedRegions, right: AllowedRegions): AllowedRegions {
   if (left === undefined || right === undefined) {
     return left ?? right;
   }
@@ -66,11 +66,11 @@
 }
 
 /** Intersects the regions of entries that share a name. */
-function mergeByName(entries: readonly RegionEntry[]): Map<string, NamedHome> {
-  const merged = new Map<string, NamedHome>();
+function mergeByName(entries: readonly RegionEntry[]): Map<string, RegionRestriction> {
+  const merged = new Map<string, RegionRestriction>();
   for (const { name, allowedRegions } of entries) {
     const own = allowedRegions === undefined ? undefined : new Set(allowedRegions);
-    merged.set(name, { regions: narrow(merged.get(name)?.regions, own) });
+    merged.set(name, { regions: intersectRegions(merged.get(name)?.regions, own) });
   }
   return merged;
 }
--- a/src/routing/owner-counts.ts
+++ b/src/routing/owner-counts.ts
@@ -7,7 +7,7 @@
 import type { DecodedRecord, DecodeRecord } from './decoded-record.js';
 
 /** Returns a comparator of records by their owners' counters, decoded with `decode`. */
-export function createCompareByOwner(decode: DecodeRecord): CompareByOwner {
+export function createOwnerComparator(decode: DecodeRecord): CompareByOwner {
   return (left, right) => {
     const [leftCounters, rightCounters] = [countersOf(decode(left)), countersOf(decode(right))];
     if (leftCounters === undefined || rightCounters === undefined) {
--- a/src/routing/places.ts
+++ b/src/routing/places.ts
@@ -4,7 +4,7 @@
 export type Distance = 'same-zone' | 'same-region' | 'other-region';
 
 /** The zones of a deployment and their regions. */
-export class Places {
+export class ZoneTopology {
   constructor(
     /** The region of each zone. */
     private readonly regionByZone: ReadonlyMap<string, string>,
--- a/src/routing/routing-table.ts
+++ b/src/routing/routing-table.ts
@@ -1,5 +1,5 @@
 /** Query: the route, tenant and service of a request under one configuration. */
-import { NamedHomes } from './named-homes.js';
+import { RegionRestrictions } from './named-homes.js';
 import type {
   Route,
   RoutingConfiguration,
@@ -14,10 +14,10 @@
   private readonly tenantsByKey = new Map<string, Tenant>();
   private readonly servicesByName = new Map<string, Service>();
   /** Region restrictions of its routes and tenants. */
-  readonly homes: NamedHomes;
+  readonly regionRestrictions: RegionRestrictions;
 
   constructor(readonly configuration: RoutingConfiguration) {
-    this.homes = new NamedHomes(configuration);
+    this.regionRestrictions = new RegionRestrictions(configuration);
     for (const route of configuration.routes) {
       const host = route.host.toLowerCase();
       const routes = this.routesByHost.get(host) ?? new Map<string, Route>();
@@ -35,7 +35,7 @@
   }
 
   /** Whether requests need an API key. */
-  get needsKey(): boolean {
+  get requiresApiKey(): boolean {
     return this.configuration.tenants.length > 0;
   }
 
@@ -59,12 +59,12 @@
   }
 
   /** Returns the tenant that `apiKey` belongs to. */
-  findTenant(apiKey: string): Tenant | undefined {
+  findTenantByKey(apiKey: string): Tenant | undefined {
     return this.tenantsByKey.get(apiKey);
   }
 
   /** Returns a tenant by name. */
-  tenantNamed(name: string): Tenant | undefined {
+  findTenantByName(name: string): Tenant | undefined {
     return this.configuration.tenants.find((tenant) => tenant.name === name);
   }
 
--- a/src/routing/standpoint.ts
+++ b/src/routing/standpoint.ts
@@ -1,18 +1,18 @@
 /** The zone of a process, and its distance to other zones. */
-import type { Distance, Places } from './places.js';
+import type { Distance, ZoneTopology } from './places.js';
 
 /** The location of a process. */
-export interface Standpoint {
+export interface Locality {
   readonly zone: string;
   /** The deployment's zones; missing where it defines none. */
-  readonly places?: Pick<Places, 'distance' | 'regionOf' | 'isKnown'> | undefined;
+  readonly places?: Pick<ZoneTopology, 'distance' | 'regionOf' | 'isKnown'> | undefined;
 }
 
 /**
  * Returns the distance to another zone; if the own zone is not in `places`, every other zone counts
  * as same-region.
  */
-export function distanceFrom({ zone, places }: Standpoint, other: string): Distance {
+export function distanceFrom({ zone, places }: Locality, other: string): Distance {
   if (zone === other) {
     return 'same-zone';
   }
@@ -20,6 +20,6 @@
 }
 
 /** Returns the region of a zone; an unknown zone counts as a region of its own. */
-export function regionNameOf({ places }: Standpoint, zone: string): string {
+export function regionNameOf({ places }: Locality, zone: string): string {
   return places?.regionOf(zone) ?? zone;
 }
--- a/src/routing/unknown-zones.ts
+++ b/src/routing/unknown-zones.ts
@@ -1,17 +1,17 @@
 /** Detects zones that back ends announce and the settings do not define; each is reported once. */
-import type { Places } from './places.js';
+import type { ZoneTopology } from './places.js';
 
 /** The unknown zones reported so far. */
 export class UnknownZones {
   private readonly seen = new Set<string>();
 
-  constructor(private readonly places: Pick<Places, 'zones' | 'isKnown'>) {}
+  constructor(private readonly places: Pick<ZoneTopology, 'zones' | 'isKnown'>) {}
 
   /**
    * Records the zone; returns true the first time for an unknown one, never if the settings define
    * no zones.
    */
-  isNews(zone: string): boolean {
+  recordIfUnknown(zone: string): boolean {
     const isUnknown = this.places.zones.length > 0 && !this.places.isKnown(zone);
     if (!isUnknown || this.seen.has(zone)) {
       return false;
--- a/src/routing/zone-evacuations.ts
+++ b/src/routing/zone-evacuations.ts
@@ -27,7 +27,7 @@
    * Applies a change; returns false where a change at the same or a later position is already
    * known.
    */
-  take(change: EvacuationChange, nowMs: number): boolean {
+  apply(change: EvacuationChange, nowMs: number): boolean {
     const known = this.byZone.get(change.zone);
     if (known !== undefined && !isLater(change, known)) {
       return false;
--- a/src/slot-agent/engine-coldness.ts
+++ b/src/slot-agent/engine-coldness.ts
@@ -2,8 +2,8 @@
  * Tracks whether an agent's engine is, or may be, cold (recently started, so that it can handle
  * only a limited rate of new requests), and the start rate limits of its service.
  */
-import { ColdPeriod, coldStartBound } from '../routing/cold-start.js';
-import type { ColdStartBound, ColdStartLimits, Coldness } from '../routing/cold-start.js';
+import { ColdStartTracker, coldStartBound } from '../routing/cold-start.js';
+import type { ColdStartBound, ColdStartLimits, ColdPeriod } from '../routing/cold-start.js';
 import { isSamePosition } from '../cluster/store-position.js';
 import type { StorePosition } from '../cluster/store-position.js';
 import type { Backend } from '../routing/backend.js';
@@ -24,7 +24,7 @@
 
 /** Cold-start state of one engine as its agent estimates it. */
 export class EngineColdness {
-  private readonly coldPeriod = new ColdPeriod();
+  private readonly coldPeriod = new ColdStartTracker();
   private announcement: Backend | undefined;
   private isUnreachable = false;
   /** Bound from a gateway's hello; used while the agent's own replica does not hold the service. */
@@ -35,7 +35,7 @@
     private readonly limits: ColdStartLimits,
     startedAtMs: number,
   ) {
-    this.coldPeriod.suspect('not-known', startedAtMs);
+    this.coldPeriod.assumeCold('not-known', startedAtMs);
   }
 
   /** Applies the engine's current announcement in the replica if it changed. */
@@ -47,13 +47,13 @@
     const earlier = this.announcement;
     this.announcement = backend;
     if (earlier === undefined) {
-      this.coldPeriod.noteFirstAnnounced(backend.remainingColdMs, nowMs);
+      this.coldPeriod.noteInitialAnnouncement(backend.remainingColdMs, nowMs);
       return;
     }
     if (backend.id !== earlier.id) {
-      this.coldPeriod.noteIncarnation(nowMs);
+      this.coldPeriod.noteNewIncarnation(nowMs);
     }
-    this.coldPeriod.noteAnnounced(backend.remainingColdMs, nowMs);
+    this.coldPeriod.noteAnnouncement(backend.remainingColdMs, nowMs);
   }
 
   private isLatestAnnouncement(backend: Backend): boolean {
@@ -66,7 +66,7 @@
    */
   setUnreachable(isUnreachable: boolean, nowMs: number): void {
     if (this.isUnreachable && !isUnreachable) {
-      this.coldPeriod.suspect('was-gone', nowMs);
+      this.coldPeriod.assumeCold('was-gone', nowMs);
     }
     this.isUnreachable = isUnreachable;
   }
@@ -77,7 +77,7 @@
    */
   noteTold(coldMs: number | undefined, nowMs: number): void {
     if (coldMs !== undefined) {
-      this.coldPeriod.tell(coldMs, nowMs);
+      this.coldPeriod.noteReportedCold(coldMs, nowMs);
     }
   }
 
@@ -101,10 +101,11 @@
   }
 
   /** Why and until when the engine is considered cold; undefined while it is warm. */
-  coldState(nowMs: number): Coldness | undefined {
+  coldState(nowMs: number): ColdPeriod | undefined {
     const { bound } = this;
     return (
-      bound && this.coldPeriod.coldness(bound.coldStartMs, this.records().zoneReturnedAtMs, nowMs)
+      bound &&
+      this.coldPeriod.currentPeriod(bound.coldStartMs, this.records().zoneReturnedAtMs, nowMs)
     );
   }
 
--- a/src/slot-agent/engine-knowledge.ts
+++ b/src/slot-agent/engine-knowledge.ts
@@ -4,16 +4,16 @@
  * requests gateways may send to the engine.
  */
 import { isLater, NO_POSITION } from '../cluster/store-position.js';
-import { BackendLives } from '../routing/backend-lives.js';
+import { BackendIncarnations } from '../routing/backend-lives.js';
 import type { Backend } from '../routing/backend.js';
 import { restrictionOf } from '../routing/backend-restriction.js';
 import type { AllowedRegions, RestrictionReason } from '../routing/backend-restriction.js';
 import type { RoutingConfiguration, Service } from '../routing/configuration.js';
 import type { DecodedRecord } from '../routing/decoded-record.js';
-import { findUnknownHome } from '../routing/home-regions.js';
-import { NamedHomes, narrow } from '../routing/named-homes.js';
-import type { HomeOwner } from '../routing/named-homes.js';
-import type { Places } from '../routing/places.js';
+import { findUnknownRegion } from '../routing/home-regions.js';
+import { RegionRestrictions, intersectRegions } from '../routing/named-homes.js';
+import type { RouteAndTenant } from '../routing/named-homes.js';
+import type { ZoneTopology } from '../routing/places.js';
 import type { AgentHomes } from './slot-messages.js';
 import { ZoneEvacuations } from '../routing/zone-evacuations.js';
 
@@ -27,22 +27,22 @@
 /** Replicated state that concerns one engine. */
 export class EngineKnowledge {
   readonly evacuations = new ZoneEvacuations();
-  private readonly incarnations = new BackendLives();
+  private readonly incarnations = new BackendIncarnations();
   private readonly announcedBackends = new Map<string, Backend>();
   private configuration: RoutingConfiguration | undefined;
-  private homes: NamedHomes | undefined;
+  private homes: RegionRestrictions | undefined;
 
   constructor(
     private readonly location: EngineLocation,
-    private readonly places: Places,
+    private readonly places: ZoneTopology,
   ) {}
 
   /** Applies a decoded record of the store. */
   take(decoded: DecodedRecord, nowMs: number): void {
     if (decoded.kind === 'evacuation') {
-      this.evacuations.take(decoded.change, nowMs);
+      this.evacuations.apply(decoded.change, nowMs);
     } else if (decoded.kind === 'backend') {
-      for (const { id, backend } of this.incarnations.take(decoded.name, decoded.announcement)
+      for (const { id, backend } of this.incarnations.apply(decoded.name, decoded.announcement)
         .changes) {
         this.applyBackend(id, backend);
       }
@@ -58,10 +58,10 @@
   private applyConfiguration(configuration: RoutingConfiguration): void {
     const { configuration: inForce } = this;
     const isNewer = inForce === undefined || configuration.version > inForce.version;
-    const isRefused = inForce !== undefined && findUnknownHome(configuration, this.places);
+    const isRefused = inForce !== undefined && findUnknownRegion(configuration, this.places);
     if (isNewer && !isRefused) {
       this.configuration = configuration;
-      this.homes = new NamedHomes(configuration);
+      this.homes = new RegionRestrictions(configuration);
     }
   }
 
@@ -92,17 +92,22 @@
    */
   restriction(
     allowedRegions: AllowedRegions,
-    homeOwner?: HomeOwner,
+    homeOwner?: RouteAndTenant,
   ): RestrictionReason | undefined {
     const { address, zone } = this.location;
-    const configuredRegions = homeOwner === undefined ? undefined : this.homes?.allowed(homeOwner);
+    const configuredRegions =
+      homeOwner === undefined ? undefined : this.homes?.allowedRegionsOf(homeOwner);
     const backend = this.backend ?? placeholderBackend(address, zone);
-    return restrictionOf({ ...backend, zone }, narrow(allowedRegions, configuredRegions), {
-      isEvacuated: (zoneName) => this.evacuations.isEvacuated(zoneName),
-      regionOf: (zoneName) => this.places.regionOf(zoneName),
-      // Version weights of a roll-out are enforced by gateways only.
-      versionUse: () => 'open',
-    });
+    return restrictionOf(
+      { ...backend, zone },
+      intersectRegions(allowedRegions, configuredRegions),
+      {
+        isEvacuated: (zoneName) => this.evacuations.isEvacuated(zoneName),
+        regionOf: (zoneName) => this.places.regionOf(zoneName),
+        // Version weights of a roll-out are enforced by gateways only.
+        versionUse: () => 'open',
+      },
+    );
   }
 
   /**
@@ -111,7 +116,7 @@
    */
   get regionInfo(): AgentHomes | undefined {
     const { configuration, homes } = this;
-    if (configuration === undefined || !homes?.hasAny) {
+    if (configuration === undefined || !homes?.hasRestrictions) {
       return undefined;
     }
     const region = this.places.regionOf(this.location.zone);
--- a/src/slot-agent/gateway-account.ts
+++ b/src/slot-agent/gateway-account.ts
@@ -2,7 +2,7 @@
  * State of one connected gateway: its slots, its waiting requests and the time of its last message.
  */
 import type { StatedHomes, WaitingRank } from './slot-messages.js';
-import type { HomeOwner } from '../routing/named-homes.js';
+import type { RouteAndTenant } from '../routing/named-homes.js';
 import type { AllowedRegions } from '../routing/backend-restriction.js';
 import type { Distance } from '../routing/places.js';
 import { RoundTrip } from '../round-trip.js';
@@ -32,7 +32,7 @@
 /** A request queued in a gateway. */
 export interface WaitingRequest extends WaitingPlace {
   readonly allowedRegions: AllowedRegions;
-  readonly homeOwner?: HomeOwner | undefined;
+  readonly homeOwner?: RouteAndTenant | undefined;
 }
 
 /** Smallest change of the round trip time that is reported to the gateway, in milliseconds. */
--- a/src/slot-agent/slot-agent-role.ts
+++ b/src/slot-agent/slot-agent-role.ts
@@ -14,8 +14,8 @@
 import type { Clock, TimerHandle } from '../clock.js';
 import type { DecodeRecord } from '../routing/decoded-record.js';
 import type { ColdStartLimits } from '../routing/cold-start.js';
-import { createCompareByOwner } from '../routing/owner-counts.js';
-import type { Places } from '../routing/places.js';
+import { createOwnerComparator } from '../routing/owner-counts.js';
+import type { ZoneTopology } from '../routing/places.js';
 import { distanceFrom } from '../routing/standpoint.js';
 import { MessageChannel } from '../protocol/message-channel.js';
 import type { RandomSource } from '../random.js';
@@ -74,7 +74,7 @@
 /** Dependencies of an agent. */
 export interface SlotAgentDependencies {
   readonly identity: SlotAgentIdentity;
-  readonly places: Places;
+  readonly places: ZoneTopology;
   readonly limits: ColdStartLimits;
   /** Decodes a record of the store. */
   readonly decode: DecodeRecord;
@@ -170,7 +170,7 @@
       DEFAULT_GATEWAY_TIMEOUT_OPTIONS,
       clock.now(),
     );
-    this.records = new ReplicatedRecords(createCompareByOwner(dependencies.decode));
+    this.records = new ReplicatedRecords(createOwnerComparator(dependencies.decode));
     this.server = createServer((socket) => this.accept(socket));
     this.exchange = new RecordExchange(
       this.records,
--- a/src/slot-agent/slot-ledger.ts
+++ b/src/slot-agent/slot-ledger.ts
@@ -8,7 +8,7 @@
  * report shows requests that no connected gateway accounts for.
  */
 import type { AllowedRegions, RestrictionReason } from '../routing/backend-restriction.js';
-import type { HomeOwner } from '../routing/named-homes.js';
+import type { RouteAndTenant } from '../routing/named-homes.js';
 import type { Distance } from '../routing/places.js';
 import { EngineWatch } from './engine-watch.js';
 import type { ClosedCause, EngineAvailability, EngineReading } from './engine-watch.js';
@@ -61,7 +61,10 @@
   /** Network distance from a zone to the back end; omitted if distances are unknown. */
   distanceTo?(zone: string): Distance;
   /** Why operators' restrictions forbid a request at the back end; undefined if it is permitted. */
-  restriction(allowedRegions: AllowedRegions, homeOwner?: HomeOwner): RestrictionReason | undefined;
+  restriction(
+    allowedRegions: AllowedRegions,
+    homeOwner?: RouteAndTenant,
+  ): RestrictionReason | undefined;
   /** Region information for gateways; undefined while no request is restricted to regions. */
   homesToTell(): AgentHomes | undefined;
   /** Called when a gateway took a free slot for a request that is not permitted at the back end. */
--- a/src/slot-agent/slot-messages.ts
+++ b/src/slot-agent/slot-messages.ts
@@ -1,7 +1,7 @@
 /** Messages between gateways and slot agents. */
 import type { Service } from '../routing/configuration.js';
 import type { EngineAvailability } from './engine-watch.js';
-import type { HomeOwner } from '../routing/named-homes.js';
+import type { RouteAndTenant } from '../routing/named-homes.js';
 import type { GrantsOnly } from './start-limiter.js';
 import type { RecordsAnswer, RecordsFetch, RecordsReach } from '../cluster/record-exchange.js';
 
@@ -13,7 +13,7 @@
    * Route and tenant of the request, whose regions the agent looks up in its own configuration;
    * omitted while the gateway has none.
    */
-  readonly homeOwner?: HomeOwner;
+  readonly homeOwner?: RouteAndTenant;
 }
 
 /** Priority of a waiting request; times are relative, since clocks differ. */
@@ -153,7 +153,7 @@
    */
   readonly heardAtMs?: number;
   /** Route and tenant of the request that the slot is granted for, if the gateway stated them. */
-  readonly homeOwner?: HomeOwner;
+  readonly homeOwner?: RouteAndTenant;
 }
 
 /** Region information of an agent, which gateways check before they take a free slot. */
--- a/test/backend-lives-random.test.ts
+++ b/test/backend-lives-random.test.ts
@@ -4,7 +4,7 @@
  */
 import test from 'ava';
 import { SeededRandom } from '../src/random.js';
-import { BackendLives } from '../src/routing/backend-lives.js';
+import { BackendIncarnations } from '../src/routing/backend-lives.js';
 import type { Announcement } from '../src/routing/backend-lives.js';
 import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
 import type { SeenAttempt } from './support/gateway.js';
@@ -26,7 +26,7 @@
 class IncarnationHarness {
   private readonly random: SeededRandom;
   private readonly gateway = new GatewayWorld();
-  private readonly incarnations = new BackendLives();
+  private readonly incarnations = new BackendIncarnations();
   private readonly currentStartMs = new Map(NAMES.map((name) => [name, 1]));
   /** Start time of the incarnation announced last, by name; missing once its record expired. */
   private readonly announced = new Map<string, number>();
@@ -75,7 +75,7 @@
   }
 
   private applyRecord(name: string, announcement: Announcement | undefined): void {
-    for (const { id, backend } of this.incarnations.take(name, announcement).changes) {
+    for (const { id, backend } of this.incarnations.apply(name, announcement).changes) {
       this.gateway.dispatcher.updateBackend(id, backend, this.gateway.clock.now());
     }
   }
--- a/test/backend-lives.test.ts
+++ b/test/backend-lives.test.ts
@@ -1,10 +1,10 @@
 import fc from 'fast-check';
 import test from 'ava';
 import { decodeRecord } from '../platform/record-formats.js';
-import { BackendLives } from '../src/routing/backend-lives.js';
+import { BackendIncarnations } from '../src/routing/backend-lives.js';
 import type { Announcement } from '../src/routing/backend-lives.js';
 import { EngineKnowledge } from '../src/slot-agent/engine-knowledge.js';
-import { Places } from '../src/routing/places.js';
+import { ZoneTopology } from '../src/routing/places.js';
 import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
 import { Agent } from './support/played-agent.js';
 import { at } from './support/positions.js';
@@ -40,17 +40,17 @@
 /** Applies an announcement to a gateway as it applies records of the store. */
 function update(
   world: GatewayWorld,
-  incarnations: BackendLives,
+  incarnations: BackendIncarnations,
   announcement: Announcement | undefined,
 ) {
-  const { changes } = incarnations.take('w', announcement);
+  const { changes } = incarnations.apply('w', announcement);
   changes.forEach(({ id, backend }) => world.dispatcher.updateBackend(id, backend, 0));
   return changes.map(({ id }) => id);
 }
 
 test('a back end that restarts under its name gets a new id without the previous statistics', (t) => {
   const world = new GatewayWorld();
-  const incarnations = new BackendLives();
+  const incarnations = new BackendIncarnations();
   update(world, incarnations, announced(1_000, { revision: 1 }));
   world.request({ route: routeOf({ kind: 'unsafe' }) });
   world.attempts[0]!.handlers.onFailure({ ...RESET, mayHaveRun: false, isPortClosed: true });
@@ -66,7 +66,7 @@
 
 test('a request of the previous incarnation that ends late frees no slot of the next one', (t) => {
   const world = new GatewayWorld();
-  const incarnations = new BackendLives();
+  const incarnations = new BackendIncarnations();
   update(world, incarnations, announced(1_000, { revision: 1, slots: 1 }));
   world.request({ route: routeOf({ kind: 'unsafe' }) });
   update(world, incarnations, announced(2_000, { revision: 2, slots: 1 }));
@@ -79,7 +79,7 @@
 
 test('a repeatable request that was lost with its back end is retried at the next incarnation', (t) => {
   const world = new GatewayWorld();
-  const incarnations = new BackendLives();
+  const incarnations = new BackendIncarnations();
   update(world, incarnations, announced(1_000, { revision: 1 }));
   const { reply } = world.request({ route: routeOf({ kind: 'safe', maxAttempts: 3 }) });
   update(world, incarnations, announced(2_000, { revision: 2 }));
@@ -130,19 +130,19 @@
 
 test('a late announcement of an earlier incarnation is ignored, even with a newer revision', (t) => {
   const world = new GatewayWorld();
-  const incarnations = new BackendLives();
+  const incarnations = new BackendIncarnations();
   update(world, incarnations, announced(2_000, { revision: 2 }));
   t.deepEqual(
     update(world, incarnations, announced(1_000, { revision: 3, state: 'draining' })),
     [],
   );
   t.true(world.directory.find('w@2000')!.isReady);
-  t.regex(incarnations.take('w', announced(1_000)).problem!, /earlier start/);
+  t.regex(incarnations.apply('w', announced(1_000)).problem!, /earlier start/);
 });
 
 test('an incarnation that is announced again after its record expired retains its statistics', (t) => {
   const world = new GatewayWorld();
-  const incarnations = new BackendLives();
+  const incarnations = new BackendIncarnations();
   update(world, incarnations, announced(1_000, { revision: 1 }));
   world.dispatcher.learnSpeed('w@1000', 1, 50);
   update(world, incarnations, undefined);
@@ -155,7 +155,7 @@
 test('an agent identifies its engine by the latest incarnation at its address', (t) => {
   const knowledge = new EngineKnowledge(
     { address: '10.0.0.1:80', zone: 'z' },
-    new Places(new Map()),
+    new ZoneTopology(new Map()),
   );
   const take = (entry: unknown, revision: number) =>
     knowledge.take(
@@ -224,7 +224,7 @@
       .map(({ field, value }) => ({ ...RECORD, [field]: value })),
   );
   const world = new GatewayWorld();
-  const incarnations = new BackendLives();
+  const incarnations = new BackendIncarnations();
   fc.assert(
     fc.property(values, (value) => {
       let text: string | undefined;
--- a/test/backend-restriction.test.ts
+++ b/test/backend-restriction.test.ts
@@ -1,14 +1,14 @@
 import test from 'ava';
 import * as fc from 'fast-check';
 import { decodeRecord } from '../platform/record-formats.js';
-import { commonRegions, restrictionOf } from '../src/routing/backend-restriction.js';
-import { Places } from '../src/routing/places.js';
+import { intersectRegionLists, restrictionOf } from '../src/routing/backend-restriction.js';
+import { ZoneTopology } from '../src/routing/places.js';
 import { ZoneEvacuations } from '../src/routing/zone-evacuations.js';
 import { EngineKnowledge } from '../src/slot-agent/engine-knowledge.js';
 import { backendOf, GatewayWorld } from './support/gateway.js';
 import { at } from './support/positions.js';
 
-const PLACES = new Places(
+const PLACES = new ZoneTopology(
   new Map([
     ['a1', 'a'],
     ['a2', 'a'],
@@ -42,10 +42,10 @@
 });
 
 test('only regions in both lists are allowed', (t) => {
-  t.is(commonRegions(undefined, undefined), undefined);
-  t.deepEqual(commonRegions(['a'], undefined), new Set(['a']));
-  t.deepEqual(commonRegions(['a', 'b'], ['b', 'c']), new Set(['b']));
-  t.deepEqual(commonRegions(['a'], ['b']), new Set());
+  t.is(intersectRegionLists(undefined, undefined), undefined);
+  t.deepEqual(intersectRegionLists(['a'], undefined), new Set(['a']));
+  t.deepEqual(intersectRegionLists(['a', 'b'], ['b', 'c']), new Set(['b']));
+  t.deepEqual(intersectRegionLists(['a'], ['b']), new Set());
 });
 
 test('the newest order of a zone is in force, in whatever order and however often changes arrive', (t) => {
@@ -56,7 +56,7 @@
     fc.property(anyChanges, (changes) => {
       const evacuations = new ZoneEvacuations();
       for (const { revision } of changes) {
-        evacuations.take({ zone: 'z', isOrdered: revision % 2 === 1, ...at(revision) }, 0);
+        evacuations.apply({ zone: 'z', isOrdered: revision % 2 === 1, ...at(revision) }, 0);
       }
       const newest = Math.max(...changes.map(({ revision }) => revision));
       return evacuations.isEvacuated('z') === (newest % 2 === 1);
--- a/test/cold-start.test.ts
+++ b/test/cold-start.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import { ColdStarts } from '../src/gateway/dispatch/cold-starts.js';
 import { coldShare, PEER_VIEW_SETTLE_MS } from '../src/gateway/dispatch/cold-share.js';
-import { ColdPeriod, coldStartBound } from '../src/routing/cold-start.js';
+import { ColdStartTracker, coldStartBound } from '../src/routing/cold-start.js';
 import type { SlotAnswer } from '../src/slot-agent/slot-messages.js';
 import { START_WINDOW_MS, StartWindow } from '../src/slot-agent/start-window.js';
 import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
@@ -85,29 +85,29 @@
 });
 
 test('a backend is cold for the announced time, and longer after a suspected restart', (t) => {
-  const period = new ColdPeriod();
-  const reasonAt = (nowMs: number) => period.coldness(COLD_MS, undefined, nowMs)?.reason;
+  const period = new ColdStartTracker();
+  const reasonAt = (nowMs: number) => period.currentPeriod(COLD_MS, undefined, nowMs)?.reason;
   t.is(reasonAt(0), undefined);
-  period.noteAnnounced(1_000, 100);
+  period.noteAnnouncement(1_000, 100);
   t.is(reasonAt(1_099), 'announced');
   t.is(reasonAt(1_100), undefined);
-  period.suspect('was-gone', 2_000);
-  period.noteAnnounced(0, 2_100);
+  period.assumeCold('was-gone', 2_000);
+  period.noteAnnouncement(0, 2_100);
   t.is(reasonAt(4_999), 'was-gone');
   t.is(reasonAt(5_000), undefined);
 });
 
 test('a warm announcement ends the announced cold period of that incarnation only', (t) => {
-  const period = new ColdPeriod();
-  period.noteIncarnation(0);
-  period.noteAnnounced(2_500, 0);
-  period.noteAnnounced(0, 1_000);
-  t.is(period.coldness(COLD_MS, 500, 1_000), undefined);
-  t.is(period.coldness(COLD_MS, 1_200, 1_300)?.reason, 'zone-returned');
-  period.noteAnnounced(2_500, 2_000);
-  period.noteIncarnation(3_000);
-  period.noteAnnounced(0, 3_000);
-  t.is(period.coldness(COLD_MS, undefined, 5_999)?.reason, 'new-incarnation');
+  const period = new ColdStartTracker();
+  period.noteNewIncarnation(0);
+  period.noteAnnouncement(2_500, 0);
+  period.noteAnnouncement(0, 1_000);
+  t.is(period.currentPeriod(COLD_MS, 500, 1_000), undefined);
+  t.is(period.currentPeriod(COLD_MS, 1_200, 1_300)?.reason, 'zone-returned');
+  period.noteAnnouncement(2_500, 2_000);
+  period.noteNewIncarnation(3_000);
+  period.noteAnnouncement(0, 3_000);
+  t.is(period.currentPeriod(COLD_MS, undefined, 5_999)?.reason, 'new-incarnation');
 });
 
 function createColdWorld(share = 0, ...ids: string[]): GatewayWorld {
--- a/test/engine-subset.test.ts
+++ b/test/engine-subset.test.ts
@@ -2,7 +2,7 @@
 import { selectSubset } from '../src/gateway/dispatch/engine-subset.js';
 import type { SubsetEngine } from '../src/gateway/dispatch/engine-subset.js';
 import { pairShare } from '../src/pair-share.js';
-import { Places } from '../src/routing/places.js';
+import { ZoneTopology } from '../src/routing/places.js';
 import { GatewayWorld, backendOf } from './support/gateway.js';
 
 function enginesOf(zones: number, perZone: number): SubsetEngine[] {
@@ -78,7 +78,7 @@
 });
 
 /** Six zones in three regions: z0 and z3, z1 and z4, z2 and z5. */
-const REGIONS = new Places(
+const REGIONS = new ZoneTopology(
   new Map(Array.from({ length: 6 }, (_unused, zone) => [`z${zone}`, `r${zone % 3}`])),
 );
 
@@ -124,8 +124,8 @@
 
 test('with one region, or without named regions, the selection is by zone and hash alone', (t) => {
   const engines = enginesOf(5, 20);
-  const oneRegion = new Places(new Map(engines.map(({ zone }) => [zone, 'r'])));
-  for (const places of [undefined, new Places(new Map()), oneRegion]) {
+  const oneRegion = new ZoneTopology(new Map(engines.map(({ zone }) => [zone, 'r'])));
+  for (const places of [undefined, new ZoneTopology(new Map()), oneRegion]) {
     for (let index = 0; index < 20; index += 1) {
       const owner = { name: `g${index}`, zone: `z${index % 6}` };
       const taken = new Map<string, number>();
--- a/test/homes-agent-socket.test.ts
+++ b/test/homes-agent-socket.test.ts
@@ -4,7 +4,7 @@
 import { SYSTEM_CLOCK } from '../src/clock.js';
 import { MessageChannel } from '../src/protocol/message-channel.js';
 import { SeededRandom } from '../src/random.js';
-import { Places } from '../src/routing/places.js';
+import { ZoneTopology } from '../src/routing/places.js';
 import { SlotAgentMetrics } from '../src/slot-agent/slot-agent-metrics.js';
 import { SlotAgentRole } from '../src/slot-agent/slot-agent-role.js';
 import type { AgentToGateway, GatewayToAgent } from '../src/slot-agent/slot-messages.js';
@@ -37,7 +37,7 @@
   const metrics = new SlotAgentMetrics();
   const agent = new SlotAgentRole({
     identity: { name: 'agent', engine: { address: `${HOST}:1`, zone: 'b1' }, seeds: [] },
-    places: new Places(
+    places: new ZoneTopology(
       new Map([
         ['a1', 'a'],
         ['b1', 'b'],
--- a/test/homes-agent.test.ts
+++ b/test/homes-agent.test.ts
@@ -5,12 +5,12 @@
 import { decodeRecord } from '../platform/record-formats.js';
 import type { RoutingConfiguration } from '../src/routing/configuration.js';
 import {
-  findUnknownHome,
-  InvalidHomesError,
-  readHomeRegions,
+  findUnknownRegion,
+  InvalidRegionsError,
+  parseRegionList,
 } from '../src/routing/home-regions.js';
-import { NamedHomes } from '../src/routing/named-homes.js';
-import { Places } from '../src/routing/places.js';
+import { RegionRestrictions } from '../src/routing/named-homes.js';
+import { ZoneTopology } from '../src/routing/places.js';
 import { EngineKnowledge } from '../src/slot-agent/engine-knowledge.js';
 import { SlotLedger } from '../src/slot-agent/slot-ledger.js';
 import type { SlotMessage } from '../src/slot-agent/slot-messages.js';
@@ -18,7 +18,7 @@
 import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
 import { at } from './support/positions.js';
 
-const PLACES = new Places(
+const PLACES = new ZoneTopology(
   new Map([
     ['a1', 'a'],
     ['b1', 'b'],
@@ -76,7 +76,7 @@
     this.agentView.take({ kind: 'configuration', configuration: agent }, 0);
     this.world.engines = true;
     this.world.version = gateway.version;
-    this.world.homes = new NamedHomes(gateway);
+    this.world.homes = new RegionRestrictions(gateway);
     this.world.regions.set('a1', 'a').set('b1', 'b');
     const far = backendOf('far', { zone: 'b1', slots: 1 });
     this.world.dispatcher.updateBackend('far', far, 0);
@@ -102,7 +102,7 @@
     installed[at] = Math.min(configurations.length - 1, installed[at] + 1);
     const configuration = configurations[installed[at]]!;
     if (at === 'gateway') {
-      this.world.homes = new NamedHomes(configuration);
+      this.world.homes = new RegionRestrictions(configuration);
       this.world.version = configuration.version;
       this.world.dispatcher.tick(this.world.clock.now());
     } else {
@@ -276,11 +276,11 @@
 });
 
 test('a list of regions is decoded, or rejected with its key, the value found and the values allowed', (t) => {
-  t.deepEqual(readHomeRegions('k', ['a', 'b', 'a']), ['a', 'b']);
-  t.is(readHomeRegions('k', undefined), undefined);
-  t.is(readHomeRegions('k', []), undefined);
+  t.deepEqual(parseRegionList('k', ['a', 'b', 'a']), ['a', 'b']);
+  t.is(parseRegionList('k', undefined), undefined);
+  t.is(parseRegionList('k', []), undefined);
   for (const bad of ['a', null, 7, { a: 1 }, ['a', 7], [''], ['a', null]]) {
-    const error = t.throws(() => readHomeRegions('k', bad), { instanceOf: InvalidHomesError });
+    const error = t.throws(() => parseRegionList('k', bad), { instanceOf: InvalidRegionsError });
     t.is(error?.key, 'k');
     t.is(error?.found, JSON.stringify(bad));
     t.regex(error?.allowed ?? '', /list of names/);
@@ -295,13 +295,13 @@
 });
 
 test('a home region without any zone is reported with its key and the existing regions', (t) => {
-  t.is(findUnknownHome(configurationOf(1, ['a'], ['a', 'b'], []), PLACES), undefined);
-  const error = findUnknownHome(configurationOf(1, ['a'], ['a', 'c']), PLACES);
+  t.is(findUnknownRegion(configurationOf(1, ['a'], ['a', 'b'], []), PLACES), undefined);
+  const error = findUnknownRegion(configurationOf(1, ['a'], ['a', 'c']), PLACES);
   t.is(error?.key, 'routes.r1.allowedRegions');
   t.is(error?.found, '"c"');
   t.is(error?.allowed, 'a, b');
   t.regex(
-    findUnknownHome(configurationOf(1, ['a']), new Places(new Map()))?.message ?? '',
+    findUnknownRegion(configurationOf(1, ['a']), new ZoneTopology(new Map()))?.message ?? '',
     /settings name no places/,
   );
 });
--- a/test/homes.test.ts
+++ b/test/homes.test.ts
@@ -7,7 +7,7 @@
 import { SeededRandom } from '../src/random.js';
 import { DEFAULT_CALLER_LIMITS } from '../src/routing/configuration.js';
 import type { Tenant } from '../src/routing/configuration.js';
-import { NamedHomes } from '../src/routing/named-homes.js';
+import { RegionRestrictions } from '../src/routing/named-homes.js';
 import { RoutingTable } from '../src/routing/routing-table.js';
 import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
 
@@ -21,13 +21,13 @@
 function regionsOf(
   routes: Record<string, readonly string[] | null>,
   tenants: Record<string, readonly string[] | null> = {},
-): NamedHomes {
+): RegionRestrictions {
   const entries = (lists: typeof routes) =>
     Object.entries(lists).map(([name, regions]) => ({
       name,
       allowedRegions: regions ?? undefined,
     }));
-  return new NamedHomes({
+  return new RegionRestrictions({
     routes: entries(routes).map((entry) => routeOf(entry)),
     tenants: entries(tenants).map((entry) => tenantOf(entry)),
   });
@@ -38,7 +38,10 @@
   return { ...base, allowedRegions: undefined, ...changes };
 }
 
-function worldOf(homes: NamedHomes, ...backends: Parameters<typeof backendOf>[]): GatewayWorld {
+function worldOf(
+  homes: RegionRestrictions,
+  ...backends: Parameters<typeof backendOf>[]
+): GatewayWorld {
   const world = new GatewayWorld();
   REGIONS.forEach((region, zone) => world.regions.set(zone, region));
   world.homes = homes;
@@ -76,8 +79,8 @@
     routeOf({ name: 'r', allowedRegions: ['a', 'b'] }),
     routeOf({ name: 'r', pathPrefix: '/b/', allowedRegions: ['b', 'c'] }),
   ];
-  const homes = new NamedHomes({ routes, tenants: [] });
-  t.deepEqual(homes.allowed({ route: 'r', tenant: undefined }), new Set(['b']));
+  const homes = new RegionRestrictions({ routes, tenants: [] });
+  t.deepEqual(homes.allowedRegionsOf({ route: 'r', tenant: undefined }), new Set(['b']));
 });
 
 test('a waiting request is sent only to regions that a newer configuration allows', (t) => {
@@ -324,7 +327,7 @@
         for (; checked < world.attempts.length; checked += 1) {
           const { backend, path } = world.attempts[checked]!;
           const tenant = path === TENANT_PATH ? 't' : undefined;
-          const allowed = world.homes!.allowed({ route: 'r', tenant });
+          const allowed = world.homes!.allowedRegionsOf({ route: 'r', tenant });
           const region = REGIONS.get(backend.zone) ?? 'nowhere';
           if (allowed !== undefined && !allowed.has(region)) {
             throw new Error(`sent to region ${region}; allowed regions: ${[...allowed].join()}`);
--- a/test/regions.test.ts
+++ b/test/regions.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import { RoundTrip } from '../src/round-trip.js';
-import { Places } from '../src/routing/places.js';
+import { ZoneTopology } from '../src/routing/places.js';
 import { UnknownZones } from '../src/routing/unknown-zones.js';
 import type { EngineAvailability } from '../src/slot-agent/engine-watch.js';
 import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
@@ -220,9 +220,9 @@
 });
 
 test('an unknown zone is reported once, and never if the settings define no zones', (t) => {
-  const zones = new UnknownZones(new Places(new Map([['z', 'north']])));
-  t.false(zones.isNews('z'));
-  t.true(zones.isNews('elsewhere'));
-  t.false(zones.isNews('elsewhere'));
-  t.false(new UnknownZones(new Places(new Map())).isNews('elsewhere'));
+  const zones = new UnknownZones(new ZoneTopology(new Map([['z', 'north']])));
+  t.false(zones.recordIfUnknown('z'));
+  t.true(zones.recordIfUnknown('elsewhere'));
+  t.false(zones.recordIfUnknown('elsewhere'));
+  t.false(new UnknownZones(new ZoneTopology(new Map())).recordIfUnknown('elsewhere'));
 });
--- a/test/replica.test.ts
+++ b/test/replica.test.ts
@@ -9,7 +9,7 @@
 import type { StoreRecord } from '../src/cluster/replicated-records.js';
 import { MessageChannel } from '../src/protocol/message-channel.js';
 import { SeededRandom } from '../src/random.js';
-import { Places } from '../src/routing/places.js';
+import { ZoneTopology } from '../src/routing/places.js';
 import { SlotAgentMetrics } from '../src/slot-agent/slot-agent-metrics.js';
 import { SlotAgentRole } from '../src/slot-agent/slot-agent-role.js';
 import { DecisionLog } from '../src/telemetry/decision-log.js';
@@ -186,7 +186,7 @@
   const agent = new SlotAgentRole({
     limits: { coldOver: 1, coldSlack: 0 },
     identity: { name: 'agent', engine: { address: `${HOST}:1`, zone: 'z' }, seeds },
-    places: new Places(new Map()),
+    places: new ZoneTopology(new Map()),
     decode: () => ({ kind: 'irrelevant' }),
     readReport: () => Promise.resolve({ kind: 'load', requests: 0 }),
     clock: SYSTEM_CLOCK,
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -168,7 +168,7 @@
     },
     clock,
   );
-  rollouts.takeOrder(order);
+  rollouts.applyOrder(order);
   return rollouts;
 }
 
@@ -181,32 +181,41 @@
   for (let index = 0; index < 100; index += 1) {
     rollouts.noteSent(OLD_BACKEND);
   }
-  t.is(rollouts.useOf(NEW_BACKEND), 'limited');
-  t.false(rollouts.takeRemoval('s', at(ORDER.revision - 1)));
-  t.true(rollouts.takeRemoval('s', at(ORDER.revision + 1)));
-  t.deepEqual([rollouts.useOf(OLD_BACKEND), rollouts.useOf(NEW_BACKEND)], ['open', 'closed']);
+  t.is(rollouts.versionUse(NEW_BACKEND), 'limited');
+  t.false(rollouts.applyOrderRemoval('s', at(ORDER.revision - 1)));
+  t.true(rollouts.applyOrderRemoval('s', at(ORDER.revision + 1)));
+  t.deepEqual(
+    [rollouts.versionUse(OLD_BACKEND), rollouts.versionUse(NEW_BACKEND)],
+    ['open', 'closed'],
+  );
   t.is(rollouts.tell(), undefined);
   ready.others = 0;
-  t.is(rollouts.useOf(NEW_BACKEND), 'open');
-  rollouts.takeOrder({ ...ORDER, ...at(ORDER.revision + 2) });
+  t.is(rollouts.versionUse(NEW_BACKEND), 'open');
+  rollouts.applyOrder({ ...ORDER, ...at(ORDER.revision + 2) });
   t.not(rollouts.tell(), undefined);
 });
 
 test('removing the order of a completed roll-out opens every version', (t) => {
   const rollouts = rolloutsWith({ target: 1, others: 1 });
-  rollouts.takeStatus({ ...ORDER, state: 'completed', ...at(6) });
-  t.deepEqual([rollouts.useOf(OLD_BACKEND), rollouts.useOf(NEW_BACKEND)], ['closed', 'open']);
-  rollouts.takeRemoval('s', at(7));
-  t.deepEqual([rollouts.useOf(OLD_BACKEND), rollouts.useOf(NEW_BACKEND)], ['open', 'open']);
+  rollouts.applyStatus({ ...ORDER, state: 'completed', ...at(6) });
+  t.deepEqual(
+    [rollouts.versionUse(OLD_BACKEND), rollouts.versionUse(NEW_BACKEND)],
+    ['closed', 'open'],
+  );
+  rollouts.applyOrderRemoval('s', at(7));
+  t.deepEqual(
+    [rollouts.versionUse(OLD_BACKEND), rollouts.versionUse(NEW_BACKEND)],
+    ['open', 'open'],
+  );
 });
 
 test('the old version is used if all back ends of the new one are in evacuated zones', (t) => {
   const ready = { target: 0, others: 1 };
   const rollouts = rolloutsWith(ready);
-  rollouts.takeStatus({ ...ORDER, state: 'completed', ...at(6) });
-  t.is(rollouts.useOf(OLD_BACKEND), 'open');
+  rollouts.applyStatus({ ...ORDER, state: 'completed', ...at(6) });
+  t.is(rollouts.versionUse(OLD_BACKEND), 'open');
   ready.target = 1;
-  t.is(rollouts.useOf(OLD_BACKEND), 'closed');
+  t.is(rollouts.versionUse(OLD_BACKEND), 'closed');
 });
 
 test('back ends in evacuated zones do not count as ready back ends of a version', (t) => {
@@ -225,13 +234,13 @@
     countGateways: () => 1,
     isEvacuated: (zone) => world.isEvacuated(zone),
   });
-  rollouts.takeOrder(ORDER);
-  rollouts.takeStatus({ ...ORDER, state: 'completed', ...at(6) });
-  t.is(rollouts.useOf(OLD_BACKEND), 'closed');
+  rollouts.applyOrder(ORDER);
+  rollouts.applyStatus({ ...ORDER, state: 'completed', ...at(6) });
+  t.is(rollouts.versionUse(OLD_BACKEND), 'closed');
   world.order('zb', true);
-  t.is(rollouts.useOf(OLD_BACKEND), 'closed');
+  t.is(rollouts.versionUse(OLD_BACKEND), 'closed');
   world.order('za', true);
-  t.is(rollouts.useOf(OLD_BACKEND), 'open');
+  t.is(rollouts.versionUse(OLD_BACKEND), 'open');
 });
 
 test('roll-out orders and states are decoded and encoded in the platform’s format', (t) => {
@@ -257,10 +266,10 @@
 test('a roll-out continues if its order is rewritten after the store was restored from a copy', (t) => {
   const order = { ...ORDER, ...at(5, 1) };
   const rollouts = rolloutsWith({ target: 1, others: 1 }, order);
-  rollouts.takeStatus({ ...order, state: 'rolled-back', ...at(7, 1) });
-  t.false(rollouts.takeOrder({ ...order, ...at(4, 2) }));
-  t.is(rollouts.useOf(NEW_BACKEND), 'closed');
-  t.true(rollouts.takeOrder({ ...order, targetVersion: 'v3', ...at(6, 2) }));
+  rollouts.applyStatus({ ...order, state: 'rolled-back', ...at(7, 1) });
+  t.false(rollouts.applyOrder({ ...order, ...at(4, 2) }));
+  t.is(rollouts.versionUse(NEW_BACKEND), 'closed');
+  t.true(rollouts.applyOrder({ ...order, targetVersion: 'v3', ...at(6, 2) }));
 });
 
 test('a state lost by the store is rewritten, conditional on the position the store holds', async (t) => {
@@ -269,21 +278,21 @@
   const clock = new VirtualClock();
   const write = (state: RolloutState, follows: StorePosition) => written.push([state, follows]);
   const rollouts = rolloutsWith({ target: 1, others: 1 }, order, write, clock);
-  rollouts.takeStatus({ ...order, state: 'completed', ...at(9, 1) });
+  rollouts.applyStatus({ ...order, state: 'completed', ...at(9, 1) });
   rollouts.tick();
   t.deepEqual(written, []);
-  rollouts.takeOrder({ ...order, ...at(5, 2) });
-  rollouts.takeStatus({ ...order, state: 'in-progress', ...at(6, 2) });
+  rollouts.applyOrder({ ...order, ...at(5, 2) });
+  rollouts.applyStatus({ ...order, state: 'in-progress', ...at(6, 2) });
   rollouts.tick();
   t.deepEqual(written, [['completed', at(6, 2)]]);
   await new Promise((resolve) => setImmediate(resolve));
-  t.is(rollouts.useOf(OLD_BACKEND), 'closed');
-  rollouts.takeStatus({ ...order, state: 'completed', ...at(8, 2) });
-  rollouts.takeStatusRemoval('s', at(8, 2));
+  t.is(rollouts.versionUse(OLD_BACKEND), 'closed');
+  rollouts.applyStatus({ ...order, state: 'completed', ...at(8, 2) });
+  rollouts.applyStatusRemoval('s', at(8, 2));
   await clock.runUntil(2_000);
   rollouts.tick();
   t.is(written.length, 1);
-  rollouts.takeStatusRemoval('s', at(4, 3));
+  rollouts.applyStatusRemoval('s', at(4, 3));
   rollouts.tick();
   t.deepEqual(written.at(-1), ['completed', at(0, 2)]);
 });
--- a/test/routing-table.test.ts
+++ b/test/routing-table.test.ts
@@ -61,8 +61,8 @@
 });
 
 test('an API key identifies its tenant', (t) => {
-  t.is(tableOf([]).findTenant('k')?.name, 't');
-  t.is(tableOf([]).findTenant('other'), undefined);
+  t.is(tableOf([]).findTenantByKey('k')?.name, 't');
+  t.is(tableOf([]).findTenantByKey('other'), undefined);
 });
 
 test('services are picked in proportion to their weights', (t) => {
--- a/test/slot-agent-role.test.ts
+++ b/test/slot-agent-role.test.ts
@@ -4,7 +4,7 @@
 import { SYSTEM_CLOCK } from '../src/clock.js';
 import { MessageChannel } from '../src/protocol/message-channel.js';
 import { SeededRandom } from '../src/random.js';
-import { Places } from '../src/routing/places.js';
+import { ZoneTopology } from '../src/routing/places.js';
 import { SlotAgentMetrics } from '../src/slot-agent/slot-agent-metrics.js';
 import { DEFAULT_SLOT_AGENT_OPTIONS, SlotAgentRole } from '../src/slot-agent/slot-agent-role.js';
 import type { AgentToGateway, GatewayToAgent } from '../src/slot-agent/slot-messages.js';
@@ -33,7 +33,7 @@
     {
       limits: { coldOver: 1, coldSlack: 0 },
       identity: { name: 'agent', engine: { address: `${HOST}:1`, zone: 'z' }, seeds: [] },
-      places: new Places(new Map()),
+      places: new ZoneTopology(new Map()),
       decode: ({ key, epoch, revision, value }) => ({
         kind: 'evacuation',
         change: { zone: key, isOrdered: value !== undefined, epoch, revision },
--- a/test/support/gateway.ts
+++ b/test/support/gateway.ts
@@ -32,8 +32,8 @@
 import type { RestrictionReason } from '../../src/routing/backend-restriction.js';
 import type { Backend } from '../../src/routing/backend.js';
 import type { Route } from '../../src/routing/configuration.js';
-import type { NamedHomes } from '../../src/routing/named-homes.js';
-import { Places } from '../../src/routing/places.js';
+import type { RegionRestrictions } from '../../src/routing/named-homes.js';
+import { ZoneTopology } from '../../src/routing/places.js';
 import { VirtualClock } from '../../src/sim/virtual-clock.js';
 import type { SlotMessage } from '../../src/slot-agent/slot-messages.js';
 import { at } from './positions.js';
@@ -153,7 +153,7 @@
   readonly ended: Array<[AcceptedRequest, RequestEnd]> = [];
   readonly regions = new Map<string, string>();
   readonly directory = new BackendDirectory(
-    { name: 'g', zone: 'z', places: new Places(this.regions) },
+    { name: 'g', zone: 'z', places: new ZoneTopology(this.regions) },
     this,
   );
   readonly dispatcher = new Dispatcher(this.directory, this);
@@ -169,7 +169,7 @@
    * Home regions of the configuration in force; undefined leaves the regions of each request
    * unchanged.
    */
-  homes: NamedHomes | undefined;
+  homes: RegionRestrictions | undefined;
   version = 1;
   /** Reasons for which requests were not sent to backends, in order. */
   readonly kept: RestrictionReason[] = [];
--- a/test/support/quota-fleet.ts
+++ b/test/support/quota-fleet.ts
@@ -19,7 +19,7 @@
 import type { RandomSource } from '../../src/random.js';
 import { SeededRandom } from '../../src/random.js';
 import type { TenantQuota } from '../../src/routing/configuration.js';
-import { Places } from '../../src/routing/places.js';
+import { ZoneTopology } from '../../src/routing/places.js';
 import type { DecisionLog } from '../../src/telemetry/decision-log.js';
 import { HeapClock } from './heap-clock.js';
 import { at } from './positions.js';
@@ -283,7 +283,7 @@
   readonly random: RandomSource;
   readonly gateways: FleetGateway[];
   readonly fault: QuotaFleetFault;
-  readonly places = new Places(new Map([0, 1, 2].map((zone) => [`z${zone}`, 'r'])));
+  readonly places = new ZoneTopology(new Map([0, 1, 2].map((zone) => [`z${zone}`, 'r'])));
   readonly quotas = new Map([
     ['greedy', FLEET_QUOTA],
     ['calm', FLEET_QUOTA],
--- a/test/support/rollout-fleet.ts
+++ b/test/support/rollout-fleet.ts
@@ -125,9 +125,9 @@
       },
       this.clock,
     );
-    rollouts.takeOrder(this.order);
+    rollouts.applyOrder(this.order);
     if (this.status !== undefined) {
-      rollouts.takeStatus(this.status);
+      rollouts.applyStatus(this.status);
     }
     return rollouts;
   }
@@ -154,7 +154,7 @@
     }
     const { status } = this;
     this.clock.setTimeout(() => {
-      this.gateways.forEach((gateway) => gateway.takeStatus(status));
+      this.gateways.forEach((gateway) => gateway.applyStatus(status));
     }, STORE_DELAY_MS);
     return Promise.resolve(ok(at(this.revision)));
   }
@@ -184,7 +184,7 @@
 
   private send(): void {
     const gateway = this.gateways[Math.floor(this.random.next() * GATEWAYS)]!;
-    const isTarget = gateway.useOf(NEW_BACKEND) !== 'closed' && this.prefersTarget(gateway);
+    const isTarget = gateway.versionUse(NEW_BACKEND) !== 'closed' && this.prefersTarget(gateway);
     const backend = isTarget ? NEW_BACKEND : OLD_BACKEND;
     const route = ROUTES[Math.floor(this.random.next() * ROUTES.length)]!;
     const nowMs = this.clock.now();
@@ -213,6 +213,8 @@
   }
 
   private prefersTarget(gateway: Rollouts): boolean {
-    return gateway.useOf(NEW_BACKEND) === 'limited' || gateway.useOf(OLD_BACKEND) === 'closed';
+    return (
+      gateway.versionUse(NEW_BACKEND) === 'limited' || gateway.versionUse(OLD_BACKEND) === 'closed'
+    );
   }
 }
--- a/test/zone-evacuation.test.ts
+++ b/test/zone-evacuation.test.ts
@@ -5,7 +5,7 @@
 import { BackendDirectory } from '../src/gateway/dispatch/backend-directory.js';
 import { SlotSupply } from '../src/gateway/dispatch/slot-supply.js';
 import { GatewayEvacuations } from '../src/gateway/gateway-evacuations.js';
-import { Places } from '../src/routing/places.js';
+import { ZoneTopology } from '../src/routing/places.js';
 import type { SlotAnswer, SlotDemand } from '../src/slot-agent/slot-messages.js';
 import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
 import { at } from './support/positions.js';
@@ -367,7 +367,7 @@
   const evacuations = new GatewayEvacuations({
     directory: world.directory,
     dispatcher: world.dispatcher,
-    places: new Places(new Map([['za', 'east']])),
+    places: new ZoneTopology(new Map([['za', 'east']])),
     clock: world.clock,
     log: { write: (event, _priority, fields) => void lines.push({ event, ...fields }) },
     storeAgeMs: () => 40,
