--- a/src/bin/run-process.ts
+++ b/src/bin/run-process.ts
@@ -10,7 +10,7 @@
 import { ZoneTopology } from '../routing/places.js';
 import { SlotAgentMetrics } from '../slot-agent/slot-agent-metrics.js';
 import { SlotAgentRole } from '../slot-agent/slot-agent-role.js';
-import type { EngineReport } from '../slot-agent/slot-agent-role.js';
+import type { EngineProbe } from '../slot-agent/slot-agent-role.js';
 import { DecisionLog } from '../telemetry/decision-log.js';
 
 /** What a platform supplies to a process. */
@@ -20,7 +20,7 @@
   /** Makes the adapter to the platform whose store is at `storeAddress` (IP:PORT). */
   createAdapter(storeAddress: string, storeTimeoutMs: number): GatewayAdapter;
   /** Makes the look at the report of the engine at `address` (IP:PORT). */
-  createEngineReport(address: string): EngineReport;
+  createEngineReport(address: string): EngineProbe;
 }
 
 const EXIT_BAD_SETTINGS = 2;
@@ -78,7 +78,7 @@
     places: new ZoneTopology(places.zones),
     limits,
     decode,
-    readReport: parts.createEngineReport(engine.address),
+    probeEngine: parts.createEngineReport(engine.address),
     clock: SYSTEM_CLOCK,
     random: createRandom(),
     log,
--- a/src/gateway/configuration-in-force.ts
+++ b/src/gateway/configuration-in-force.ts
@@ -3,7 +3,7 @@
 import { DEFAULT_CALLER_LIMITS } from '../routing/configuration.js';
 import type { CallerLimits, RoutingConfiguration, Service } from '../routing/configuration.js';
 import type { RegionRestrictions } from '../routing/named-homes.js';
-import type { ColdStartHello } from '../slot-agent/slot-messages.js';
+import type { ColdStartSettings } from '../slot-agent/slot-messages.js';
 import { RoutingTable } from '../routing/routing-table.js';
 
 /** The newest routing configuration that this gateway has received. */
@@ -60,7 +60,7 @@
   }
 
   /** The cold-start settings that are sent to the agents of the service's backends. */
-  coldStartHello(service: string): ColdStartHello | undefined {
+  coldStartHello(service: string): ColdStartSettings | undefined {
     const coldStart = this.coldStartOf(service);
     if (coldStart === undefined) {
       return undefined;
--- a/src/gateway/dispatch/agent-homes.ts
+++ b/src/gateway/dispatch/agent-homes.ts
@@ -8,13 +8,13 @@
 import type { AllowedRegions } from '../../routing/backend-restriction.js';
 import type { RouteAndTenant } from '../../routing/named-homes.js';
 import { isAccepted } from '../../routing/place-matching.js';
-import type { AgentHomes } from '../../slot-agent/slot-messages.js';
+import type { AgentRegionInfo } from '../../slot-agent/slot-messages.js';
 
 /**
  * Whether the agent reports the engine in a region that is none of the request's allowed regions.
  */
 export function isOutsideAllowedRegions(
-  agentHomes: AgentHomes | undefined,
+  agentHomes: AgentRegionInfo | undefined,
   allowedRegions: AllowedRegions,
 ): boolean {
   if (agentHomes === undefined || allowedRegions === undefined) {
@@ -38,7 +38,7 @@
  * @param version - version of the configuration in force at this gateway; undefined where none is
  */
 export function requiresGrant(
-  agentHomes: AgentHomes | undefined,
+  agentHomes: AgentRegionInfo | undefined,
   version: number | undefined,
 ): boolean {
   return agentHomes !== undefined && version !== undefined && agentHomes.configuration > version;
--- a/src/gateway/dispatch/cold-starts.ts
+++ b/src/gateway/dispatch/cold-starts.ts
@@ -6,7 +6,7 @@
  * agent counts. Without an agent, all gateways together stay within the part of the limit that
  * agents leave, each within its own share.
  */
-import { GRANT_LIFE_MS } from '../../slot-agent/start-limiter.js';
+import { GRANT_LIFETIME_MS } from '../../slot-agent/start-limiter.js';
 import { StartWindow } from '../../slot-agent/start-window.js';
 import type { ColdStartBound, ColdPeriod } from '../../routing/cold-start.js';
 import type { KnownBackend } from './known-backend.js';
@@ -120,7 +120,7 @@
    */
   isStaleGrant(known: KnownBackend, heardAtMs: number | undefined, nowMs: number): boolean {
     return (
-      heardAtMs !== undefined && nowMs - heardAtMs > GRANT_LIFE_MS && this.hasStartLimit(known)
+      heardAtMs !== undefined && nowMs - heardAtMs > GRANT_LIFETIME_MS && this.hasStartLimit(known)
     );
   }
 
--- a/src/gateway/dispatch/dispatch-request.ts
+++ b/src/gateway/dispatch/dispatch-request.ts
@@ -2,10 +2,10 @@
 import type { Backend } from '../../routing/backend.js';
 import type { AllowedRegions } from '../../routing/backend-restriction.js';
 import type { RouteAndTenant } from '../../routing/named-homes.js';
-import type { WaitingPlace } from '../../slot-agent/waiting-order.js';
+import type { WaitingPriority } from '../../slot-agent/waiting-order.js';
 
 /** A request that needs a backend. */
-export interface DispatchRequest extends WaitingPlace {
+export interface DispatchRequest extends WaitingPriority {
   readonly service: string;
   /**
    * Regions in which the request may be served, by the configuration in force at each access;
--- a/src/gateway/dispatch/dispatcher.ts
+++ b/src/gateway/dispatch/dispatcher.ts
@@ -16,9 +16,9 @@
 import type { Backend } from '../../routing/backend.js';
 import type { RestrictionReason } from '../../routing/backend-restriction.js';
 import type {
-  SlotAnswer,
+  AgentSlotMessage,
   SlotGranted,
-  SlotMessage,
+  GatewaySlotMessage,
   SlotReleased,
 } from '../../slot-agent/slot-messages.js';
 import type { EngineAvailability } from '../../slot-agent/engine-watch.js';
@@ -48,7 +48,7 @@
 /** Dependencies of a dispatcher. */
 export interface DispatcherPorts extends BackendPickerPorts {
   /** Sends a message to the agent of a backend. */
-  sendToAgent(backendId: string, message: SlotMessage): void;
+  sendToAgent(backendId: string, message: GatewaySlotMessage): void;
   /** Called when a request was bound to a backend and is sent there. */
   onSent(backend: Backend): void;
   /** Called when a backend was ejected for its failures. */
@@ -346,7 +346,7 @@
   }
 
   /** Handles a message from the agent of a backend. */
-  receiveFromAgent(backendId: string, message: SlotAnswer, nowMs: number): void {
+  receiveFromAgent(backendId: string, message: AgentSlotMessage, nowMs: number): void {
     const known = this.directory.find(backendId);
     if (known?.agent === undefined) {
       return;
@@ -533,7 +533,7 @@
     }
   }
 
-  private sendToAgent(backendId: string, known: KnownBackend, message: SlotMessage): void {
+  private sendToAgent(backendId: string, known: KnownBackend, message: GatewaySlotMessage): void {
     if (known.agent !== undefined) {
       known.agent.messagesSent += 1;
       this.ports.sendToAgent(backendId, message);
--- a/src/gateway/dispatch/engine-speed.ts
+++ b/src/gateway/dispatch/engine-speed.ts
@@ -1,5 +1,5 @@
 /** Learned speed of one engine: prompt processing, and the interval between events. */
-import type { LearnedSpeed, PrefillSpeed } from '../../slot-agent/slot-messages.js';
+import type { SpeedEstimates, PrefillSpeed } from '../../slot-agent/slot-messages.js';
 import { predictFirstEventMs, PrefillEstimate } from './prefill-estimate.js';
 
 /**
@@ -39,12 +39,12 @@
     return this.prefillEstimate.learned;
   }
 
-  get learned(): LearnedSpeed {
+  get learned(): SpeedEstimates {
     return { prefill: this.prefill, eventMs: this.eventMs };
   }
 
   /** Adopts the estimates of other gateways for values without a sample of its own. */
-  adoptLearned(learned: LearnedSpeed): void {
+  adoptLearned(learned: SpeedEstimates): void {
     this.prefillEstimate.adopt(learned.prefill);
     this.eventMs ??= learned.eventMs;
   }
--- a/src/gateway/dispatch/known-backend.ts
+++ b/src/gateway/dispatch/known-backend.ts
@@ -1,11 +1,11 @@
 /** State that a gateway tracks for one backend: its announcement, health, speed and slots. */
 import type { Backend } from '../../routing/backend.js';
 import type { EngineAvailability } from '../../slot-agent/engine-watch.js';
-import type { GrantsOnly } from '../../slot-agent/start-limiter.js';
+import type { GrantsOnlyReason } from '../../slot-agent/start-limiter.js';
 import { ColdStartTracker } from '../../routing/cold-start.js';
 import type { Distance } from '../../routing/places.js';
 import { RoundTrip } from '../../round-trip.js';
-import type { AgentHomes, LearnedSpeed } from '../../slot-agent/slot-messages.js';
+import type { AgentRegionInfo, SpeedEstimates } from '../../slot-agent/slot-messages.js';
 import { FailureEstimate } from '../../slot-agent/failure-estimate.js';
 import { BackendCondition } from '../statements/backend-condition.js';
 import { BackendHealth } from './backend-health.js';
@@ -44,12 +44,12 @@
    * Region and configuration version from the agent's last state message; undefined while its
    * configuration defines no homes.
    */
-  homes?: AgentHomes | undefined;
+  homes?: AgentRegionInfo | undefined;
   /**
    * Why free slots are available by grant only, from the agent's last state message; undefined
    * while they may be taken without one. Ignored for services without a start rate limit.
    */
-  grantsOnly: GrantsOnly | undefined;
+  grantsOnly: GrantsOnlyReason | undefined;
 }
 
 /** Tracks one backend. */
@@ -159,7 +159,7 @@
 
   /** Records that a request of this gateway succeeded or failed there. */
   noteOutcome(hasFailed: boolean, nowMs: number): void {
-    this.ownFailureRate.note(hasFailed, nowMs);
+    this.ownFailureRate.recordOutcome(hasFailed, nowMs);
   }
 
   /**
@@ -185,12 +185,12 @@
     this.learnedMsPerUnit = known + SPEED_SMOOTHING * (sample - known);
   }
 
-  get learned(): LearnedSpeed {
+  get learned(): SpeedEstimates {
     return { ...this.speed.learned, msPerUnit: this.learnedMsPerUnit };
   }
 
   /** Adopts the estimates of other gateways for values without a sample of its own. */
-  adopt(learned: LearnedSpeed): void {
+  adopt(learned: SpeedEstimates): void {
     this.speed.adoptLearned(learned);
     this.learnedMsPerUnit ??= learned.msPerUnit;
   }
--- a/src/gateway/dispatch/service-queue.ts
+++ b/src/gateway/dispatch/service-queue.ts
@@ -1,6 +1,6 @@
 /** The queue of one service, with wait estimates. */
 import { isLate } from '../../slot-agent/waiting-order.js';
-import type { WaitingPlace } from '../../slot-agent/waiting-order.js';
+import type { WaitingPriority } from '../../slot-agent/waiting-order.js';
 import type { DispatchRequest } from './dispatch-request.js';
 import { SlotSupply } from './slot-supply.js';
 import { WaitingQueue } from './waiting-queue.js';
@@ -62,7 +62,7 @@
    * Returns the expected time until a request is bound, in milliseconds; Infinity if more urgent
    * requests take every slot.
    */
-  expectedWaitMs(request: WaitingPlace, nowMs: number): number {
+  expectedWaitMs(request: WaitingPriority, nowMs: number): number {
     const ahead = this.queue.countBefore(request, nowMs);
     return this.supply.expectedWaitMs(request, ahead, isLate(request, nowMs), nowMs);
   }
@@ -71,7 +71,7 @@
    * Like `expectedWaitMs`, for the time when the request is late and queued behind those that are
    * not.
    */
-  expectedLateWaitMs(request: WaitingPlace, nowMs: number): number {
+  expectedLateWaitMs(request: WaitingPriority, nowMs: number): number {
     return this.expectedWaitMs({ ...request, startByMs: -Infinity }, nowMs);
   }
 
@@ -80,7 +80,7 @@
    * urgent requests take every slot, the shortage is expected to last as long as it has lasted so
    * far.
    */
-  expectedRecoveryMs(request: WaitingPlace, nowMs: number): number {
+  expectedRecoveryMs(request: WaitingPriority, nowMs: number): number {
     const waitMs = this.expectedLateWaitMs(request, nowMs);
     return Number.isFinite(waitMs) ? waitMs : this.supply.busyForMs(nowMs);
   }
--- a/src/gateway/dispatch/slot-supply.ts
+++ b/src/gateway/dispatch/slot-supply.ts
@@ -2,8 +2,8 @@
  * Estimates the rate at which a service supplies slots to this gateway while requests wait, and the
  * rate at which requests arrive; both determine the expected wait for a queue position.
  */
-import { rankOf } from '../../slot-agent/waiting-order.js';
-import type { WaitingPlace } from '../../slot-agent/waiting-order.js';
+import { effectiveRank } from '../../slot-agent/waiting-order.js';
+import type { WaitingPriority } from '../../slot-agent/waiting-order.js';
 import { DecayedSum } from '../../decayed-sum.js';
 
 /**
@@ -40,7 +40,7 @@
   private maxPerMs: number | undefined;
 
   /** Records the arrival of a request that can be answered in time. */
-  noteArrival({ tier, rankInTier }: WaitingPlace, nowMs: number): void {
+  noteArrival({ tier, rankInTier }: WaitingPriority, nowMs: number): void {
     let rank = this.arrivals.find((one) => one.tier === tier && one.rankInTier === rankInTier);
     if (rank === undefined) {
       rank = { tier, rankInTier, count: new DecayedSum(RATE_DECAY_MS) };
@@ -106,8 +106,8 @@
   }
 
   /** Returns the rate per millisecond of arrivals that are ordered before `place`. */
-  arrivalsPerMsBefore(place: WaitingPlace, isLate: boolean, nowMs: number): number {
-    const rank = rankOf(place, isLate);
+  arrivalsPerMsBefore(place: WaitingPriority, isLate: boolean, nowMs: number): number {
+    const rank = effectiveRank(place, isLate);
     const before = this.arrivals.filter(
       ({ tier, rankInTier }) => tier < place.tier || (tier === place.tier && rankInTier < rank),
     );
@@ -118,7 +118,7 @@
    * Returns the expected wait of a place behind `ahead` others, in milliseconds; 0 before there is
    * an estimate, Infinity when requests ordered before it take every slot.
    */
-  expectedWaitMs(place: WaitingPlace, ahead: number, isLate: boolean, nowMs: number): number {
+  expectedWaitMs(place: WaitingPriority, ahead: number, isLate: boolean, nowMs: number): number {
     const slotsPerMs = this.slotsPerMs(nowMs);
     if (slotsPerMs === undefined) {
       return 0;
--- a/src/gateway/dispatch/stated-homes.ts
+++ b/src/gateway/dispatch/stated-homes.ts
@@ -1,5 +1,5 @@
 /** The home fields of a request in messages to slot agents. */
-import type { StatedHomes } from '../../slot-agent/slot-messages.js';
+import type { RegionConstraints } from '../../slot-agent/slot-messages.js';
 import type { DispatchRequest } from './dispatch-request.js';
 import type { SlotAgentLink } from './known-backend.js';
 
@@ -13,7 +13,7 @@
 export function homeFieldsOf(
   { allowedRegions, homeOwner }: DispatchRequest,
   agent: SlotAgentLink,
-): StatedHomes {
+): RegionConstraints {
   const includesOwner = homeOwner !== undefined && agent.homes !== undefined;
   return {
     ...(allowedRegions === undefined ? {} : { allowedRegions: [...allowedRegions] }),
--- a/src/gateway/dispatch/waiting-queue.ts
+++ b/src/gateway/dispatch/waiting-queue.ts
@@ -1,6 +1,6 @@
 /** The waiting requests of one service, in order. */
-import { compareWaiting } from '../../slot-agent/waiting-order.js';
-import type { WaitingPlace } from '../../slot-agent/waiting-order.js';
+import { compareWaitingPriority } from '../../slot-agent/waiting-order.js';
+import type { WaitingPriority } from '../../slot-agent/waiting-order.js';
 import type { DispatchRequest } from './dispatch-request.js';
 
 /** Queues the waiting requests of one service. */
@@ -28,12 +28,12 @@
   /** Returns the requests in queue order. */
   inOrder(nowMs: number): readonly DispatchRequest[] {
     // The array is nearly sorted: only new requests and those that became late are out of place.
-    this.requests.sort((left, right) => compareWaiting(left, right, nowMs));
+    this.requests.sort((left, right) => compareWaitingPriority(left, right, nowMs));
     return [...this.requests];
   }
 
   /** Returns the number of requests ordered before `place`. */
-  countBefore(place: WaitingPlace, nowMs: number): number {
-    return this.requests.filter((other) => compareWaiting(other, place, nowMs) < 0).length;
+  countBefore(place: WaitingPriority, nowMs: number): number {
+    return this.requests.filter((other) => compareWaitingPriority(other, place, nowMs) < 0).length;
   }
 }
--- a/src/gateway/links/slot-agent-links.ts
+++ b/src/gateway/links/slot-agent-links.ts
@@ -8,7 +8,7 @@
 import type {
   AgentRefusal,
   AgentToGateway,
-  ColdStartHello,
+  ColdStartSettings,
   GatewayToAgent,
 } from '../../slot-agent/slot-messages.js';
 import type { BackendDirectory } from '../dispatch/backend-directory.js';
@@ -102,7 +102,7 @@
     private readonly records: ReplicatedRecords,
     private readonly exchange: RecordExchange,
     private readonly isEngine: (service: string) => boolean,
-    private readonly coldStartOf: (service: string) => ColdStartHello | undefined,
+    private readonly coldStartOf: (service: string) => ColdStartSettings | undefined,
     private readonly onAgent: OnAgentConnection,
     private readonly clock: Clock,
     private readonly options: SlotAgentLinkOptions,
--- a/src/model/model-agent.ts
+++ b/src/model/model-agent.ts
@@ -1,10 +1,10 @@
 /** The agent beside a model engine: the ledger that agents run, with its timers, on the virtual clock. */
 import type { Clock } from '../clock.js';
 import { DEFAULT_SLOT_AGENT_OPTIONS } from '../slot-agent/slot-agent-role.js';
-import type { GatewaySilenceOptions } from '../slot-agent/gateway-account.js';
-import type { EngineReading } from '../slot-agent/engine-watch.js';
-import { SlotLedger } from '../slot-agent/slot-ledger.js';
-import type { SlotAnswer, SlotMessage } from '../slot-agent/slot-messages.js';
+import type { GatewayTimeoutOptions } from '../slot-agent/gateway-account.js';
+import type { EngineProbeResult } from '../slot-agent/engine-watch.js';
+import { SlotAllocator } from '../slot-agent/slot-ledger.js';
+import type { AgentSlotMessage, GatewaySlotMessage } from '../slot-agent/slot-messages.js';
 import type { BatchEngine } from './batch-engine.js';
 
 /** Time of a look at the engine on the same machine, in milliseconds. */
@@ -13,7 +13,7 @@
 /** A gateway's end of a connection to an agent. */
 export interface AgentPeer {
   /** Takes a message of the agent. */
-  receive(message: SlotAnswer): void;
+  receive(message: AgentSlotMessage): void;
   /** The agent ended the connection. */
   close(): void;
 }
@@ -21,7 +21,7 @@
 /** The agent beside one engine. */
 export class ModelAgent {
   private readonly peers = new Map<number, AgentPeer>();
-  private readonly ledger: SlotLedger;
+  private readonly ledger: SlotAllocator;
   private nextConnection = 1;
 
   constructor(
@@ -29,32 +29,38 @@
     private readonly clock: Clock,
     /** One way to a gateway, in milliseconds. */
     private readonly linkMs: number,
-    gatewaySilence?: GatewaySilenceOptions,
+    gatewaySilence?: GatewayTimeoutOptions,
   ) {
-    const { reportMs, beatMs, silenceCheckMs, tellMs } = DEFAULT_SLOT_AGENT_OPTIONS;
-    this.ledger = new SlotLedger(
+    const {
+      fastProbeIntervalMs: reportMs,
+      heartbeatIntervalMs: beatMs,
+      keepaliveCheckIntervalMs: silenceCheckMs,
+      stateBatchDelayMs: tellMs,
+    } = DEFAULT_SLOT_AGENT_OPTIONS;
+    this.ledger = new SlotAllocator(
       {
         send: (connection, message) => this.send(connection, message),
         onGranted: () => undefined,
-        onChangesToTell: () => clock.setTimeout(() => this.ledger.tellChanges(clock.now()), tellMs),
+        onChangesPending: () =>
+          clock.setTimeout(() => this.ledger.sendChanges(clock.now()), tellMs),
         onReconciled: () => undefined,
-        onLookWanted: () => clock.setTimeout(() => this.lookAtEngine(), LOOK_MS),
+        onProbeNeeded: () => clock.setTimeout(() => this.lookAtEngine(), LOOK_MS),
         onAvailability: () => undefined,
         restriction: () => undefined,
-        homesToTell: () => undefined,
+        regionInfo: () => undefined,
         onForbiddenTake: () => undefined,
         startRules: () => undefined,
-        onStartsHeld: () => undefined,
+        onStartsDelayed: () => undefined,
       },
       gatewaySilence,
     );
     this.repeat(silenceCheckMs, () => this.endSilent());
     this.repeat(reportMs, () => this.lookAtEngine());
-    this.repeat(beatMs, () => this.ledger.beat(beatMs, this.clock.now()));
+    this.repeat(beatMs, () => this.ledger.sendHeartbeat(beatMs, this.clock.now()));
   }
 
   /** A gateway opens a connection; returns what it sends messages by. */
-  connect(peer: AgentPeer): (message: SlotMessage) => void {
+  connect(peer: AgentPeer): (message: GatewaySlotMessage) => void {
     const connection = this.nextConnection;
     this.nextConnection += 1;
     this.peers.set(connection, peer);
@@ -66,12 +72,12 @@
       }, this.linkMs);
   }
 
-  private send(connection: number, message: SlotAnswer): void {
+  private send(connection: number, message: AgentSlotMessage): void {
     this.clock.setTimeout(() => this.peers.get(connection)?.receive(message), this.linkMs);
   }
 
   private endSilent(): void {
-    for (const connection of this.ledger.findSilent(this.clock.now())) {
+    for (const connection of this.ledger.findTimedOut(this.clock.now())) {
       const peer = this.peers.get(connection);
       this.peers.delete(connection);
       this.ledger.disconnect(connection, this.clock.now());
@@ -81,12 +87,12 @@
 
   private lookAtEngine(): void {
     const nowMs = this.clock.now();
-    if (this.ledger.needsReport(nowMs)) {
-      this.ledger.takeReading(this.readEngine(), nowMs);
+    if (this.ledger.needsProbe(nowMs)) {
+      this.ledger.applyProbeResult(this.readEngine(), nowMs);
     }
   }
 
-  private readEngine(): EngineReading {
+  private readEngine(): EngineProbeResult {
     return this.engine.isUp ? { kind: 'load', requests: this.engine.load } : { kind: 'closed' };
   }
 
--- a/src/model/model-fleet.ts
+++ b/src/model/model-fleet.ts
@@ -2,7 +2,7 @@
 import { NO_EPOCH } from '../cluster/store-position.js';
 import type { Clock } from '../clock.js';
 import type { RandomSource } from '../random.js';
-import type { GatewaySilenceOptions } from '../slot-agent/gateway-account.js';
+import type { GatewayTimeoutOptions } from '../slot-agent/gateway-account.js';
 import type { Backend } from '../routing/backend.js';
 import { BatchEngine } from './batch-engine.js';
 import type { Experiment } from './experiment.js';
@@ -38,7 +38,7 @@
   { fleet }: Experiment,
   clock: Clock,
   random: RandomSource,
-  gatewaySilence?: GatewaySilenceOptions,
+  gatewaySilence?: GatewayTimeoutOptions,
 ): ReadonlyMap<string, ModelBackend> {
   const backends = new Map<string, ModelBackend>();
   for (let index = 0; index < fleet.engines; index += 1) {
--- a/src/model/model-gateway.ts
+++ b/src/model/model-gateway.ts
@@ -20,7 +20,7 @@
 import type { RandomSource } from '../random.js';
 import type { OperatorRules } from '../routing/backend-restriction.js';
 import type { RoutingTable } from '../routing/routing-table.js';
-import type { SlotAnswer, SlotMessage } from '../slot-agent/slot-messages.js';
+import type { AgentSlotMessage, GatewaySlotMessage } from '../slot-agent/slot-messages.js';
 import { EngineSender, NOT_RUN_HEADER } from './engine-sender.js';
 import type { ModelBackend } from './model-fleet.js';
 
@@ -97,7 +97,7 @@
   private readonly admission: RequestAdmission;
   private readonly sender: EngineSender;
   private readonly ports: RequestPorts;
-  private readonly senders = new Map<string, (message: SlotMessage) => void>();
+  private readonly senders = new Map<string, (message: GatewaySlotMessage) => void>();
   private isOn = true;
 
   constructor(private readonly parts: ModelGatewayParts) {
@@ -185,7 +185,7 @@
     this.dispatcher.connectAgent(backendId, clock.now());
   }
 
-  private receive(backendId: string, message: SlotAnswer): void {
+  private receive(backendId: string, message: AgentSlotMessage): void {
     if (this.isOn) {
       this.dispatcher.receiveFromAgent(backendId, message, this.parts.clock.now());
     }
--- a/src/model/run-experiment.ts
+++ b/src/model/run-experiment.ts
@@ -5,7 +5,7 @@
 import { DEFAULT_CALLER_LIMITS } from '../routing/configuration.js';
 import type { Route, Tenant } from '../routing/configuration.js';
 import { RoutingTable } from '../routing/routing-table.js';
-import type { GatewaySilenceOptions } from '../slot-agent/gateway-account.js';
+import type { GatewayTimeoutOptions } from '../slot-agent/gateway-account.js';
 import { VirtualClock } from '../sim/virtual-clock.js';
 import type { Experiment, ModelFault, ModelRoute } from './experiment.js';
 import { buildFleet, ENGINE_SERVICE, zoneOf } from './model-fleet.js';
@@ -47,7 +47,7 @@
 /** Mechanisms that a run may change, so that a test shows what they are worth. */
 export interface ExperimentVariant {
   /** When agents give gateways up; default: as agents do. */
-  readonly gatewaySilence?: GatewaySilenceOptions;
+  readonly gatewaySilence?: GatewayTimeoutOptions;
 }
 
 /** Plays an experiment. */
--- a/src/slot-agent/engine-coldness.ts
+++ b/src/slot-agent/engine-coldness.ts
@@ -8,7 +8,7 @@
 import type { StorePosition } from '../cluster/store-position.js';
 import type { Backend } from '../routing/backend.js';
 import type { Service } from '../routing/configuration.js';
-import type { ColdStartHello } from './slot-messages.js';
+import type { ColdStartSettings } from './slot-messages.js';
 import type { StartRules } from './start-limiter.js';
 
 /** Records about the engine in the agent's own replica of the store. */
@@ -23,7 +23,7 @@
 }
 
 /** Cold-start state of one engine as its agent estimates it. */
-export class EngineColdness {
+export class EngineColdStart {
   private readonly coldPeriod = new ColdStartTracker();
   private announcement: Backend | undefined;
   private isUnreachable = false;
@@ -75,14 +75,14 @@
    * Extends the cold period to what a gateway reports; undefined if the gateway considers the
    * engine warm.
    */
-  noteTold(coldMs: number | undefined, nowMs: number): void {
+  extendColdPeriod(coldMs: number | undefined, nowMs: number): void {
     if (coldMs !== undefined) {
       this.coldPeriod.noteReportedCold(coldMs, nowMs);
     }
   }
 
   /** Stores the cold-start settings of the service from a gateway's hello. */
-  noteService(hello: ColdStartHello | undefined): void {
+  applyHello(hello: ColdStartSettings | undefined): void {
     if (hello !== undefined) {
       this.gatewayBound = coldStartBound({ ...hello, isEngine: true }, this.limits);
     }
@@ -95,7 +95,7 @@
   }
 
   /** Limits on starting requests at the engine now; undefined if the rate is unlimited. */
-  rules(nowMs: number): StartRules | undefined {
+  startRules(nowMs: number): StartRules | undefined {
     const { bound } = this;
     return bound && { bound, isCold: this.coldState(nowMs) !== undefined };
   }
--- a/src/slot-agent/engine-knowledge.ts
+++ b/src/slot-agent/engine-knowledge.ts
@@ -14,7 +14,7 @@
 import { RegionRestrictions, intersectRegions } from '../routing/named-homes.js';
 import type { RouteAndTenant } from '../routing/named-homes.js';
 import type { ZoneTopology } from '../routing/places.js';
-import type { AgentHomes } from './slot-messages.js';
+import type { AgentRegionInfo } from './slot-messages.js';
 import { ZoneEvacuations } from '../routing/zone-evacuations.js';
 
 /** Network address and zone of an engine. */
@@ -25,7 +25,7 @@
 }
 
 /** Replicated state that concerns one engine. */
-export class EngineKnowledge {
+export class EngineReplicaView {
   readonly evacuations = new ZoneEvacuations();
   private readonly incarnations = new BackendIncarnations();
   private readonly announcedBackends = new Map<string, Backend>();
@@ -38,7 +38,7 @@
   ) {}
 
   /** Applies a decoded record of the store. */
-  take(decoded: DecodedRecord, nowMs: number): void {
+  apply(decoded: DecodedRecord, nowMs: number): void {
     if (decoded.kind === 'evacuation') {
       this.evacuations.apply(decoded.change, nowMs);
     } else if (decoded.kind === 'backend') {
@@ -114,7 +114,7 @@
    * Region information sent to gateways; undefined while the configuration restricts no request to
    * regions.
    */
-  get regionInfo(): AgentHomes | undefined {
+  get regionInfo(): AgentRegionInfo | undefined {
     const { configuration, homes } = this;
     if (configuration === undefined || !homes?.hasRestrictions) {
       return undefined;
--- a/src/slot-agent/engine-look.ts
+++ b/src/slot-agent/engine-look.ts
@@ -2,8 +2,8 @@
 import { Agent } from 'node:http';
 import { callJson } from '../cluster/json-call.js';
 import type { JsonCall } from '../cluster/json-call.js';
-import type { EngineReading } from './engine-watch.js';
-import type { EngineReport } from './slot-agent-role.js';
+import type { EngineProbeResult } from './engine-watch.js';
+import type { EngineProbe } from './slot-agent-role.js';
 
 /** Timeout of a probe, in milliseconds; an engine on the same machine responds within a few. */
 const PROBE_TIMEOUT_MS = 200;
@@ -14,8 +14,8 @@
  */
 export function createEngineLook(
   call: JsonCall,
-  read: (body: unknown) => EngineReading,
-): EngineReport {
+  read: (body: unknown) => EngineProbeResult,
+): EngineProbe {
   const keepAliveAgent = new Agent({ keepAlive: true });
   return async () => {
     const response = await callJson(call, PROBE_TIMEOUT_MS, keepAliveAgent);
@@ -34,8 +34,8 @@
 
 async function probeOnNewConnection(
   call: JsonCall,
-  read: (body: unknown) => EngineReading,
-): Promise<EngineReading> {
+  read: (body: unknown) => EngineProbeResult,
+): Promise<EngineProbeResult> {
   const response = await callJson(call, PROBE_TIMEOUT_MS, new Agent());
   if (response.ok) {
     return read(response.val.body);
--- a/src/slot-agent/engine-watch.ts
+++ b/src/slot-agent/engine-watch.ts
@@ -10,7 +10,7 @@
  */
 
 /** Result of one probe of an engine. */
-export type EngineReading =
+export type EngineProbeResult =
   /** Requests that run or wait in the engine, and its start time on its own clock, if reported. */
   | { readonly kind: 'load'; readonly requests: number; readonly bornAtMs?: number | undefined }
   /** Connection refused: nothing listens at its address. */
@@ -51,7 +51,7 @@
    * requests reaches this once in 595 requests; one that fails all of them loses 8 in addition to
    * those already running.
    */
-  readonly failuresInRow: number;
+  readonly maxConsecutiveFailures: number;
   /**
    * Initial and maximum back-off, in milliseconds; it doubles with each failed trial. Defaults 300
    * and 1,000: a trial may fail a caller's request, while back-off wastes the slots of an engine
@@ -67,15 +67,15 @@
 }
 
 /** Default thresholds and back-off times. */
-export const DEFAULT_ENGINE_WATCH_OPTIONS: EngineHealthOptions = {
-  failuresInRow: 8,
+export const DEFAULT_ENGINE_HEALTH_OPTIONS: EngineHealthOptions = {
+  maxConsecutiveFailures: 8,
   backoffMinMs: 300,
   backoffMaxMs: 1_000,
   maxUnansweredProbes: 2,
 };
 
 /** Health of one engine. */
-export class EngineWatch {
+export class EngineHealth {
   private state: EngineState = 'serving';
   private unansweredProbes = 0;
   /** Whether the last probe found nothing listening at its address. */
@@ -88,7 +88,7 @@
   private backoffUntilMs = 0;
   private backoffMs: number;
 
-  constructor(private readonly options: EngineHealthOptions = DEFAULT_ENGINE_WATCH_OPTIONS) {
+  constructor(private readonly options: EngineHealthOptions = DEFAULT_ENGINE_HEALTH_OPTIONS) {
     this.backoffMs = options.backoffMinMs;
   }
 
@@ -148,7 +148,7 @@
   }
 
   /** Applies the result of a probe. */
-  noteReading(reading: EngineReading, nowMs: number): void {
+  applyProbeResult(reading: EngineProbeResult, nowMs: number): void {
     this.isPortClosed = reading.kind === 'closed';
     if (reading.kind !== 'load') {
       this.noteFailedProbe(reading.kind === 'closed');
@@ -165,7 +165,7 @@
 
   private get hasReachedFailureLimit(): boolean {
     const isInUse = this.state === 'serving' || this.state === 'suspect';
-    return isInUse && this.consecutiveFailures >= this.options.failuresInRow;
+    return isInUse && this.consecutiveFailures >= this.options.maxConsecutiveFailures;
   }
 
   private noteFailedProbe(isClosed: boolean): void {
--- a/src/slot-agent/failure-estimate.ts
+++ b/src/slot-agent/failure-estimate.ts
@@ -18,7 +18,7 @@
   private readonly all = new DecayedSum(DECAY_TIME_CONSTANT_MS);
 
   /** Records the outcome of a request. */
-  note(hasFailed: boolean, nowMs: number): void {
+  recordOutcome(hasFailed: boolean, nowMs: number): void {
     this.all.add(1, nowMs);
     if (hasFailed) {
       this.failed.add(1, nowMs);
--- a/src/slot-agent/gateway-account.ts
+++ b/src/slot-agent/gateway-account.ts
@@ -1,15 +1,15 @@
 /**
  * State of one connected gateway: its slots, its waiting requests and the time of its last message.
  */
-import type { StatedHomes, WaitingRank } from './slot-messages.js';
+import type { RegionConstraints, WaitingRank } from './slot-messages.js';
 import type { RouteAndTenant } from '../routing/named-homes.js';
 import type { AllowedRegions } from '../routing/backend-restriction.js';
 import type { Distance } from '../routing/places.js';
 import { RoundTrip } from '../round-trip.js';
-import type { WaitingPlace } from './waiting-order.js';
+import type { WaitingPriority } from './waiting-order.js';
 
 /** Timeouts for messages from gateways, in milliseconds. */
-export interface GatewaySilenceOptions {
+export interface GatewayTimeoutOptions {
   /**
    * Time after which a gateway that has not answered a grant gets no further grants; the round trip
    * is added. A gateway answers in its next event loop iteration, within a few milliseconds unless
@@ -24,13 +24,13 @@
 }
 
 /** Default timeouts for messages from gateways. */
-export const DEFAULT_GATEWAY_TIMEOUT_OPTIONS: GatewaySilenceOptions = {
+export const DEFAULT_GATEWAY_TIMEOUT_OPTIONS: GatewayTimeoutOptions = {
   grantAnswerMs: 120,
   silenceMs: 700,
 };
 
 /** A request queued in a gateway. */
-export interface WaitingRequest extends WaitingPlace {
+export interface WaitingRequest extends WaitingPriority {
   readonly allowedRegions: AllowedRegions;
   readonly homeOwner?: RouteAndTenant | undefined;
 }
@@ -136,19 +136,19 @@
   }
 
   /** Whether its oldest unanswered grant is overdue, so that it gets no further grants. */
-  hasOverdueGrant(nowMs: number, { grantAnswerMs }: GatewaySilenceOptions): boolean {
+  hasOverdueGrant(nowMs: number, { grantAnswerMs }: GatewayTimeoutOptions): boolean {
     const grantedAtMs = this.unansweredGrantsAtMs[0];
     return grantedAtMs !== undefined && nowMs - grantedAtMs > grantAnswerMs + this.roundTrip.ms;
   }
 
   /** Whether an expected keepalive is overdue, so that the gateway is considered lost. */
-  isTimedOut(nowMs: number, { silenceMs }: GatewaySilenceOptions): boolean {
+  isTimedOut(nowMs: number, { silenceMs }: GatewayTimeoutOptions): boolean {
     return this.isKeepaliveExpected && nowMs - this.lastMessageAtMs > silenceMs;
   }
 }
 
 /** Returns the allowed regions that a message states; undefined for any region. */
-export function regionsOf({ allowedRegions }: StatedHomes): AllowedRegions {
+export function regionsOf({ allowedRegions }: RegionConstraints): AllowedRegions {
   return allowedRegions === undefined ? undefined : new Set(allowedRegions);
 }
 
--- a/src/slot-agent/slot-agent-role.ts
+++ b/src/slot-agent/slot-agent-role.ts
@@ -21,20 +21,25 @@
 import type { RandomSource } from '../random.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { SlotAgentMetrics } from './slot-agent-metrics.js';
-import type { ClosedCause, EngineAvailability, EngineReading } from './engine-watch.js';
-import { EngineColdness } from './engine-coldness.js';
-import { EngineKnowledge } from './engine-knowledge.js';
+import type { ClosedCause, EngineAvailability, EngineProbeResult } from './engine-watch.js';
+import { EngineColdStart } from './engine-coldness.js';
+import { EngineReplicaView } from './engine-knowledge.js';
 import type { EngineLocation } from './engine-knowledge.js';
 import type { ForbiddenTake } from './slot-ledger.js';
 import { DEFAULT_GATEWAY_TIMEOUT_OPTIONS } from './gateway-account.js';
-import { SlotLedger } from './slot-ledger.js';
-import type { AgentRefusal, AgentToGateway, GatewayToAgent, SlotMessage } from './slot-messages.js';
+import { SlotAllocator } from './slot-ledger.js';
+import type {
+  AgentRefusal,
+  AgentToGateway,
+  GatewayToAgent,
+  GatewaySlotMessage,
+} from './slot-messages.js';
 
 /**
  * Probes the engine's status report; resolves within a short timeout whether or not the engine
  * responds.
  */
-export type EngineReport = () => Promise<EngineReading>;
+export type EngineProbe = () => Promise<EngineProbeResult>;
 
 /** Intervals and delays of an agent, in milliseconds. */
 export interface SlotAgentOptions {
@@ -42,24 +47,24 @@
    * Interval between probes while slots are unaccounted for or the engine's health is uncertain.
    * Default 60.
    */
-  readonly reportMs: number;
+  readonly fastProbeIntervalMs: number;
   /**
    * Interval between probes while requests run or wait, in milliseconds: an engine that hangs
    * closes no connection. Default 300.
    */
   readonly probeIntervalMs: number;
   /** Interval between heartbeats to gateways. Default 300. */
-  readonly beatMs: number;
+  readonly heartbeatIntervalMs: number;
   /**
    * Delay in which changes of the occupied count are batched while slots are free, in milliseconds.
    * Default 250: less than the heartbeat interval, so that a busy agent sends each gateway few more
    * state messages than an idle one.
    */
-  readonly tellMs: number;
+  readonly stateBatchDelayMs: number;
   /**
    * Interval between checks for overdue keepalives, while any gateway must send them. Default 50.
    */
-  readonly silenceCheckMs: number;
+  readonly keepaliveCheckIntervalMs: number;
 }
 
 /** Identity and initial peers of an agent. */
@@ -78,7 +83,7 @@
   readonly limits: ColdStartLimits;
   /** Decodes a record of the store. */
   readonly decode: DecodeRecord;
-  readonly readReport: EngineReport;
+  readonly probeEngine: EngineProbe;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly log: DecisionLog;
@@ -110,11 +115,11 @@
 
 /** Default intervals and delays of an agent. */
 export const DEFAULT_SLOT_AGENT_OPTIONS: SlotAgentOptions = {
-  reportMs: 60,
+  fastProbeIntervalMs: 60,
   probeIntervalMs: 300,
-  beatMs: 300,
-  tellMs: 250,
-  silenceCheckMs: 50,
+  heartbeatIntervalMs: 300,
+  stateBatchDelayMs: 250,
+  keepaliveCheckIntervalMs: 50,
 };
 
 /** Slot agent of one engine. */
@@ -122,9 +127,9 @@
   private readonly clock: Clock;
   private readonly server: Server;
   private readonly channels = new Map<number, MessageChannel<AgentToGateway, GatewayToAgent>>();
-  private readonly ledger: SlotLedger;
-  private readonly engineView: EngineKnowledge;
-  private readonly coldStart: EngineColdness;
+  private readonly ledger: SlotAllocator;
+  private readonly engineView: EngineReplicaView;
+  private readonly coldStart: EngineColdStart;
   private wasCold = false;
   private resumeTimer: TimerHandle | undefined;
   private readonly records: ReplicatedRecords;
@@ -143,29 +148,32 @@
   ) {
     const { identity, clock, random, metrics } = dependencies;
     this.clock = clock;
-    this.engineView = new EngineKnowledge(identity.engine, dependencies.places);
-    this.coldStart = new EngineColdness(
+    this.engineView = new EngineReplicaView(identity.engine, dependencies.places);
+    this.coldStart = new EngineColdStart(
       () => this.engineRecords(),
       dependencies.limits,
       clock.now(),
     );
-    this.ledger = new SlotLedger(
+    this.ledger = new SlotAllocator(
       {
         send: (connection, message) => this.channels.get(connection)?.send(message),
         onGranted: () => metrics.record(({ grants }) => grants.inc()),
-        onChangesToTell: () =>
-          clock.setTimeout(() => this.ledger.tellChanges(clock.now()), this.options.tellMs),
+        onChangesPending: () =>
+          clock.setTimeout(
+            () => this.ledger.sendChanges(clock.now()),
+            this.options.stateBatchDelayMs,
+          ),
         onReconciled: (slots) => this.noteReconciled(slots),
-        onLookWanted: () => this.scheduleProbe(0),
+        onProbeNeeded: () => this.scheduleProbe(0),
         onAvailability: (availability, cause) => this.noteAvailability(availability, cause),
         distanceTo: (zone) =>
           distanceFrom({ zone: identity.engine.zone, places: dependencies.places }, zone),
         restriction: (allowedRegions, homeOwner) =>
           this.engineView.restriction(allowedRegions, homeOwner),
-        homesToTell: () => this.engineView.regionInfo,
+        regionInfo: () => this.engineView.regionInfo,
         onForbiddenTake: (take) => this.noteForbiddenTake(take),
-        startRules: (nowMs) => this.coldStart.rules(nowMs),
-        onStartsHeld: (resumeInMs) => this.scheduleResume(resumeInMs),
+        startRules: (nowMs) => this.coldStart.startRules(nowMs),
+        onStartsDelayed: (resumeInMs) => this.scheduleResume(resumeInMs),
       },
       DEFAULT_GATEWAY_TIMEOUT_OPTIONS,
       clock.now(),
@@ -232,7 +240,7 @@
     const { decode, identity, log } = this.dependencies;
     for (const record of records.filter(({ isUnchanged }) => isUnchanged !== true)) {
       const decoded = decode(record);
-      this.engineView.take(decoded, this.clock.now());
+      this.engineView.apply(decoded, this.clock.now());
       if (decoded.kind === 'evacuation' && decoded.change.zone === identity.engine.zone) {
         const { zone: evacuatedZone, isOrdered, epoch, revision } = decoded.change;
         const { snapshot } = this.ledger;
@@ -245,7 +253,7 @@
     }
     this.coldStart.updateFromRecords(this.clock.now());
     this.logColdStateChange();
-    this.ledger.resume(this.clock.now());
+    this.ledger.resumeGrants(this.clock.now());
   }
 
   private accept(socket: Socket): void {
@@ -300,7 +308,7 @@
     this.dependencies.metrics.record(({ grantsHeldBack }) => grantsHeldBack.inc());
     this.resumeTimer = this.clock.setTimeout(() => {
       this.resumeTimer = undefined;
-      this.ledger.resume(this.clock.now());
+      this.ledger.resumeGrants(this.clock.now());
     }, delayMs);
   }
 
@@ -347,16 +355,16 @@
     }
   }
 
-  private receiveSlotMessage(connection: number, message: SlotMessage): void {
+  private receiveSlotMessage(connection: number, message: GatewaySlotMessage): void {
     if (message.kind === 'hello') {
       this.mesh.learnAddresses([message.peersAddress]);
-      this.coldStart.noteService(message.coldStart);
+      this.coldStart.applyHello(message.coldStart);
     } else if (!this.ledger.isAdmitted(connection)) {
       this.refuse(connection, 'hello-missing');
       return;
     }
     if (message.kind === 'demand') {
-      this.coldStart.noteTold(message.coldMs, this.clock.now());
+      this.coldStart.extendColdPeriod(message.coldMs, this.clock.now());
     }
     this.ledger.receive(connection, message, this.clock.now());
     if (message.kind === 'hello') {
@@ -384,11 +392,11 @@
     this.isKeepaliveCheckScheduled = true;
     this.clock.setTimeout(() => {
       this.isKeepaliveCheckScheduled = false;
-      for (const connection of this.ledger.findSilent(this.clock.now())) {
+      for (const connection of this.ledger.findTimedOut(this.clock.now())) {
         this.refuse(connection, 'silent');
       }
       this.scheduleKeepaliveCheck();
-    }, this.options.silenceCheckMs);
+    }, this.options.keepaliveCheckIntervalMs);
   }
 
   private sendHeartbeats(): void {
@@ -396,8 +404,8 @@
       return;
     }
     this.logColdStateChange();
-    this.ledger.beat(this.options.beatMs, this.clock.now());
-    this.clock.setTimeout(() => this.sendHeartbeats(), this.options.beatMs);
+    this.ledger.sendHeartbeat(this.options.heartbeatIntervalMs, this.clock.now());
+    this.clock.setTimeout(() => this.sendHeartbeats(), this.options.heartbeatIntervalMs);
   }
 
   /**
@@ -405,8 +413,8 @@
    * while requests run.
    */
   private scheduleNextProbe(): void {
-    if (this.ledger.needsReport(this.clock.now())) {
-      this.scheduleProbe(this.options.reportMs);
+    if (this.ledger.needsProbe(this.clock.now())) {
+      this.scheduleProbe(this.options.fastProbeIntervalMs);
     } else if (this.ledger.isAnyKeepaliveExpected) {
       this.scheduleProbe(this.options.probeIntervalMs);
     }
@@ -426,12 +434,12 @@
   private async probe(): Promise<void> {
     this.isProbing = true;
     this.probeDueAtMs = Infinity;
-    const result = await this.dependencies.readReport();
+    const result = await this.dependencies.probeEngine();
     this.isProbing = false;
     if (result.kind !== 'load') {
       this.dependencies.metrics.record(({ reportsFailed }) => reportsFailed.inc());
     }
-    this.ledger.takeReading(result, this.clock.now());
+    this.ledger.applyProbeResult(result, this.clock.now());
     this.scheduleKeepaliveCheck();
     this.scheduleNextProbe();
   }
--- a/src/slot-agent/slot-ledger.ts
+++ b/src/slot-agent/slot-ledger.ts
@@ -10,32 +10,32 @@
 import type { AllowedRegions, RestrictionReason } from '../routing/backend-restriction.js';
 import type { RouteAndTenant } from '../routing/named-homes.js';
 import type { Distance } from '../routing/places.js';
-import { EngineWatch } from './engine-watch.js';
-import type { ClosedCause, EngineAvailability, EngineReading } from './engine-watch.js';
+import { EngineHealth } from './engine-watch.js';
+import type { ClosedCause, EngineAvailability, EngineProbeResult } from './engine-watch.js';
 import { FailureEstimate } from './failure-estimate.js';
 import { DEFAULT_GATEWAY_TIMEOUT_OPTIONS, GatewaySession, regionsOf } from './gateway-account.js';
-import type { GatewaySilenceOptions, WaitingRequest } from './gateway-account.js';
+import type { GatewayTimeoutOptions, WaitingRequest } from './gateway-account.js';
 import type { SlotAgentSnapshot } from './slot-agent-instruments.js';
 import type {
-  AgentHomes,
-  LearnedSpeed,
-  SlotAnswer,
+  AgentRegionInfo,
+  SpeedEstimates,
+  AgentSlotMessage,
   SlotHello,
-  SlotMessage,
+  GatewaySlotMessage,
   SlotTaken,
-  StatedHomes,
+  RegionConstraints,
 } from './slot-messages.js';
 import { NoResponseReports } from './silence-reports.js';
 import { SlotStatePublisher } from './slot-teller.js';
 import { StartLimiter } from './start-limiter.js';
-import type { GrantsOnly, StartRules } from './start-limiter.js';
-import { compareWaiting } from './waiting-order.js';
+import type { GrantsOnlyReason, StartRules } from './start-limiter.js';
+import { compareWaitingPriority } from './waiting-order.js';
 
 /**
  * Report that a gateway took a slot for a request that operators' restrictions forbid at the back
  * end.
  */
-export interface ForbiddenTake extends StatedHomes {
+export interface ForbiddenTake extends RegionConstraints {
   readonly gateway: string;
   readonly reason: RestrictionReason;
 }
@@ -43,19 +43,19 @@
 /** Callbacks of a slot allocator. */
 export interface SlotAllocatorPorts {
   /** Sends a message to a connected gateway. */
-  send(connection: number, message: SlotAnswer): void;
+  send(connection: number, message: AgentSlotMessage): void;
   /** Called when a slot was granted. */
   onGranted(): void;
   /**
    * Called when state changes are pending; the callee invokes `sendChanges` after a short delay.
    */
-  onChangesToTell(): void;
+  onChangesPending(): void;
   /** Called when the back end's status report showed that slots counted as occupied are free. */
   onReconciled(slots: number): void;
   /**
    * Called when the back end must be probed now, after a failed request or one without a response.
    */
-  onLookWanted(): void;
+  onProbeNeeded(): void;
   /** Called when the availability of the back end or the cause of its closure changed. */
   onAvailability(availability: EngineAvailability, closedCause: ClosedCause | undefined): void;
   /** Network distance from a zone to the back end; omitted if distances are unknown. */
@@ -66,7 +66,7 @@
     homeOwner?: RouteAndTenant,
   ): RestrictionReason | undefined;
   /** Region information for gateways; undefined while no request is restricted to regions. */
-  homesToTell(): AgentHomes | undefined;
+  regionInfo(): AgentRegionInfo | undefined;
   /** Called when a gateway took a free slot for a request that is not permitted at the back end. */
   onForbiddenTake(take: ForbiddenTake): void;
   /** Limits on starting requests at the back end; undefined if the rate is unlimited. */
@@ -75,7 +75,7 @@
    * Called when the start rate limit delays a waiting request beside a free slot; the callee
    * invokes `resumeGrants` after `resumeInMs`.
    */
-  onStartsHeld(resumeInMs: number): void;
+  onStartsDelayed(resumeInMs: number): void;
 }
 
 /**
@@ -84,7 +84,7 @@
  */
 const DISCONNECTED_GATEWAY_PROBE_MS = 10_000;
 /** Part of the engine's health that is sent to gateways immediately when it changes. */
-type AvailabilityAndCause = Pick<EngineWatch, 'availability' | 'closedCause'>;
+type AvailabilityAndCause = Pick<EngineHealth, 'availability' | 'closedCause'>;
 
 /** Waiting request that gets the next slot. */
 interface NextGrant {
@@ -94,7 +94,7 @@
 }
 
 /** Slot allocator of one back end. */
-export class SlotLedger {
+export class SlotAllocator {
   private readonly sessions = new Map<number, GatewaySession>();
   /**
    * Until when the back end is probed for requests of each disconnected gateway, by gateway name.
@@ -103,19 +103,19 @@
   private slots = 0;
   /** Slots occupied by requests that no connected gateway accounts for. */
   private unaccounted = 0;
-  private speed: LearnedSpeed = {};
+  private speed: SpeedEstimates = {};
   private readonly failures = new FailureEstimate();
   private readonly noResponseReports = new NoResponseReports();
-  private readonly engineHealth = new EngineWatch();
+  private readonly engineHealth = new EngineHealth();
   private readonly publisher: SlotStatePublisher;
   private readonly startLimiter: StartLimiter;
-  private sentGrantsOnly: GrantsOnly | undefined;
+  private sentGrantsOnly: GrantsOnlyReason | undefined;
   /** Start time that the engine reported last, in Unix milliseconds of its own clock. */
   private engineStartedAtMs: number | undefined;
 
   constructor(
     private readonly ports: SlotAllocatorPorts,
-    private readonly timeouts: GatewaySilenceOptions = DEFAULT_GATEWAY_TIMEOUT_OPTIONS,
+    private readonly timeouts: GatewayTimeoutOptions = DEFAULT_GATEWAY_TIMEOUT_OPTIONS,
     startedAtMs = 0,
   ) {
     this.startLimiter = new StartLimiter(startedAtMs);
@@ -125,12 +125,12 @@
     };
     this.publisher = new SlotStatePublisher(this.sessions, counts, {
       sendState: (connection, session, nowMs) => this.sendState(connection, session, nowMs),
-      onChangesPending: () => ports.onChangesToTell(),
+      onChangesPending: () => ports.onChangesPending(),
     });
   }
 
   /** Whether a probe is needed, for the engine's health or to reconcile slots. */
-  needsReport(nowMs: number): boolean {
+  needsProbe(nowMs: number): boolean {
     return this.engineHealth.needsProbe || this.needsReconciliation(nowMs);
   }
 
@@ -164,7 +164,7 @@
   }
 
   /** Connections of gateways whose keepalives are overdue. */
-  findSilent(nowMs: number): number[] {
+  findTimedOut(nowMs: number): number[] {
     return [...this.sessions]
       .filter(([, session]) => session.isTimedOut(nowMs, this.timeouts))
       .map(([connection]) => connection);
@@ -194,7 +194,7 @@
   }
 
   /** Handles a message of the gateway on `connection`. */
-  receive(connection: number, message: SlotMessage, nowMs: number): void {
+  receive(connection: number, message: GatewaySlotMessage, nowMs: number): void {
     if (message.kind === 'hello') {
       this.admit(connection, message, nowMs);
     } else {
@@ -204,7 +204,7 @@
   }
 
   /** Grants free slots again, after time or changed rules may have relaxed the start rate limit. */
-  resume(nowMs: number): void {
+  resumeGrants(nowMs: number): void {
     this.grantAndPublish(nowMs);
   }
 
@@ -217,7 +217,7 @@
     }
   }
 
-  private grantsOnly(nowMs: number): GrantsOnly | undefined {
+  private grantsOnly(nowMs: number): GrantsOnlyReason | undefined {
     return this.startLimiter.grantsOnly(this.ports.startRules(nowMs), nowMs);
   }
 
@@ -235,13 +235,13 @@
   }
 
   /** Applies the result of a probe. */
-  takeReading(result: EngineReading, nowMs: number): void {
+  applyProbeResult(result: EngineProbeResult, nowMs: number): void {
     if (this.detectRestart(result)) {
       // The engine restarted between two probes: publish its exit and its return.
-      this.takeReading({ kind: 'closed' }, nowMs);
+      this.applyProbeResult({ kind: 'closed' }, nowMs);
     }
     const before = this.availabilityAndCause;
-    this.engineHealth.noteReading(result, nowMs);
+    this.engineHealth.applyProbeResult(result, nowMs);
     this.publishAvailabilityChange(before, nowMs);
     if (result.kind === 'load' && this.needsReconciliation(nowMs)) {
       this.reconcile(result.requests);
@@ -250,7 +250,7 @@
   }
 
   /** Stores the reported start time; returns whether it differs from the previous one. */
-  private detectRestart(result: EngineReading): boolean {
+  private detectRestart(result: EngineProbeResult): boolean {
     const reported = result.kind === 'load' ? result.bornAtMs : undefined;
     // Any process may respond at that address: ignore values that are no timestamp.
     const startedAtMs = Number.isSafeInteger(reported) ? reported : undefined;
@@ -288,7 +288,7 @@
 
   private receiveFromAdmitted(
     connection: number,
-    message: Exclude<SlotMessage, { kind: 'hello' }>,
+    message: Exclude<GatewaySlotMessage, { kind: 'hello' }>,
     nowMs: number,
   ): void {
     const session = this.sessions.get(connection);
@@ -351,14 +351,14 @@
     if (hasFailed === undefined) {
       return;
     }
-    this.failures.note(hasFailed, nowMs);
+    this.failures.recordOutcome(hasFailed, nowMs);
     if (!hasFailed) {
       this.noteEngineResponse(nowMs);
       return;
     }
     const before = this.availabilityAndCause;
     this.engineHealth.noteFailure(nowMs);
-    this.ports.onLookWanted();
+    this.ports.onProbeNeeded();
     this.publishAvailabilityChange(before, nowMs);
   }
 
@@ -370,7 +370,7 @@
       return;
     }
     this.engineHealth.requestProbe();
-    this.ports.onLookWanted();
+    this.ports.onProbeNeeded();
   }
 
   private noteEngineResponse(nowMs: number): void {
@@ -398,7 +398,7 @@
    * Merges reported estimates; the first prefill speed is published immediately, later ones with
    * the next state.
    */
-  private mergeSpeed(speed: LearnedSpeed): void {
+  private mergeSpeed(speed: SpeedEstimates): void {
     const isFirst = this.speed.prefill === undefined && speed.prefill !== undefined;
     this.speed = { ...this.speed, ...speed };
     if (isFirst) {
@@ -414,7 +414,7 @@
       }
       const delayMs = this.startLimiter.msUntilGrant(this.ports.startRules(nowMs), nowMs);
       if (delayMs > 0) {
-        this.ports.onStartsHeld(delayMs);
+        this.ports.onStartsDelayed(delayMs);
         return;
       }
       const { connection, session, waiting } = next;
@@ -441,7 +441,7 @@
       if (waiting === undefined || session.hasOverdueGrant(nowMs, this.timeouts)) {
         continue;
       }
-      if (best === undefined || compareWaiting(waiting, best.waiting, nowMs) < 0) {
+      if (best === undefined || compareWaitingPriority(waiting, best.waiting, nowMs) < 0) {
         best = { connection, session, waiting };
       }
     }
@@ -456,7 +456,7 @@
   }
 
   /** Sends state messages for changes since the last ones. */
-  tellChanges(nowMs: number): void {
+  sendChanges(nowMs: number): void {
     this.publisher.publishChanges(nowMs);
   }
 
@@ -470,7 +470,7 @@
   }
 
   /** Sends a state message as heartbeat unless one was broadcast in the last `quietMs`. */
-  beat(quietMs: number, nowMs: number): void {
+  sendHeartbeat(quietMs: number, nowMs: number): void {
     if (this.ports.startRules(nowMs) !== undefined) {
       this.grantAndPublish(nowMs);
     }
@@ -479,7 +479,7 @@
 
   private sendState(connection: number, session: GatewaySession, nowMs: number): void {
     const { occupied, speed } = this;
-    const homes = this.ports.homesToTell();
+    const homes = this.ports.regionInfo();
     const grantsOnly = this.grantsOnly(nowMs);
     this.sentGrantsOnly = grantsOnly;
     const roundTripMs = session.takeRoundTripUpdate();
@@ -498,7 +498,10 @@
   }
 }
 
-function toGrantMessage({ clockMs }: GatewaySession, { homeOwner }: WaitingRequest): SlotAnswer {
+function toGrantMessage(
+  { clockMs }: GatewaySession,
+  { homeOwner }: WaitingRequest,
+): AgentSlotMessage {
   return {
     kind: 'granted',
     ...(clockMs === undefined ? {} : { heardAtMs: clockMs }),
--- a/src/slot-agent/slot-messages.ts
+++ b/src/slot-agent/slot-messages.ts
@@ -2,11 +2,11 @@
 import type { Service } from '../routing/configuration.js';
 import type { EngineAvailability } from './engine-watch.js';
 import type { RouteAndTenant } from '../routing/named-homes.js';
-import type { GrantsOnly } from './start-limiter.js';
+import type { GrantsOnlyReason } from './start-limiter.js';
 import type { RecordsAnswer, RecordsFetch, RecordsReach } from '../cluster/record-exchange.js';
 
 /** Regions in which a request may be served, as stated by its gateway. */
-export interface StatedHomes {
+export interface RegionConstraints {
   /** Allowed regions according to the gateway; omitted for any region. */
   readonly allowedRegions?: readonly string[];
   /**
@@ -17,7 +17,7 @@
 }
 
 /** Priority of a waiting request; times are relative, since clocks differ. */
-export interface WaitingRank extends StatedHomes {
+export interface WaitingRank extends RegionConstraints {
   readonly tier: number;
   readonly rankInTier: number;
   /** How long the request has waited, in milliseconds. */
@@ -30,7 +30,7 @@
 }
 
 /** Cold-start settings of the back end's service. */
-export type ColdStartHello = Pick<Service, 'coldStartMs' | 'coldRequestsPerS'>;
+export type ColdStartSettings = Pick<Service, 'coldStartMs' | 'coldRequestsPerS'>;
 
 /** First message of a gateway on a connection. */
 export interface SlotHello {
@@ -45,7 +45,7 @@
   /** Slots of the back end according to its announcement. */
   readonly slots: number;
   /** Omitted if back ends of the service accept any request rate from their start. */
-  readonly coldStart?: ColdStartHello;
+  readonly coldStart?: ColdStartSettings;
 }
 
 /** Requests that wait in a gateway; replaces its previous demand message. */
@@ -65,7 +65,7 @@
 }
 
 /** The gateway sent a request to the engine on a free slot without a grant. */
-export interface SlotTaken extends StatedHomes {
+export interface SlotTaken extends RegionConstraints {
   readonly kind: 'taken';
 }
 
@@ -115,7 +115,7 @@
 }
 
 /** Engine speed estimated by gateways; each value is omitted until there is an estimate. */
-export interface LearnedSpeed {
+export interface SpeedEstimates {
   readonly prefill?: PrefillSpeed;
   /** Time between two events of a stream, in milliseconds. */
   readonly eventMs?: number;
@@ -126,11 +126,11 @@
 /** Speed estimates of a gateway; the agent forwards them to gateways that connect later. */
 export interface SpeedUpdate {
   readonly kind: 'speed';
-  readonly speed: LearnedSpeed;
+  readonly speed: SpeedEstimates;
 }
 
 /** Slot messages from a gateway to an agent. */
-export type SlotMessage =
+export type GatewaySlotMessage =
   | SlotHello
   | SlotDemand
   | SlotTaken
@@ -142,7 +142,7 @@
   | SpeedUpdate;
 
 /** All messages from a gateway to an agent. */
-export type GatewayToAgent = SlotMessage | RecordsReach | RecordsAnswer;
+export type GatewayToAgent = GatewaySlotMessage | RecordsReach | RecordsAnswer;
 
 /** Grants one slot to the gateway. */
 export interface SlotGranted {
@@ -157,7 +157,7 @@
 }
 
 /** Region information of an agent, which gateways check before they take a free slot. */
-export interface AgentHomes {
+export interface AgentRegionInfo {
   /** Region of the engine; undefined if the agent's settings do not define its zone. */
   readonly region: string | undefined;
   /** Version of the latest configuration that the agent has. */
@@ -171,7 +171,7 @@
   /** Number of messages of this gateway (after its hello) that are included in `occupied`. */
   readonly messagesSeen: number;
   /** Engine speed estimated by gateways. */
-  readonly speed: LearnedSpeed;
+  readonly speed: SpeedEstimates;
   /** Share of recent requests of all gateways that failed at the engine, from 0 to 1. */
   readonly failureShare: number;
   /** Round trip time in milliseconds, measured from answers to grants; omitted if unchanged. */
@@ -181,13 +181,13 @@
   /** Whether nothing listens at the engine's address; omitted for false. */
   readonly hasEnded?: boolean;
   /** Omitted while the agent's configuration restricts no request to regions. */
-  readonly homes?: AgentHomes | undefined;
+  readonly homes?: AgentRegionInfo | undefined;
   /** Why slots are available by grant only; omitted while gateways may take free slots. */
-  readonly grantsOnly?: GrantsOnly;
+  readonly grantsOnly?: GrantsOnlyReason;
 }
 
 /** Slot messages from an agent to a gateway. */
-export type SlotAnswer = SlotGranted | SlotState;
+export type AgentSlotMessage = SlotGranted | SlotState;
 
 /** Reason sent before the agent closes the connection. */
 export interface AgentRefusal {
@@ -196,4 +196,4 @@
 }
 
 /** All messages from an agent to a gateway. */
-export type AgentToGateway = SlotAnswer | RecordsFetch | AgentRefusal;
+export type AgentToGateway = AgentSlotMessage | RecordsFetch | AgentRefusal;
--- a/src/slot-agent/start-limiter.ts
+++ b/src/slot-agent/start-limiter.ts
@@ -18,7 +18,7 @@
 }
 
 /** Why slots are available by grant only. */
-export type GrantsOnly =
+export type GrantsOnlyReason =
   /** The engine is cold, or may be. */
   | 'cold'
   /** More requests started in the last second than the engine could handle if it turned cold. */
@@ -29,7 +29,7 @@
  * whose clock reading is older than this, since the network or the gateway itself delayed the
  * messages. A gateway with waiting requests sends a message at least every 250 ms.
  */
-export const GRANT_LIFE_MS = 500;
+export const GRANT_LIFETIME_MS = 500;
 /** Share of the `busy` threshold below which gateways may take free slots again. */
 const BUSY_EXIT_SHARE = 0.6;
 
@@ -43,14 +43,14 @@
 
   /** @param startedAtMs - when this process started; grants of its predecessor are unknown */
   constructor(startedAtMs: number) {
-    this.unknownGrantsUntilMs = startedAtMs + START_WINDOW_MS + GRANT_LIFE_MS;
+    this.unknownGrantsUntilMs = startedAtMs + START_WINDOW_MS + GRANT_LIFETIME_MS;
   }
 
   /** Records a grant to the gateway on a connection. */
   noteGranted(connection: number, nowMs: number): void {
     const grants = this.unansweredGrants.get(connection) ?? [];
     this.unansweredGrants.set(connection, grants);
-    grants.push(this.starts.add(nowMs + GRANT_LIFE_MS, nowMs));
+    grants.push(this.starts.add(nowMs + GRANT_LIFETIME_MS, nowMs));
   }
 
   /** Records that a gateway used its oldest unanswered grant. */
@@ -93,7 +93,7 @@
   }
 
   /** Why slots are available by grant only; undefined while gateways may take free slots. */
-  grantsOnly(rules: StartRules | undefined, nowMs: number): GrantsOnly | undefined {
+  grantsOnly(rules: StartRules | undefined, nowMs: number): GrantsOnlyReason | undefined {
     if (rules === undefined) {
       return undefined;
     }
--- a/src/slot-agent/waiting-order.ts
+++ b/src/slot-agent/waiting-order.ts
@@ -14,7 +14,7 @@
 const LATE_RANK_PENALTY = 1.5;
 
 /** Priority of a waiting request; times are on the clock of the process that compares. */
-export interface WaitingPlace {
+export interface WaitingPriority {
   /** Priority tier: lower numbers go first. */
   readonly tier: number;
   /** Priority within a tier: lower numbers go first. */
@@ -26,18 +26,22 @@
 }
 
 /** Comparator: negative if `left` goes first at `nowMs`. */
-export function compareWaiting(left: WaitingPlace, right: WaitingPlace, nowMs: number): number {
-  const leftRank = rankOf(left, isLate(left, nowMs));
-  const rightRank = rankOf(right, isLate(right, nowMs));
+export function compareWaitingPriority(
+  left: WaitingPriority,
+  right: WaitingPriority,
+  nowMs: number,
+): number {
+  const leftRank = effectiveRank(left, isLate(left, nowMs));
+  const rightRank = effectiveRank(right, isLate(right, nowMs));
   return left.tier - right.tier || leftRank - rightRank || left.arrivedAtMs - right.arrivedAtMs;
 }
 
 /** Effective rank within a tier, with the penalty for a late request; lower numbers go first. */
-export function rankOf({ rankInTier }: WaitingPlace, isPlaceLate: boolean): number {
+export function effectiveRank({ rankInTier }: WaitingPriority, isPlaceLate: boolean): number {
   return isPlaceLate ? rankInTier + LATE_RANK_PENALTY : rankInTier;
 }
 
 /** Whether the request can no longer meet its deadline. */
-export function isLate(place: WaitingPlace, nowMs: number): boolean {
+export function isLate(place: WaitingPriority, nowMs: number): boolean {
   return nowMs > place.startByMs;
 }
--- a/test/backend-lives.test.ts
+++ b/test/backend-lives.test.ts
@@ -3,10 +3,10 @@
 import { decodeRecord } from '../platform/record-formats.js';
 import { BackendIncarnations } from '../src/routing/backend-lives.js';
 import type { Announcement } from '../src/routing/backend-lives.js';
-import { EngineKnowledge } from '../src/slot-agent/engine-knowledge.js';
+import { EngineReplicaView } from '../src/slot-agent/engine-knowledge.js';
 import { ZoneTopology } from '../src/routing/places.js';
 import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
-import { Agent } from './support/played-agent.js';
+import { SlotAllocatorHarness } from './support/played-agent.js';
 import { at } from './support/positions.js';
 
 const RESET = { mayHaveRun: true, isPortClosed: false, detail: 'reset' };
@@ -117,14 +117,14 @@
 });
 
 test('an agent reports that its engine ended if it restarted between two polls', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   const hasEndedFlags = () =>
     agent.sent.flatMap(([, message]) => (message.kind === 'state' ? [message.hasEnded] : []));
   agent.admit(1);
-  agent.ledger.takeReading({ kind: 'load', requests: 0, bornAtMs: 1 }, 10);
-  agent.ledger.takeReading({ kind: 'load', requests: 0, bornAtMs: 1 }, 20);
+  agent.ledger.applyProbeResult({ kind: 'load', requests: 0, bornAtMs: 1 }, 10);
+  agent.ledger.applyProbeResult({ kind: 'load', requests: 0, bornAtMs: 1 }, 20);
   t.false(hasEndedFlags().includes(true));
-  agent.ledger.takeReading({ kind: 'load', requests: 0, bornAtMs: 2 }, 30);
+  agent.ledger.applyProbeResult({ kind: 'load', requests: 0, bornAtMs: 2 }, 30);
   t.deepEqual(hasEndedFlags().slice(-2), [true, undefined]);
 });
 
@@ -153,12 +153,12 @@
 });
 
 test('an agent identifies its engine by the latest incarnation at its address', (t) => {
-  const knowledge = new EngineKnowledge(
+  const knowledge = new EngineReplicaView(
     { address: '10.0.0.1:80', zone: 'z' },
     new ZoneTopology(new Map()),
   );
   const take = (entry: unknown, revision: number) =>
-    knowledge.take(
+    knowledge.apply(
       decodeRecord({ key: 'servers/w', ...at(revision), value: JSON.stringify(entry) }),
       revision,
     );
--- a/test/backend-restriction.test.ts
+++ b/test/backend-restriction.test.ts
@@ -4,7 +4,7 @@
 import { intersectRegionLists, restrictionOf } from '../src/routing/backend-restriction.js';
 import { ZoneTopology } from '../src/routing/places.js';
 import { ZoneEvacuations } from '../src/routing/zone-evacuations.js';
-import { EngineKnowledge } from '../src/slot-agent/engine-knowledge.js';
+import { EngineReplicaView } from '../src/slot-agent/engine-knowledge.js';
 import { backendOf, GatewayWorld } from './support/gateway.js';
 import { at } from './support/positions.js';
 
@@ -103,12 +103,12 @@
 });
 
 test('an agent determines the restrictions of its engine from its own replica', (t) => {
-  const engine = new EngineKnowledge({ address: '1.2.3.4:5', zone: 'a1' }, PLACES);
+  const engine = new EngineReplicaView({ address: '1.2.3.4:5', zone: 'a1' }, PLACES);
   t.is(engine.restriction(undefined), undefined);
   t.is(engine.restriction(new Set(['b'])), 'outside-home');
-  engine.take({ kind: 'evacuation', change: { zone: 'a1', isOrdered: true, ...at(3) } }, 0);
-  engine.take({ kind: 'evacuation', change: { zone: 'a1', isOrdered: false, ...at(2) } }, 0);
+  engine.apply({ kind: 'evacuation', change: { zone: 'a1', isOrdered: true, ...at(3) } }, 0);
+  engine.apply({ kind: 'evacuation', change: { zone: 'a1', isOrdered: false, ...at(2) } }, 0);
   t.is(engine.restriction(undefined), 'zone-evacuated');
-  engine.take({ kind: 'evacuation', change: { zone: 'a1', isOrdered: false, ...at(4) } }, 0);
+  engine.apply({ kind: 'evacuation', change: { zone: 'a1', isOrdered: false, ...at(4) } }, 0);
   t.is(engine.restriction(undefined), undefined);
 });
--- a/test/cold-start.test.ts
+++ b/test/cold-start.test.ts
@@ -3,7 +3,7 @@
 import { ColdStarts } from '../src/gateway/dispatch/cold-starts.js';
 import { coldShare, PEER_VIEW_SETTLE_MS } from '../src/gateway/dispatch/cold-share.js';
 import { ColdStartTracker, coldStartBound } from '../src/routing/cold-start.js';
-import type { SlotAnswer } from '../src/slot-agent/slot-messages.js';
+import type { AgentSlotMessage } from '../src/slot-agent/slot-messages.js';
 import { START_WINDOW_MS, StartWindow } from '../src/slot-agent/start-window.js';
 import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
 
@@ -128,7 +128,7 @@
   return world;
 }
 
-function receive(world: GatewayWorld, id: string, message: SlotAnswer): void {
+function receive(world: GatewayWorld, id: string, message: AgentSlotMessage): void {
   world.dispatcher.receiveFromAgent(id, message, world.clock.now());
 }
 
--- a/test/engine-coldness.test.ts
+++ b/test/engine-coldness.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import type { Backend } from '../src/routing/backend.js';
 import type { Service } from '../src/routing/configuration.js';
-import { EngineColdness } from '../src/slot-agent/engine-coldness.js';
+import { EngineColdStart } from '../src/slot-agent/engine-coldness.js';
 import { backendOf } from './support/gateway.js';
 
 const COLD_MS = 3_000;
@@ -20,17 +20,17 @@
   zoneReturnedAtMs: number | undefined;
 }
 
-function coldStartAt(startedAtMs: number): { records: FakeRecords; coldness: EngineColdness } {
+function coldStartAt(startedAtMs: number): { records: FakeRecords; coldness: EngineColdStart } {
   const records = new FakeRecords();
   const limits = { coldOver: 1.5, coldSlack: 5 };
-  return { records, coldness: new EngineColdness(() => records, limits, startedAtMs) };
+  return { records, coldness: new EngineColdStart(() => records, limits, startedAtMs) };
 }
 
 test('an agent considers its engine cold for coldStartMs after its own start', (t) => {
   const { coldness } = coldStartAt(100);
   t.is(coldness.coldState(3_099)?.reason, 'not-known');
-  t.true(coldness.rules(3_099)?.isCold);
-  t.false(coldness.rules(3_100)?.isCold);
+  t.true(coldness.startRules(3_099)?.isCold);
+  t.false(coldness.startRules(3_100)?.isCold);
 });
 
 test('an engine is considered cold after it was unreachable and after the evacuation of its zone ended', (t) => {
@@ -63,21 +63,21 @@
 test('without own records, an agent uses the bound from a hello and the cold time from a demand', (t) => {
   const { records, coldness } = coldStartAt(0);
   records.service = undefined;
-  t.is(coldness.rules(0), undefined);
-  coldness.noteService({ coldStartMs: COLD_MS, coldRequestsPerS: 14 });
-  t.is(coldness.rules(10_000)?.bound.total, 26);
-  coldness.noteTold(undefined, 10_000);
-  t.false(coldness.rules(10_000)?.isCold);
-  coldness.noteTold(700, 10_000);
-  t.true(coldness.rules(10_699)?.isCold);
-  t.false(coldness.rules(10_700)?.isCold);
+  t.is(coldness.startRules(0), undefined);
+  coldness.applyHello({ coldStartMs: COLD_MS, coldRequestsPerS: 14 });
+  t.is(coldness.startRules(10_000)?.bound.total, 26);
+  coldness.extendColdPeriod(undefined, 10_000);
+  t.false(coldness.startRules(10_000)?.isCold);
+  coldness.extendColdPeriod(700, 10_000);
+  t.true(coldness.startRules(10_699)?.isCold);
+  t.false(coldness.startRules(10_700)?.isCold);
 });
 
 test('a service without a cold-start rate has no start rules', (t) => {
   const { records, coldness } = coldStartAt(0);
   records.service = { ...SERVICE, coldRequestsPerS: 0 };
-  coldness.noteService({ coldStartMs: COLD_MS, coldRequestsPerS: 14 });
-  t.is(coldness.rules(0), undefined);
+  coldness.applyHello({ coldStartMs: COLD_MS, coldRequestsPerS: 14 });
+  t.is(coldness.startRules(0), undefined);
 });
 
 test('the first announcement ends the initial cold period, but not one after the engine was unreachable', (t) => {
--- a/test/homes-agent-socket.test.ts
+++ b/test/homes-agent-socket.test.ts
@@ -45,7 +45,7 @@
     ),
     limits: { coldOver: 1, coldSlack: 0 },
     decode: decodeRecord,
-    readReport: () => Promise.resolve({ kind: 'load', requests: 0 }),
+    probeEngine: () => Promise.resolve({ kind: 'load', requests: 0 }),
     clock: SYSTEM_CLOCK,
     random: new SeededRandom(1),
     log: new DecisionLog({ role: 'slot-agent', process: 'agent', zone: 'b1' }, 0, SYSTEM_CLOCK),
--- a/test/homes-agent.test.ts
+++ b/test/homes-agent.test.ts
@@ -11,9 +11,9 @@
 } from '../src/routing/home-regions.js';
 import { RegionRestrictions } from '../src/routing/named-homes.js';
 import { ZoneTopology } from '../src/routing/places.js';
-import { EngineKnowledge } from '../src/slot-agent/engine-knowledge.js';
-import { SlotLedger } from '../src/slot-agent/slot-ledger.js';
-import type { SlotMessage } from '../src/slot-agent/slot-messages.js';
+import { EngineReplicaView } from '../src/slot-agent/engine-knowledge.js';
+import { SlotAllocator } from '../src/slot-agent/slot-ledger.js';
+import type { GatewaySlotMessage } from '../src/slot-agent/slot-messages.js';
 import type { ForbiddenTake } from '../src/slot-agent/slot-ledger.js';
 import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
 import { at } from './support/positions.js';
@@ -49,31 +49,31 @@
 /** A gateway and the agent of engine "far" in region b, connected by direct calls. */
 class GatewayAgentPair {
   readonly world = new GatewayWorld();
-  readonly agentView = new EngineKnowledge({ address: 'far:1', zone: 'b1' }, PLACES);
+  readonly agentView = new EngineReplicaView({ address: 'far:1', zone: 'b1' }, PLACES);
   readonly forbiddenTakes: ForbiddenTake[] = [];
-  private readonly ledger: SlotLedger;
+  private readonly ledger: SlotAllocator;
   grants = 0;
   private deliveredCount = 0;
 
   constructor(gateway: RoutingConfiguration, agent: RoutingConfiguration) {
-    this.ledger = new SlotLedger({
+    this.ledger = new SlotAllocator({
       send: (_connection, message) => {
         if (message.kind === 'granted' || message.kind === 'state') {
           this.world.dispatcher.receiveFromAgent('far', message, this.world.clock.now());
         }
       },
       onGranted: () => (this.grants += 1),
-      onChangesToTell: () => undefined,
+      onChangesPending: () => undefined,
       onReconciled: () => undefined,
-      onLookWanted: () => undefined,
+      onProbeNeeded: () => undefined,
       onAvailability: () => undefined,
       restriction: (regions, owner) => this.agentView.restriction(regions, owner),
       startRules: () => undefined,
-      onStartsHeld: () => undefined,
-      homesToTell: () => this.agentView.regionInfo,
+      onStartsDelayed: () => undefined,
+      regionInfo: () => this.agentView.regionInfo,
       onForbiddenTake: (take) => this.forbiddenTakes.push(take),
     });
-    this.agentView.take({ kind: 'configuration', configuration: agent }, 0);
+    this.agentView.apply({ kind: 'configuration', configuration: agent }, 0);
     this.world.engines = true;
     this.world.version = gateway.version;
     this.world.homes = new RegionRestrictions(gateway);
@@ -86,7 +86,7 @@
   }
 
   /** Sends the agent a message that the gateway itself would not send. */
-  sendToAgent(message: SlotMessage): void {
+  sendToAgent(message: GatewaySlotMessage): void {
     this.ledger.receive(1, message, this.world.clock.now());
   }
 
@@ -106,7 +106,7 @@
       this.world.version = configuration.version;
       this.world.dispatcher.tick(this.world.clock.now());
     } else {
-      this.agentView.take({ kind: 'configuration', configuration }, 0);
+      this.agentView.apply({ kind: 'configuration', configuration }, 0);
       this.ledger.onRestrictionsChanged(this.world.clock.now());
     }
   }
@@ -307,9 +307,9 @@
 });
 
 test('an agent rejects a newer configuration that names an unknown home region', (t) => {
-  const engine = new EngineKnowledge({ address: 'far:1', zone: 'b1' }, PLACES);
-  engine.take({ kind: 'configuration', configuration: configurationOf(1, ['a']) }, 0);
-  engine.take({ kind: 'configuration', configuration: configurationOf(2, ['b', 'c']) }, 0);
+  const engine = new EngineReplicaView({ address: 'far:1', zone: 'b1' }, PLACES);
+  engine.apply({ kind: 'configuration', configuration: configurationOf(1, ['a']) }, 0);
+  engine.apply({ kind: 'configuration', configuration: configurationOf(2, ['b', 'c']) }, 0);
   t.is(engine.regionInfo?.configuration, 1);
   t.is(engine.restriction(undefined, { route: 'r', tenant: undefined }), 'outside-home');
 });
--- a/test/request-fingerprint.test.ts
+++ b/test/request-fingerprint.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { fingerprintOf } from '../src/gateway/crashes/request-fingerprint.js';
 import type { FingerprintedRequest } from '../src/gateway/crashes/request-fingerprint.js';
-import { DEFAULT_ENGINE_WATCH_OPTIONS, EngineWatch } from '../src/slot-agent/engine-watch.js';
+import { DEFAULT_ENGINE_HEALTH_OPTIONS, EngineHealth } from '../src/slot-agent/engine-watch.js';
 import { routeOf } from './support/gateway.js';
 
 const REQUEST: FingerprintedRequest = {
@@ -32,17 +32,21 @@
 });
 
 test('an agent reports why its engine is closed: it exited, is unresponsive, or fails every request', (t) => {
-  const ended = new EngineWatch();
-  ended.noteReading({ kind: 'closed' }, 0);
+  const ended = new EngineHealth();
+  ended.applyProbeResult({ kind: 'closed' }, 0);
   t.is(ended.closedCause, 'port-closed');
-  ended.noteReading({ kind: 'load', requests: 0 }, 10);
+  ended.applyProbeResult({ kind: 'load', requests: 0 }, 10);
   t.is(ended.closedCause, undefined);
-  const silent = new EngineWatch();
-  silent.noteReading({ kind: 'silent' }, 0);
-  silent.noteReading({ kind: 'silent' }, 10);
+  const silent = new EngineHealth();
+  silent.applyProbeResult({ kind: 'silent' }, 0);
+  silent.applyProbeResult({ kind: 'silent' }, 10);
   t.is(silent.closedCause, 'silent');
-  const failing = new EngineWatch();
-  for (let failure = 0; failure < DEFAULT_ENGINE_WATCH_OPTIONS.failuresInRow; failure += 1) {
+  const failing = new EngineHealth();
+  for (
+    let failure = 0;
+    failure < DEFAULT_ENGINE_HEALTH_OPTIONS.maxConsecutiveFailures;
+    failure += 1
+  ) {
     failing.noteFailure(0);
   }
   t.is(failing.closedCause, 'failing');
--- a/test/slot-agent-role.test.ts
+++ b/test/slot-agent-role.test.ts
@@ -38,13 +38,13 @@
         kind: 'evacuation',
         change: { zone: key, isOrdered: value !== undefined, epoch, revision },
       }),
-      readReport: () => Promise.resolve({ kind: 'load', requests: requestsAtEngine() }),
+      probeEngine: () => Promise.resolve({ kind: 'load', requests: requestsAtEngine() }),
       clock: SYSTEM_CLOCK,
       random: new SeededRandom(1),
       log: new DecisionLog({ role: 'slot-agent', process: 'agent', zone: 'z' }, 0, SYSTEM_CLOCK),
       metrics,
     },
-    { ...DEFAULT_SLOT_AGENT_OPTIONS, reportMs: 10 },
+    { ...DEFAULT_SLOT_AGENT_OPTIONS, fastProbeIntervalMs: 10 },
   );
   agent.start({ host: HOST, port, metricsPort });
   return { port, metrics, metricsPort, stop: () => agent.stop() };
--- a/test/slot-ledger-paths.test.ts
+++ b/test/slot-ledger-paths.test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
-import { Agent } from './support/played-agent.js';
+import { SlotAllocatorHarness } from './support/played-agent.js';
 
 test('missing responses at one gateway only request probes, without stopping grants or raising the failure share', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 8, 8);
   agent.admit(2, 0, 8);
   for (let index = 0; index < 8; index += 1) {
@@ -13,13 +13,13 @@
   t.is(agent.lastAvailability(), 'open');
   t.is(agent.lastFailureShare(), 0);
   t.is(agent.probesRequested, 8);
-  t.true(agent.ledger.needsReport(0));
-  agent.ledger.takeReading({ kind: 'load', requests: 0 }, 10);
-  t.false(agent.ledger.needsReport(10));
+  t.true(agent.ledger.needsProbe(0));
+  agent.ledger.applyProbeResult({ kind: 'load', requests: 0 }, 10);
+  t.false(agent.ledger.needsProbe(10));
 });
 
 test('missing responses at two gateways with no response in between count as an engine failure', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 2, 8);
   agent.admit(2, 2, 8);
   agent.receive(1, { kind: 'released', isSilent: true }, 0);
@@ -29,7 +29,7 @@
 });
 
 test('a response to any gateway clears earlier reports of missing responses', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 2, 8);
   agent.admit(2, 2, 8);
   agent.receive(1, { kind: 'released', isSilent: true }, 0);
@@ -40,7 +40,7 @@
 });
 
 test('an expired report of a missing response does not count', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 2, 8);
   agent.admit(2, 2, 8);
   agent.receive(1, { kind: 'released', isSilent: true }, 0);
@@ -50,12 +50,12 @@
 });
 
 test('a trial request without a response keeps the engine closed', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 8, 8);
   for (let index = 0; index < 8; index += 1) {
     agent.receive(1, { kind: 'released', hasFailed: true }, 0);
   }
-  agent.ledger.takeReading({ kind: 'load', requests: 0 }, 310);
+  agent.ledger.applyProbeResult({ kind: 'load', requests: 0 }, 310);
   agent.receive(1, { kind: 'released', isSilent: true }, 330);
   t.is(agent.lastAvailability(), 'closed');
 });
--- a/test/slot-ledger-regions.test.ts
+++ b/test/slot-ledger-regions.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
-import { Agent } from './support/played-agent.js';
+import { SlotAllocatorHarness } from './support/played-agent.js';
 
 /** An agent whose only slot is taken, with a nearby gateway and one in another region. */
-function agentOverRegions(): Agent {
-  const agent = new Agent();
+function agentOverRegions(): SlotAllocatorHarness {
+  const agent = new SlotAllocatorHarness();
   agent.admitFrom(1, 'far', 1);
   agent.admitFrom(2, 'near', 1);
   agent.receive(2, { kind: 'taken' });
@@ -70,7 +70,7 @@
     [1, 'far'],
     [2, 'near'],
   ] as const) {
-    const agent = new Agent();
+    const agent = new SlotAllocatorHarness();
     agent.admitFrom(connection, zone, 2);
     agent.demand(connection, [1]);
     agent.demand(connection, [1], 0, 1);
@@ -84,11 +84,11 @@
 });
 
 test('a state message reports the round trip measured from answers to grants', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admitFrom(1, 'far', 2);
   agent.demand(1, [1]);
   agent.receive(1, { kind: 'grant-used' }, 1_010);
-  agent.ledger.beat(0, 1_010);
+  agent.ledger.sendHeartbeat(0, 1_010);
   const reported = agent.sent.flatMap(([, message]) =>
     message.kind === 'state' && message.roundTripMs !== undefined ? [message.roundTripMs] : [],
   );
--- a/test/slot-ledger.test.ts
+++ b/test/slot-ledger.test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
-import { Agent } from './support/played-agent.js';
+import { SlotAllocatorHarness } from './support/played-agent.js';
 
 test('no more slots are granted than the engine has', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1);
   agent.demand(1, [0, 0, 0]);
   t.deepEqual(agent.grants(), [1, 1]);
@@ -10,7 +10,7 @@
 });
 
 test('a freed slot is granted to the lowest tier number, then to the longest wait', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 1, 1);
   agent.admit(2, 0, 1);
   agent.admit(3, 0, 1);
@@ -23,7 +23,7 @@
 });
 
 test('grants in flight are matched to the first requests of a demand', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 0, 1);
   agent.demand(1, [0]);
   agent.demand(1, [0], 0, 0);
@@ -32,28 +32,28 @@
 });
 
 test('slots of a disconnected gateway stay occupied until the engine reports fewer requests', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 2);
   agent.ledger.disconnect(1, 0);
   agent.admit(2);
   agent.demand(2, [0]);
-  t.true(agent.ledger.needsReport(0));
+  t.true(agent.ledger.needsProbe(0));
   t.deepEqual(agent.grants(), []);
-  agent.ledger.takeReading({ kind: 'load', requests: 1 }, 1_000);
+  agent.ledger.applyProbeResult({ kind: 'load', requests: 1 }, 1_000);
   t.deepEqual(agent.grants(), [2]);
 });
 
 test('a gateway that reconnects reclaims its slots', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 2);
   agent.ledger.disconnect(1, 0);
   agent.admit(1, 2);
   t.is(agent.ledger.occupied, 2);
-  t.false(agent.ledger.needsReport(0));
+  t.false(agent.ledger.needsProbe(0));
 });
 
 test('a state message reports how many messages of the gateway its count includes', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1);
   agent.receive(1, { kind: 'taken' });
   t.deepEqual(agent.sent.at(-1), [
@@ -70,7 +70,7 @@
 });
 
 test('a gateway that connects gets the speed estimates of other gateways', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1);
   agent.receive(1, { kind: 'speed', speed: { prefill: { baseMs: 5, msPerToken: 0.02 } } });
   agent.admit(2);
@@ -82,7 +82,7 @@
 });
 
 test('a gateway with an overdue grant gets no further grants until it answers', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 0, 3);
   agent.admit(2, 0, 3);
   agent.receive(1, { kind: 'taken' }, 900);
@@ -99,33 +99,33 @@
 });
 
 test('a gateway without keepalives is considered lost', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 0, 1);
   agent.demand(1, [0]);
-  t.deepEqual(agent.ledger.findSilent(1_690), []);
-  t.deepEqual(agent.ledger.findSilent(1_710), [1]);
+  t.deepEqual(agent.ledger.findTimedOut(1_690), []);
+  t.deepEqual(agent.ledger.findTimedOut(1_710), [1]);
 });
 
 test('a gateway that answers its grants and sends keepalives is not considered lost', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 0, 1);
   agent.demand(1, [0]);
   agent.receive(1, { kind: 'grant-used' }, 1_010);
   for (const nowMs of [1_500, 2_000, 2_500]) {
     agent.receive(1, { kind: 'alive' }, nowMs);
-    t.deepEqual(agent.ledger.findSilent(nowMs + 400), []);
+    t.deepEqual(agent.ledger.findTimedOut(nowMs + 400), []);
   }
-  t.deepEqual(agent.ledger.findSilent(3_300), [1]);
+  t.deepEqual(agent.ledger.findTimedOut(3_300), [1]);
 });
 
 test('a gateway without slots and waiting requests needs no keepalives', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1);
-  t.deepEqual(agent.ledger.findSilent(60_000), []);
+  t.deepEqual(agent.ledger.findTimedOut(60_000), []);
 });
 
 test('a returned grant frees its slot for another gateway', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 0, 1);
   agent.admit(2, 0, 1);
   agent.demand(1, [0], 900);
@@ -135,21 +135,21 @@
 });
 
 test('requests that a disconnected gateway still sends are counted from the engine status report', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 1, 4);
   agent.admit(2, 1, 4);
   agent.ledger.disconnect(1, 0);
-  agent.ledger.takeReading({ kind: 'load', requests: 3 }, 100);
+  agent.ledger.applyProbeResult({ kind: 'load', requests: 3 }, 100);
   t.is(agent.ledger.occupied, 3);
-  agent.ledger.takeReading({ kind: 'load', requests: 1 }, 200);
+  agent.ledger.applyProbeResult({ kind: 'load', requests: 1 }, 200);
   t.is(agent.ledger.occupied, 1);
   t.is(agent.reconciled, 2);
-  t.true(agent.ledger.needsReport(5_000));
-  t.false(agent.ledger.needsReport(11_000));
+  t.true(agent.ledger.needsProbe(5_000));
+  t.false(agent.ledger.needsProbe(11_000));
 });
 
 function grantOrderOf(ranks: ReadonlyArray<[rankInTier: number, startInMs: number]>): number[] {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   ranks.forEach((_rank, index) => agent.admit(index + 1, index === 0 ? 1 : 0, 1));
   ranks.forEach(([rankInTier, startInMs], index) => {
     const rank = { tier: 1, rankInTier, waitedMs: 10, startInMs };
@@ -178,7 +178,7 @@
 });
 
 test('a late request of the lower tier number goes before one in time of a higher number', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 1, 1);
   agent.admit(2, 0, 1);
   const late = { tier: 0, rankInTier: 0, waitedMs: 900, startInMs: -100 };
@@ -190,7 +190,7 @@
 });
 
 test('several changes are sent as one state message while many slots are free', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 0, 8);
   agent.admit(2, 0, 8);
   agent.sent.length = 0;
@@ -199,7 +199,7 @@
   agent.receive(2, { kind: 'taken' });
   t.deepEqual(agent.sentCounts(), []);
   t.is(agent.scheduledUpdates, 1);
-  agent.ledger.tellChanges(0);
+  agent.ledger.sendChanges(0);
   t.deepEqual(agent.sentCounts(), [
     [1, 3],
     [2, 3],
@@ -207,7 +207,7 @@
 });
 
 test('every change is sent immediately if at most one slot is free', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 0, 3);
   agent.receive(1, { kind: 'taken' });
   agent.sent.length = 0;
@@ -218,25 +218,25 @@
 });
 
 test('a gateway that took and released a slot gets a state message that includes both', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 0, 8);
   agent.admit(2, 0, 8);
   agent.sent.length = 0;
   agent.receive(1, { kind: 'taken' });
   agent.receive(1, { kind: 'released' });
-  agent.ledger.tellChanges(0);
+  agent.ledger.sendChanges(0);
   t.deepEqual(agent.sentCounts(), [[1, 0]]);
 });
 
 test('failures seen by one gateway are sent to every gateway as a failure share', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 4, 8);
   agent.admit(2, 0, 8);
   agent.receive(1, { kind: 'released', hasFailed: true });
   agent.receive(1, { kind: 'released', hasFailed: true });
   agent.receive(1, { kind: 'released', hasFailed: false });
   agent.receive(1, { kind: 'released' });
-  agent.ledger.tellChanges(0);
+  agent.ledger.sendChanges(0);
   const shares = agent.sent.flatMap(([to, message]) =>
     message.kind === 'state' && to === 2 ? [message.failureShare] : [],
   );
@@ -244,76 +244,76 @@
 });
 
 test('a failed request suspends grants until a probe succeeds', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 1, 1);
   agent.demand(1, [0]);
   agent.receive(1, { kind: 'released', hasFailed: true });
   t.is(agent.probesRequested, 1);
   t.deepEqual(agent.grants(), []);
-  agent.ledger.takeReading({ kind: 'load', requests: 0 }, 10);
+  agent.ledger.applyProbeResult({ kind: 'load', requests: 0 }, 10);
   t.deepEqual(agent.grants(), [1]);
 });
 
 test('gateways get a state message immediately when the engine crashes and when it is back', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 1, 1);
   agent.demand(1, [0]);
   agent.receive(1, { kind: 'released', hasFailed: true });
-  agent.ledger.takeReading({ kind: 'closed' }, 10);
+  agent.ledger.applyProbeResult({ kind: 'closed' }, 10);
   t.is(agent.lastAvailability(), 'closed');
-  t.true(agent.ledger.needsReport(20));
+  t.true(agent.ledger.needsProbe(20));
   t.deepEqual(agent.grants(), []);
-  agent.ledger.takeReading({ kind: 'load', requests: 0 }, 70);
+  agent.ledger.applyProbeResult({ kind: 'load', requests: 0 }, 70);
   t.is(agent.lastAvailability(), 'open');
   t.deepEqual(agent.grants(), [1]);
 });
 
 test('one probe without a response has no effect, two in succession close the engine', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 1, 1);
-  agent.ledger.takeReading({ kind: 'silent' }, 10);
+  agent.ledger.applyProbeResult({ kind: 'silent' }, 10);
   t.is(agent.lastAvailability(), 'open');
-  agent.ledger.takeReading({ kind: 'silent' }, 70);
+  agent.ledger.applyProbeResult({ kind: 'silent' }, 70);
   t.is(agent.lastAvailability(), 'closed');
 });
 
 test('an engine that fails every request is closed despite its status report, then tested with one trial request', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 8, 8);
   agent.demand(1, [0, 0, 0]);
   for (let index = 0; index < 8; index += 1) {
     agent.receive(1, { kind: 'released', hasFailed: true }, 0);
   }
-  agent.ledger.takeReading({ kind: 'load', requests: 0 }, 10);
+  agent.ledger.applyProbeResult({ kind: 'load', requests: 0 }, 10);
   t.deepEqual(agent.grants(), []);
   t.is(agent.lastAvailability(), 'closed');
-  agent.ledger.takeReading({ kind: 'load', requests: 0 }, 310);
+  agent.ledger.applyProbeResult({ kind: 'load', requests: 0 }, 310);
   t.is(agent.lastAvailability(), 'trial');
   t.deepEqual(agent.grants(), [1]);
   agent.receive(1, { kind: 'grant-used' }, 320);
   agent.receive(1, { kind: 'released', hasFailed: true }, 330);
   t.is(agent.lastAvailability(), 'closed');
-  agent.ledger.takeReading({ kind: 'load', requests: 0 }, 900);
+  agent.ledger.applyProbeResult({ kind: 'load', requests: 0 }, 900);
   t.is(agent.lastAvailability(), 'closed');
-  agent.ledger.takeReading({ kind: 'load', requests: 0 }, 940);
+  agent.ledger.applyProbeResult({ kind: 'load', requests: 0 }, 940);
   agent.receive(1, { kind: 'grant-used' }, 950);
   agent.receive(1, { kind: 'released', hasFailed: false }, 990);
   t.is(agent.lastAvailability(), 'open');
 });
 
 test('an engine on trial reopens with the first event of a response', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.admit(1, 8, 8);
   for (let index = 0; index < 8; index += 1) {
     agent.receive(1, { kind: 'released', hasFailed: true }, 0);
   }
-  agent.ledger.takeReading({ kind: 'load', requests: 0 }, 310);
+  agent.ledger.applyProbeResult({ kind: 'load', requests: 0 }, 310);
   agent.receive(1, { kind: 'proven' }, 330);
   t.is(agent.lastAvailability(), 'open');
 });
 
 test('a slot is granted to the first request that restrictions permit at the back end', (t) => {
-  const agent = new Agent();
+  const agent = new SlotAllocatorHarness();
   agent.restriction = (regions) =>
     regions === undefined || regions.has('here') ? undefined : 'outside-home';
   agent.admit(1);
--- a/test/support/cold-fleet.ts
+++ b/test/support/cold-fleet.ts
@@ -10,9 +10,9 @@
 import { randomInteger, SeededRandom } from '../../src/random.js';
 import { coldStartBound } from '../../src/routing/cold-start.js';
 import { VirtualClock } from '../../src/sim/virtual-clock.js';
-import { EngineColdness } from '../../src/slot-agent/engine-coldness.js';
-import { SlotLedger } from '../../src/slot-agent/slot-ledger.js';
-import type { SlotAnswer, SlotMessage } from '../../src/slot-agent/slot-messages.js';
+import { EngineColdStart } from '../../src/slot-agent/engine-coldness.js';
+import { SlotAllocator } from '../../src/slot-agent/slot-ledger.js';
+import type { AgentSlotMessage, GatewaySlotMessage } from '../../src/slot-agent/slot-messages.js';
 import { backendOf } from './gateway.js';
 
 /** Faults injected into the limiter, which the check must detect. */
@@ -140,7 +140,7 @@
     }
   }
 
-  receive(link: Link, message: SlotAnswer): void {
+  receive(link: Link, message: AgentSlotMessage): void {
     if (link === this.link && !this.isOff) {
       link.heardAtMs = this.fleet.clock.now();
       this.dispatcher.receiveFromAgent('e', message, link.heardAtMs);
@@ -170,7 +170,7 @@
     return coldShare({ self, others, startedAtMs, hasHeardPeers: true }, backendId, total, nowMs);
   }
 
-  private send(message: SlotMessage): void {
+  private send(message: GatewaySlotMessage): void {
     const { link } = this;
     if (link !== undefined) {
       this.lastSentToAgentAtMs = this.fleet.clock.now();
@@ -255,8 +255,8 @@
   private readonly gateways: FleetGateway[] = [];
   private readonly names: readonly string[];
   private readonly links = new Map<number, Link>();
-  private ledger!: SlotLedger;
-  private coldness!: EngineColdness;
+  private ledger!: SlotAllocator;
+  private coldness!: EngineColdStart;
   private nextLink = 1;
 
   constructor(
@@ -269,7 +269,7 @@
     this.names = Array.from({ length: size }, (_none, index) => `g${index}`);
     this.startAgent();
     this.names.forEach((name, index) => (this.gateways[index] = this.create(name, -10_000)));
-    this.repeat(300, () => this.ledger.beat(300, this.clock.now()));
+    this.repeat(300, () => this.ledger.sendHeartbeat(300, this.clock.now()));
     this.repeat(50, () => this.endSilent());
     this.repeat(250, () => this.injectFault());
   }
@@ -281,15 +281,15 @@
     return link;
   }
 
-  receive(link: Link, message: SlotMessage): void {
+  receive(link: Link, message: GatewaySlotMessage): void {
     if (!this.links.has(link.number)) {
       return;
     }
     const nowMs = this.clock.now();
     if (message.kind === 'hello') {
-      this.coldness.noteService(message.coldStart);
+      this.coldness.applyHello(message.coldStart);
     } else if (message.kind === 'demand') {
-      this.coldness.noteTold(message.coldMs, nowMs);
+      this.coldness.extendColdPeriod(message.coldMs, nowMs);
     }
     this.ledger.receive(link.number, message, nowMs);
   }
@@ -317,27 +317,27 @@
 
   private startAgent(): void {
     const { clock } = this;
-    this.coldness = new EngineColdness(
+    this.coldness = new EngineColdStart(
       () => ({ service: undefined, backend: undefined, zoneReturnedAtMs: undefined }),
       LIMITS,
       clock.now(),
     );
     const { coldness } = this;
-    const ledger: SlotLedger = new SlotLedger(
+    const ledger: SlotAllocator = new SlotAllocator(
       {
         send: (connection, message) => this.send(connection, message),
         onGranted: () => undefined,
-        onChangesToTell: () => clock.setTimeout(() => ledger.tellChanges(clock.now()), 250),
+        onChangesPending: () => clock.setTimeout(() => ledger.sendChanges(clock.now()), 250),
         onReconciled: () => undefined,
-        onLookWanted: () => undefined,
+        onProbeNeeded: () => undefined,
         onAvailability: () => undefined,
         restriction: () => undefined,
-        homesToTell: () => undefined,
+        regionInfo: () => undefined,
         onForbiddenTake: () => undefined,
-        startRules: (nowMs) => coldness.rules(nowMs),
-        onStartsHeld: (inMs) => {
+        startRules: (nowMs) => coldness.startRules(nowMs),
+        onStartsDelayed: (inMs) => {
           if (Number.isFinite(inMs)) {
-            clock.setTimeout(() => ledger.resume(clock.now()), inMs);
+            clock.setTimeout(() => ledger.resumeGrants(clock.now()), inMs);
           }
         },
       },
@@ -347,13 +347,13 @@
     this.ledger = ledger;
   }
 
-  private send(connection: number, message: SlotAnswer): void {
+  private send(connection: number, message: AgentSlotMessage): void {
     const link = this.links.get(connection);
     link?.deliver('gateway', () => link.gateway.receive(link, message));
   }
 
   private endSilent(): void {
-    for (const number of this.ledger.findSilent(this.clock.now())) {
+    for (const number of this.ledger.findTimedOut(this.clock.now())) {
       this.endFromAgent(this.links.get(number)!);
     }
   }
--- a/test/support/gateway.ts
+++ b/test/support/gateway.ts
@@ -35,7 +35,7 @@
 import type { RegionRestrictions } from '../../src/routing/named-homes.js';
 import { ZoneTopology } from '../../src/routing/places.js';
 import { VirtualClock } from '../../src/sim/virtual-clock.js';
-import type { SlotMessage } from '../../src/slot-agent/slot-messages.js';
+import type { GatewaySlotMessage } from '../../src/slot-agent/slot-messages.js';
 import { at } from './positions.js';
 
 /** Returns a backend with default values. */
@@ -148,7 +148,7 @@
 export class GatewayWorld implements BackendSender, DispatcherPorts {
   readonly clock = new VirtualClock();
   readonly attempts: SeenAttempt[] = [];
-  readonly toAgents: Array<[string, SlotMessage]> = [];
+  readonly toAgents: Array<[string, GatewaySlotMessage]> = [];
   readonly ends: RequestEnd[] = [];
   readonly ended: Array<[AcceptedRequest, RequestEnd]> = [];
   readonly regions = new Map<string, string>();
@@ -236,7 +236,7 @@
     return this.engines;
   }
 
-  sendToAgent(backendId: string, message: SlotMessage): void {
+  sendToAgent(backendId: string, message: GatewaySlotMessage): void {
     this.toAgents.push([backendId, message]);
   }
 
--- a/test/support/played-agent.ts
+++ b/test/support/played-agent.ts
@@ -2,13 +2,13 @@
  * Test harness for the slot allocator: injects messages of gateways and records the messages sent
  * to them.
  */
-import { SlotLedger } from '../../src/slot-agent/slot-ledger.js';
+import { SlotAllocator } from '../../src/slot-agent/slot-ledger.js';
 import type { ForbiddenTake, SlotAllocatorPorts } from '../../src/slot-agent/slot-ledger.js';
 import type { StartRules } from '../../src/slot-agent/start-limiter.js';
-import type { AgentToGateway, SlotMessage } from '../../src/slot-agent/slot-messages.js';
+import type { AgentToGateway, GatewaySlotMessage } from '../../src/slot-agent/slot-messages.js';
 
 /** Slot allocator with recorded callbacks and simulated gateways. */
-export class Agent {
+export class SlotAllocatorHarness {
   readonly sent: Array<[number, AgentToGateway]> = [];
   reconciled = 0;
   probesRequested = 0;
@@ -17,19 +17,19 @@
   rules: StartRules | undefined;
   startDelayMs = 0;
   restriction: SlotAllocatorPorts['restriction'] = () => undefined;
-  readonly ledger = new SlotLedger({
+  readonly ledger = new SlotAllocator({
     send: (connection, message) => this.sent.push([connection, message]),
     onGranted: () => undefined,
-    onChangesToTell: () => (this.scheduledUpdates += 1),
+    onChangesPending: () => (this.scheduledUpdates += 1),
     onReconciled: (slots) => (this.reconciled += slots),
-    onLookWanted: () => (this.probesRequested += 1),
+    onProbeNeeded: () => (this.probesRequested += 1),
     onAvailability: () => undefined,
     distanceTo: (zone) => (zone === 'far' ? 'other-region' : 'same-zone'),
     restriction: (allowedRegions, homeOwner) => this.restriction(allowedRegions, homeOwner),
-    homesToTell: () => undefined,
+    regionInfo: () => undefined,
     onForbiddenTake: (take) => this.forbiddenTakes.push(take),
     startRules: () => this.rules,
-    onStartsHeld: (resumeInMs) => (this.startDelayMs = resumeInMs),
+    onStartsDelayed: (resumeInMs) => (this.startDelayMs = resumeInMs),
   });
 
   admit(connection: number, held = 0, slots = 2): void {
@@ -47,7 +47,7 @@
     this.receive(connection, { kind: 'hello', gateway, zone, peersAddress: '', held: 0, slots });
   }
 
-  receive(connection: number, message: SlotMessage, nowMs = 0): void {
+  receive(connection: number, message: GatewaySlotMessage, nowMs = 0): void {
     this.ledger.receive(connection, message, nowMs);
   }
 
--- a/test/zone-evacuation.test.ts
+++ b/test/zone-evacuation.test.ts
@@ -6,7 +6,7 @@
 import { SlotSupply } from '../src/gateway/dispatch/slot-supply.js';
 import { GatewayEvacuations } from '../src/gateway/gateway-evacuations.js';
 import { ZoneTopology } from '../src/routing/places.js';
-import type { SlotAnswer, SlotDemand } from '../src/slot-agent/slot-messages.js';
+import type { AgentSlotMessage, SlotDemand } from '../src/slot-agent/slot-messages.js';
 import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
 import { at } from './support/positions.js';
 
@@ -17,7 +17,7 @@
   return world.attempts.map(({ backend }) => backend.id);
 }
 
-function stateOf(occupied: number): SlotAnswer {
+function stateOf(occupied: number): AgentSlotMessage {
   return {
     kind: 'state',
     failureShare: 0,
