--- a/src/gateway/attempt/attempt-progress.ts
+++ b/src/gateway/attempt/attempt-progress.ts
@@ -37,7 +37,7 @@
     if (this.eventCount === 0) {
       this.firstEventAtMs = nowMs;
       this.reportPrefillDone();
-      this.dispatcher.noteFirst(this.backendId);
+      this.dispatcher.noteFirstEvent(this.backendId);
       this.reportFirstEventLatency(nowMs);
     }
     this.eventCount += count;
@@ -49,7 +49,7 @@
   recordCompletion(nowMs: number): void {
     const pauses = this.eventCount - 1;
     if (pauses > 0 && !this.isColdStart) {
-      this.dispatcher.learnPause(this.backendId, (nowMs - this.firstEventAtMs) / pauses);
+      this.dispatcher.learnEventInterval(this.backendId, (nowMs - this.firstEventAtMs) / pauses);
     }
   }
 
@@ -60,14 +60,18 @@
 
   private reportFirstEventLatency(nowMs: number): void {
     if (!this.isColdStart) {
-      this.dispatcher.learnFirst(this.backendId, this.promptTokens, nowMs - this.startedAtMs);
+      this.dispatcher.learnFirstEventTime(
+        this.backendId,
+        this.promptTokens,
+        nowMs - this.startedAtMs,
+      );
     }
   }
 
   private reportPrefillDone(): void {
     if (!this.isPrefillReported) {
       this.isPrefillReported = true;
-      this.dispatcher.notePromptRead(this.backendId, this.promptTokens);
+      this.dispatcher.notePromptDone(this.backendId, this.promptTokens);
     }
   }
 }
--- a/src/gateway/attempt/proxied-request.ts
+++ b/src/gateway/attempt/proxied-request.ts
@@ -229,7 +229,7 @@
     this.attemptStartedAtMs = nowMs;
     this.lastReceiptAtMs = -Infinity;
     this.currentRun = ports.crashes.begin(request, backend, this.currentRun);
-    this.stopWatchingPath = entry?.path.watch(() => this.leaveLostPath());
+    this.stopWatchingPath = entry?.path.subscribeLost(() => this.leaveLostPath());
     this.relay.beginAttempt();
     this.progress = new AttemptProgress(
       ports.dispatcher,
@@ -317,12 +317,16 @@
 
   private hasFreeSlotElsewhere(backendId: string): boolean {
     const { dispatcher, clock } = this.ports;
-    return dispatcher.hasRoom(this.request, new Set([...this.excludedIds, backendId]), clock.now());
+    return dispatcher.hasCapacity(
+      this.request,
+      new Set([...this.excludedIds, backendId]),
+      clock.now(),
+    );
   }
 
   private recordReceipt(): void {
     this.lastReceiptAtMs = this.ports.clock.now();
-    this.ports.directory.find(this.backend!.id)?.path.noteHeard(this.lastReceiptAtMs);
+    this.ports.directory.find(this.backend!.id)?.path.noteActivity(this.lastReceiptAtMs);
   }
 
   private receiveHead(head: ResponseHead): void {
@@ -491,7 +495,11 @@
   private canRetryElsewhere(): boolean {
     const { route } = this.request;
     const others = new Set([...this.excludedIds, this.backend!.id]);
-    const hasOther = this.ports.dispatcher.hasAwake(this.request, others, this.ports.clock.now());
+    const hasOther = this.ports.dispatcher.hasNonResting(
+      this.request,
+      others,
+      this.ports.clock.now(),
+    );
     return hasOther && this.mayRetry() && this.attempts < route.maxAttempts && this.hasTimeLeft();
   }
 
--- a/src/gateway/attempt/request-wait.ts
+++ b/src/gateway/attempt/request-wait.ts
@@ -59,7 +59,7 @@
       arrivedAtMs: request.arrivedAtMs,
       startByMs:
         firstDueAtMs -
-        ports.directory.expectedFirstMs(service, promptTokens, request.allowedRegions),
+        ports.directory.expectedFirstEventMs(service, promptTokens, request.allowedRegions),
       units: request.units,
       promptTokens,
       firstDueAtMs,
@@ -144,12 +144,12 @@
   private scheduleOtherRegions(): void {
     const { clock, dispatcher } = this.context.ports;
     const { service, arrivedAtMs } = this.dispatchRequest;
-    const leftMs = dispatcher.farPatienceMs(service) - (clock.now() - arrivedAtMs);
+    const leftMs = dispatcher.remoteDelayMs(service) - (clock.now() - arrivedAtMs);
     if (this.isOver || leftMs <= 0) {
       return;
     }
     const review = () => {
-      dispatcher.review(service, clock.now());
+      dispatcher.serveAgain(service, clock.now());
       this.scheduleOtherRegions();
     };
     this.otherRegionsTimer = clock.setTimeout(review, Math.ceil(leftMs));
@@ -205,12 +205,12 @@
     const { request, ports } = this.context;
     const { startByMs, service, allowedRegions } = this.dispatchRequest;
     const forecast = ports.dispatcher.forecastOf(service);
-    const expectedResponseMs = ports.directory.expectedWholeMs(
+    const expectedResponseMs = ports.directory.expectedAnswerMs(
       service,
       request.units,
       allowedRegions,
     );
-    const expectedFirstEventMs = ports.directory.expectedFirstMs(
+    const expectedFirstEventMs = ports.directory.expectedFirstEventMs(
       service,
       request.promptTokens,
       allowedRegions,
--- a/src/gateway/dispatch/backend-chooser.ts
+++ b/src/gateway/dispatch/backend-chooser.ts
@@ -5,7 +5,7 @@
 import type { RouteAndTenant } from '../../routing/named-homes.js';
 import { isOutsideAllowedRegions, isSameHomeOwner, requiresGrant } from './agent-homes.js';
 import { bindingCostMs, stallsOtherStreams } from './backend-choice.js';
-import type { ColdStarts } from './cold-starts.js';
+import type { ColdStartLimiter } from './cold-starts.js';
 import type { DispatchRequest } from './dispatch-request.js';
 import { sendLimitPerS } from '../statements/send-limit.js';
 import type { SendRights } from '../statements/send-rights.js';
@@ -27,7 +27,7 @@
   /** Version of the configuration in force; absent where homes are not supported. */
   configurationVersion?(): number | undefined;
   /** Limits on starting requests at cold backends. */
-  readonly coldStarts: ColdStarts;
+  readonly coldStarts: ColdStartLimiter;
   /** Rights to send to backends that announce a rate limit; absent where no backend does. */
   readonly sendRights?: Pick<SendRights, 'mayBegin' | 'want' | 'use'>;
 }
@@ -283,7 +283,7 @@
       (known) => known.availability !== 'closed' && !known.health.isEjected(nowMs),
     );
     const reachable = selectReachable(healthy, request.isRepeatable, nowMs);
-    const assigned = reachable.filter((known) => known.isAssigned);
+    const assigned = reachable.filter((known) => known.isInSubset);
     if (assigned.length > 0) {
       return assigned;
     }
--- a/src/gateway/dispatch/backend-directory.ts
+++ b/src/gateway/dispatch/backend-directory.ts
@@ -26,12 +26,12 @@
   /** Home regions in which the gateway needs engines; absent where homes are not supported. */
   homeRegions?(): HomeRegions;
   /** Called when the local region loses or regains its usable backends of a service. */
-  onReach?(service: string, hasLocalBackends: boolean): void;
+  onLocalAvailability?(service: string, hasLocalBackends: boolean): void;
   /**
    * Whether the configuration in force defines the service; absent where every service counts as
    * defined.
    */
-  isNamed?(service: string): boolean;
+  isServiceConfigured?(service: string): boolean;
   /**
    * Statements of the backend incarnation with this id, possibly received before its announcement;
    * absent where statements are not tracked.
@@ -101,7 +101,7 @@
    * Recomputes the availability of the service by region. Where the whole local region is lost, the
    * subset is extended with engines of other regions.
    */
-  reviewReach(service: string): void {
+  updateRegionAvailability(service: string): void {
     const before = this.regionAvailability(service);
     const usable = this.ofService(service).filter(
       ({ backend }) => !this.ports.isEvacuated(backend.zone),
@@ -109,8 +109,8 @@
     const availability = regionAvailabilityOf(usable);
     this.regionAvailabilities.set(service, availability);
     if (availability.isLocalRegionLost !== before.isLocalRegionLost) {
-      this.ports.onReach?.(service, !availability.isLocalRegionLost);
-      this.assign(service);
+      this.ports.onLocalAvailability?.(service, !availability.isLocalRegionLost);
+      this.updateSubset(service);
     }
   }
 
@@ -198,7 +198,11 @@
    * over the permitted ones. Estimating by the fastest backend would count requests as in time that
    * most others answer late.
    */
-  expectedFirstMs(service: string, promptTokens: number, allowedRegions?: AllowedRegions): number {
+  expectedFirstEventMs(
+    service: string,
+    promptTokens: number,
+    allowedRegions?: AllowedRegions,
+  ): number {
     const expected = this.permitted(service, allowedRegions)
       .filter(({ speed }) => speed.isKnown)
       .map(({ speed, roundTrip }) => speed.expectedFirstEventMs(promptTokens) + roundTrip.ms)
@@ -209,7 +213,7 @@
   /**
    * Returns the mean expected time for a whole answer over the permitted backends, in milliseconds.
    */
-  expectedWholeMs(service: string, units: number, allowedRegions?: AllowedRegions): number {
+  expectedAnswerMs(service: string, units: number, allowedRegions?: AllowedRegions): number {
     const expected = this.permitted(service, allowedRegions).flatMap(({ msPerUnit, roundTrip }) =>
       msPerUnit === undefined ? [] : [msPerUnit * units + roundTrip.ms],
     );
@@ -222,7 +226,7 @@
    * cold; earlier ones, most of which have long been running, are cold only if their announcement
    * says so.
    */
-  noteListed(): void {
+  endInitialListing(): void {
     this.hasInitialListing = true;
   }
 
@@ -268,8 +272,8 @@
     this.rebuildIndex();
     const service = backend?.service ?? known?.backend.service;
     if (service !== undefined) {
-      this.assign(service);
-      this.reviewReach(service);
+      this.updateSubset(service);
+      this.updateRegionAvailability(service);
     }
   }
 
@@ -279,7 +283,7 @@
     if (known !== undefined) {
       known.hasEnded = true;
       this.markReplaced(known.backend.address);
-      this.assign(known.backend.service);
+      this.updateSubset(known.backend.service);
     }
   }
 
@@ -287,7 +291,7 @@
    * Reselects the engine subset of this gateway for a service. Engines in evacuated zones are left
    * out, so that others take their places.
    */
-  assign(service: string): void {
+  updateSubset(service: string): void {
     if (!this.ports.isEngine(service)) {
       return;
     }
@@ -309,7 +313,7 @@
     }
     for (const known of ready) {
       const isRetainedLocal = isLocalRegionLost && !isRemoteRegion(known);
-      known.isAssigned = isRetainedLocal || chosen.has(known.backend.id);
+      known.isInSubset = isRetainedLocal || chosen.has(known.backend.id);
     }
   }
 
@@ -318,17 +322,17 @@
    * agents to connect.
    */
   updateSubsetAfterOrder(service: string, nowMs: number): void {
-    const outside = this.ofService(service).filter(({ isAssigned }) => !isAssigned);
-    this.assign(service);
+    const outside = this.ofService(service).filter(({ isInSubset: isAssigned }) => !isAssigned);
+    this.updateSubset(service);
     for (const known of outside) {
-      if (known.isAssigned && known.agent === undefined) {
+      if (known.isInSubset && known.agent === undefined) {
         known.startAgentWait(nowMs);
       }
     }
   }
 
   /** Reevaluates which backends are replaced after the set of configured services changed. */
-  reviewReplaced(): void {
+  recheckReplaced(): void {
     const addresses = new Set(this.list().map(({ backend }) => backend.address));
     addresses.forEach((address) => this.markReplaced(address));
   }
@@ -340,7 +344,7 @@
   private markReplaced(address: string): void {
     const sameAddress = this.list().filter(
       ({ backend }) =>
-        backend.address === address && this.ports.isNamed?.(backend.service) !== false,
+        backend.address === address && this.ports.isServiceConfigured?.(backend.service) !== false,
     );
     const latest = sameAddress
       .filter((known) => !known.hasEnded)
--- a/src/gateway/dispatch/backend-health.ts
+++ b/src/gateway/dispatch/backend-health.ts
@@ -66,7 +66,7 @@
   }
 
   /** Records an outcome. Returns whether it led to an ejection. */
-  learn(outcome: AttemptOutcome, nowMs: number): boolean {
+  noteOutcome(outcome: AttemptOutcome, nowMs: number): boolean {
     if (outcome === 'unknown' || outcome === 'refused' || outcome === 'path-lost') {
       return false;
     }
--- a/src/gateway/dispatch/cold-share.ts
+++ b/src/gateway/dispatch/cold-share.ts
@@ -6,13 +6,13 @@
 import { shareByRank } from '../../routing/cold-start.js';
 
 /** A gateway's view of its peers. */
-export interface GatewayView {
+export interface PeerView {
   /** Peer address of this gateway. */
   readonly self: string;
   /** Addresses of every other gateway seen since this process started, including ended ones. */
   readonly others: ReadonlySet<string>;
   /** Whether at least one peer was contacted, or none is configured. */
-  readonly hasHeardPeers: boolean;
+  readonly hasReachedPeers: boolean;
   readonly startedAtMs: number;
 }
 
@@ -25,15 +25,15 @@
 
 /** Whether the peer view is complete enough to compute a share. */
 export function isPeerViewSettled(
-  { hasHeardPeers, startedAtMs }: GatewayView,
+  { hasReachedPeers: hasHeardPeers, startedAtMs }: PeerView,
   nowMs: number,
 ): boolean {
   return hasHeardPeers && nowMs - startedAtMs >= PEER_VIEW_SETTLE_MS;
 }
 
 /** Returns this gateway's share of `total` at a backend; 0 until the peer view is complete. */
-export function coldShare(
-  view: GatewayView,
+export function coldStartShare(
+  view: PeerView,
   backendId: string,
   total: number,
   nowMs: number,
--- a/src/gateway/dispatch/cold-starts.ts
+++ b/src/gateway/dispatch/cold-starts.ts
@@ -14,7 +14,7 @@
 /** Dependencies of the limiter. */
 export interface ColdStartPorts {
   /** Limit of a service; undefined where its backends accept any rate from their start. */
-  boundOf(service: string): ColdStartBound | undefined;
+  startLimitOf(service: string): ColdStartBound | undefined;
   /**
    * When this process learned that an evacuated zone is back in use; undefined if it never was
    * evacuated.
@@ -23,7 +23,7 @@
   /** This gateway's share of `total` at a backend whose agent is not connected. */
   share(backendId: string, total: number, nowMs: number): number;
   /** Called when a backend with a free slot was skipped because of its start rate limit. */
-  onHeld(known: KnownBackend): void;
+  onStartDelayed(known: KnownBackend): void;
   /** Called when a backend becomes cold, or warm again. */
   onChange(known: KnownBackend, coldness: ColdPeriod | undefined): void;
 }
@@ -44,15 +44,15 @@
 const MS_PER_S = 1_000;
 
 const NO_PORTS: ColdStartPorts = {
-  boundOf: () => undefined,
+  startLimitOf: () => undefined,
   returnedAtMs: () => undefined,
   share: () => 0,
-  onHeld: () => undefined,
+  onStartDelayed: () => undefined,
   onChange: () => undefined,
 };
 
 /** Limits the requests that a gateway starts without a grant. */
-export class ColdStarts {
+export class ColdStartLimiter {
   private readonly ungrantedStarts = new WeakMap<KnownBackend, StartWindow>();
   private readonly coldBackends = new Set<KnownBackend>();
 
@@ -61,7 +61,7 @@
   /** Returns why and until when the backend counts as cold; undefined while it is warm. */
   coldness(known: KnownBackend, nowMs: number): ColdPeriod | undefined {
     const { service, zone } = known.backend;
-    const bound = this.ports.boundOf(service);
+    const bound = this.ports.startLimitOf(service);
     return bound === undefined
       ? undefined
       : known.cold.currentPeriod(bound.coldStartMs, this.ports.returnedAtMs(zone), nowMs);
@@ -74,18 +74,18 @@
   }
 
   private hasStartLimit({ backend }: KnownBackend): boolean {
-    return this.ports.boundOf(backend.service) !== undefined;
+    return this.ports.startLimitOf(backend.service) !== undefined;
   }
 
   /** Whether a request may start there without a grant. */
   mayStart(known: KnownBackend, nowMs: number): boolean {
-    const bound = this.ports.boundOf(known.backend.service);
+    const bound = this.ports.startLimitOf(known.backend.service);
     if (bound === undefined) {
       return true;
     }
     const mayStart = this.isWithinLimit(bound, known, nowMs);
     if (!mayStart) {
-      this.ports.onHeld(known);
+      this.ports.onStartDelayed(known);
     }
     return mayStart;
   }
@@ -159,7 +159,7 @@
 
   private startsPerS(known: KnownBackend, gateways: number, nowMs: number): number {
     const { backend, agent } = known;
-    const { granted, ungranted } = this.ports.boundOf(backend.service)!;
+    const { granted, ungranted } = this.ports.startLimitOf(backend.service)!;
     return agent === undefined
       ? this.ports.share(backend.id, ungranted, nowMs)
       : (granted * BUSY_GATEWAY_FACTOR) / Math.max(1, gateways);
--- a/src/gateway/dispatch/dispatcher.ts
+++ b/src/gateway/dispatch/dispatcher.ts
@@ -54,7 +54,7 @@
   /** Called when a backend was ejected for its failures. */
   onEjected(backendId: string): void;
   /** Called once per reason when operator rules exclude ready backends for a request. */
-  onKept(reason: RestrictionReason): void;
+  onRestricted(reason: RestrictionReason): void;
   /** Called when the agent of a backend reports a change of its availability. */
   onAvailability(backend: Backend, availability: EngineAvailability): void;
   /** Called when the agent of a backend reports that nothing listens at its address. */
@@ -126,7 +126,11 @@
    * Like `hasReady`, but also skips backends in a rest period, so that the request need not wait
    * for one.
    */
-  hasAwake(request: PlacementConstraints, excluded: ReadonlySet<string>, nowMs: number): boolean {
+  hasNonResting(
+    request: PlacementConstraints,
+    excluded: ReadonlySet<string>,
+    nowMs: number,
+  ): boolean {
     const resting = this.directory
       .ofService(request.service)
       .filter(({ condition }) => condition.isResting(nowMs))
@@ -137,7 +141,7 @@
     );
   }
 
-  /** Like `hasAwake`, but also skips backends that are closed or on a suspect path. */
+  /** Like `hasNonResting`, but also skips backends that are closed or on a suspect path. */
   hasReachable(
     request: PlacementConstraints,
     excluded: ReadonlySet<string>,
@@ -147,14 +151,18 @@
       .ofService(request.service)
       .filter(({ path, availability }) => path.isSuspect || availability === 'closed')
       .map(({ backend }) => backend.id);
-    return this.hasAwake(request, new Set([...excluded, ...suspects]), nowMs);
+    return this.hasNonResting(request, new Set([...excluded, ...suspects]), nowMs);
   }
 
   /**
    * Whether the request could get a slot of a backend not in `excluded` now, ahead of all that
    * wait.
    */
-  hasRoom(request: PlacementConstraints, excluded: ReadonlySet<string>, nowMs: number): boolean {
+  hasCapacity(
+    request: PlacementConstraints,
+    excluded: ReadonlySet<string>,
+    nowMs: number,
+  ): boolean {
     const isQueueEmpty = this.countWaiting(request.service) === 0;
     return isQueueEmpty && this.picker.hasCapacityFor(request, excluded, nowMs);
   }
@@ -193,7 +201,7 @@
   submit(request: DispatchRequest, nowMs: number): void {
     const { service, allowedRegions } = request;
     for (const reason of this.directory.restrictions(service, allowedRegions)) {
-      this.ports.onKept(reason);
+      this.ports.onRestricted(reason);
     }
     this.queueOf(request.service).add(request, nowMs);
     this.serve(request.service, nowMs);
@@ -203,7 +211,7 @@
    * Returns how long a request of the service waits before engines of other regions are used, in
    * milliseconds.
    */
-  farPatienceMs(service: string): number {
+  remoteDelayMs(service: string): number {
     return this.directory.regionAvailability(service).remoteDelayMs;
   }
 
@@ -211,7 +219,7 @@
    * Serves the queue of a service again; requests in it may have waited long enough for other
    * regions.
    */
-  review(service: string, nowMs: number): void {
+  serveAgain(service: string, nowMs: number): void {
     this.serve(service, nowMs);
   }
 
@@ -219,9 +227,9 @@
    * Reacts to a changed statement of a backend: reselects the subset in case it is leaving, and
    * serves the queue in case it accepts requests again.
    */
-  followCondition({ backend }: KnownBackend, nowMs: number): void {
-    this.directory.assign(backend.service);
-    this.directory.reviewReach(backend.service);
+  handleConditionChange({ backend }: KnownBackend, nowMs: number): void {
+    this.directory.updateSubset(backend.service);
+    this.directory.updateRegionAvailability(backend.service);
     this.serve(backend.service, nowMs);
   }
 
@@ -243,9 +251,9 @@
     if (outcome === 'unreachable') {
       known.cold.assumeCold('was-gone', nowMs);
     }
-    if (known.health.learn(outcome, nowMs)) {
+    if (known.health.noteOutcome(outcome, nowMs)) {
       this.ports.onEjected(backendId);
-      this.directory.reviewReach(known.backend.service);
+      this.directory.updateRegionAvailability(known.backend.service);
     }
     const hasFailed = failureOf(outcome);
     if (hasFailed !== undefined) {
@@ -267,7 +275,7 @@
   /**
    * Records that the first event arrived or never will, so that the prompt no longer delays others.
    */
-  notePromptRead(backendId: string, promptTokens: number): void {
+  notePromptDone(backendId: string, promptTokens: number): void {
     const known = this.directory.find(backendId);
     if (known !== undefined) {
       known.pendingPromptTokens = Math.max(0, known.pendingPromptTokens - promptTokens);
@@ -286,7 +294,7 @@
   }
 
   /** Records the first event, which proves that a backend on trial works. */
-  noteFirst(backendId: string): void {
+  noteFirstEvent(backendId: string): void {
     const known = this.directory.find(backendId);
     if (known?.availability === 'trial') {
       this.sendToAgent(backendId, known, { kind: 'proven' });
@@ -294,7 +302,7 @@
   }
 
   /** Updates a backend's prompt speed estimate from the time to the first event. */
-  learnFirst(backendId: string, promptTokens: number, firstMs: number): void {
+  learnFirstEventTime(backendId: string, promptTokens: number, firstMs: number): void {
     const known = this.directory.find(backendId);
     if (known === undefined) {
       return;
@@ -307,7 +315,7 @@
   }
 
   /** Updates the estimate of the interval between events of a backend. */
-  learnPause(backendId: string, pauseMs: number): void {
+  learnEventInterval(backendId: string, pauseMs: number): void {
     this.directory.find(backendId)?.speed.learnEventInterval(pauseMs);
   }
 
@@ -361,7 +369,7 @@
         this.ports.onEnded?.(backendId);
       }
       this.noteAvailability(known, known.agent, message.availability, nowMs);
-      known.adopt(message.speed);
+      known.adoptLearned(message.speed);
       known.roundTrip.adopt(message.roundTripMs ?? known.roundTrip.ms);
       const { messagesSeen } = message;
       known.agent.unacknowledgedTakes = known.agent.unacknowledgedTakes.filter(
@@ -381,7 +389,7 @@
   tick(nowMs: number): void {
     this.ports.coldStarts.reportChanges(this.directory.list(), nowMs);
     for (const [service, queue] of this.waiting) {
-      this.directory.reviewReach(service);
+      this.directory.updateRegionAvailability(service);
       const backends = this.directory.ofService(service);
       const gateways = this.ports.countGateways();
       queue.limitSupply(this.ports.coldStarts.expectedStartsPerMs(backends, gateways, nowMs));
@@ -405,7 +413,7 @@
     if (availability === 'open') {
       known.health.reset();
     }
-    this.directory.reviewReach(known.backend.service);
+    this.directory.updateRegionAvailability(known.backend.service);
     this.ports.onAvailability(known.backend, availability);
   }
 
--- a/src/gateway/dispatch/known-backend.ts
+++ b/src/gateway/dispatch/known-backend.ts
@@ -69,7 +69,7 @@
    * Whether it is in this gateway's subset; others are used only when the whole subset is
    * unavailable.
    */
-  isAssigned = true;
+  isInSubset = true;
   /** Undefined while no agent is connected. */
   agent: SlotAgentLink | undefined;
   /** When it was removed from the list; undefined while it is listed. */
@@ -190,7 +190,7 @@
   }
 
   /** Adopts the estimates of other gateways for values without a sample of its own. */
-  adopt(learned: SpeedEstimates): void {
+  adoptLearned(learned: SpeedEstimates): void {
     this.speed.adoptLearned(learned);
     this.learnedMsPerUnit ??= learned.msPerUnit;
   }
--- a/src/gateway/dispatch/path-state.ts
+++ b/src/gateway/dispatch/path-state.ts
@@ -62,7 +62,7 @@
   /**
    * Records data from the backend's machine: an agent message, an answer, or a refused connection.
    */
-  noteHeard(nowMs: number): void {
+  noteActivity(nowMs: number): void {
     this.heardAtMs = nowMs;
     this.isAgentSilent = false;
     this.hasHungConnection = false;
@@ -75,7 +75,7 @@
   }
 
   /** Records a timeout of the agent connection. */
-  noteAgentSilent(): void {
+  noteAgentTimeout(): void {
     this.isAgentSilent = true;
   }
 
@@ -94,7 +94,7 @@
     return ended;
   }
 
-  /** Marks the path as suspect. `tellLost` must follow once all lost paths are marked. */
+  /** Marks the path as suspect. `notifyLost` must follow once all lost paths are marked. */
   suspect(cause: SuspicionCause, nowMs: number): void {
     this.suspicion = { cause, sinceMs: nowMs };
     this.probeIntervalMs = MIN_PROBE_INTERVAL_MS;
@@ -102,7 +102,7 @@
   }
 
   /** Notifies the active requests on the path that it is lost. */
-  tellLost(): void {
+  notifyLost(): void {
     for (const onLost of [...this.lostListeners]) {
       onLost();
     }
@@ -124,7 +124,7 @@
   /**
    * Registers a callback for when the path becomes suspect. Returns a function that unregisters it.
    */
-  watch(onLost: () => void): () => void {
+  subscribeLost(onLost: () => void): () => void {
     this.lostListeners.add(onLost);
     return () => void this.lostListeners.delete(onLost);
   }
--- a/src/gateway/dispatch/path-watch.ts
+++ b/src/gateway/dispatch/path-watch.ts
@@ -14,7 +14,7 @@
   /** Called when a path becomes suspect. */
   onSuspected(known: KnownBackend, cause: SuspicionCause, silentMs: number): void;
   /** Called when data was received on a suspect path. */
-  onRegained(known: KnownBackend, ended: EndedSuspicion): void;
+  onRecovered(known: KnownBackend, ended: EndedSuspicion): void;
 }
 
 /**
@@ -59,7 +59,7 @@
 const MIN_ZONE_ENGINES = 2;
 
 /** Monitors a gateway's paths to backends. */
-export class PathWatch {
+export class PathMonitor {
   constructor(
     private readonly directory: BackendDirectory,
     private readonly ports: PathMonitorPorts,
@@ -72,7 +72,7 @@
   }
 
   /** Evaluates every path. Must be called at short intervals. */
-  review(nowMs: number): void {
+  checkPaths(nowMs: number): void {
     const all = this.directory.list().filter(({ isCurrent }) => isCurrent);
     const changedServices = new Set<string>();
     this.reportRecovered(all, changedServices, nowMs);
@@ -83,12 +83,12 @@
       changedServices.add(known.backend.service);
     }
     for (const service of changedServices) {
-      this.directory.assign(service);
+      this.directory.updateSubset(service);
     }
     // Notified only after all lost paths are marked, so that moved requests avoid every one of
     // them.
     for (const known of lost.keys()) {
-      known.path.tellLost();
+      known.path.notifyLost();
     }
   }
 
@@ -106,7 +106,7 @@
       }
       const ended = path.takeEndedSuspicion();
       if (ended !== undefined && !path.isSuspect) {
-        this.ports.onRegained(known, ended);
+        this.ports.onRecovered(known, ended);
         changedServices.add(backend.service);
       }
     }
--- a/src/gateway/gateway-cluster.ts
+++ b/src/gateway/gateway-cluster.ts
@@ -21,7 +21,7 @@
 import type { PeerMessage } from '../cluster/peer-messages.js';
 import type { GatewayQuotas } from './gateway-quotas.js';
 import type { GatewaySettings } from './gateway-settings.js';
-import type { GatewayView } from './dispatch/cold-share.js';
+import type { PeerView } from './dispatch/cold-share.js';
 import type { ToldCondition } from './statements/backend-condition.js';
 import type { RequestCrashes } from './crashes/crash-tally.js';
 import { GatewayPeers } from './links/gateway-peers.js';
@@ -100,7 +100,7 @@
   }
 
   /** This gateway's view of the other gateways. */
-  get view(): GatewayView {
+  get view(): PeerView {
     return this.peers.view;
   }
 
--- a/src/gateway/gateway-cold-starts.ts
+++ b/src/gateway/gateway-cold-starts.ts
@@ -7,9 +7,9 @@
 import type { ColdStartBound, ColdStartLimits, ColdPeriod } from '../routing/cold-start.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { ActiveConfiguration } from './configuration-in-force.js';
-import { coldShare } from './dispatch/cold-share.js';
-import type { GatewayView } from './dispatch/cold-share.js';
-import { ColdStarts } from './dispatch/cold-starts.js';
+import { coldStartShare } from './dispatch/cold-share.js';
+import type { PeerView } from './dispatch/cold-share.js';
+import { ColdStartLimiter } from './dispatch/cold-starts.js';
 import type { KnownBackend } from './dispatch/known-backend.js';
 import type { GatewayMetrics } from './metrics/gateway-metrics.js';
 
@@ -20,21 +20,22 @@
   /** When this process learned that a zone's evacuation had ended; undefined if it did not end. */
   returnedAtMs(zone: string): number | undefined;
   /** This gateway's view of the other gateways. */
-  view(): GatewayView;
+  view(): PeerView;
   readonly clock: Clock;
   readonly log: DecisionLog;
   readonly metrics: GatewayMetrics;
 }
 
 /** Creates the cold-start limits of one gateway. */
-export function createColdStarts(dependencies: GatewayColdStartsDependencies): ColdStarts {
+export function createColdStarts(dependencies: GatewayColdStartsDependencies): ColdStartLimiter {
   const { metrics } = dependencies;
   const bounds = new ServiceBoundsCache(dependencies);
-  return new ColdStarts({
-    boundOf: (service) => bounds.find(service),
+  return new ColdStartLimiter({
+    startLimitOf: (service) => bounds.find(service),
     returnedAtMs: (zone) => dependencies.returnedAtMs(zone),
-    share: (backendId, total, nowMs) => coldShare(dependencies.view(), backendId, total, nowMs),
-    onHeld: ({ backend: { service } }) =>
+    share: (backendId, total, nowMs) =>
+      coldStartShare(dependencies.view(), backendId, total, nowMs),
+    onStartDelayed: ({ backend: { service } }) =>
       metrics.record(({ startsHeld }) => startsHeld.inc({ service })),
     onChange: (known, coldness) => logChange(known, coldness, dependencies),
   });
--- a/src/gateway/gateway-paths.ts
+++ b/src/gateway/gateway-paths.ts
@@ -5,7 +5,7 @@
 import type { HttpBackendSender } from './attempt/http-backend-sender.js';
 import type { BackendDirectory } from './dispatch/backend-directory.js';
 import type { SuspicionCause } from './dispatch/path-state.js';
-import { PathWatch } from './dispatch/path-watch.js';
+import { PathMonitor } from './dispatch/path-watch.js';
 import { onceArrivalsRead } from './links/arrivals-read.js';
 import type { SlotAgentLinks } from './links/slot-agent-links.js';
 
@@ -21,15 +21,15 @@
 
 /** The network paths from this gateway to its backends. */
 export class GatewayPaths {
-  private readonly monitor: PathWatch;
+  private readonly monitor: PathMonitor;
   /** Time up to which all received data has been read. */
   private readUpToMs = -Infinity;
   private isStopped = false;
 
   constructor(private readonly dependencies: GatewayPathsDependencies) {
-    this.monitor = new PathWatch(dependencies.directory, {
+    this.monitor = new PathMonitor(dependencies.directory, {
       onSuspected: ({ backend }, cause, silentMs) => this.handleSuspected(backend, cause, silentMs),
-      onRegained: ({ backend: { id, zone } }, ended) =>
+      onRecovered: ({ backend: { id, zone } }, ended) =>
         dependencies.log.write('path-regained', 'state', {
           backend: id,
           backendZone: zone,
@@ -63,7 +63,7 @@
       return;
     }
     this.readUpToMs = readUpToMs;
-    this.monitor.review(readUpToMs);
+    this.monitor.checkPaths(readUpToMs);
     this.dependencies.links().maintain(readUpToMs);
   }
 
--- a/src/gateway/gateway-role.ts
+++ b/src/gateway/gateway-role.ts
@@ -128,8 +128,8 @@
           regionOf: orders.regionOf,
         }),
         ...orders,
-        onReach: (service, hasNear) => this.logRegionReach(service, hasNear),
-        isNamed: (service) => this.configuration.isServiceConfigured(service),
+        onLocalAvailability: (service, hasNear) => this.logRegionReach(service, hasNear),
+        isServiceConfigured: (service) => this.configuration.isServiceConfigured(service),
         conditionOf: (backendId) => this.statements.conditionOf(backendId),
         onReplaced: (backendId) => this.crashes.requests.noteEnded(backendId, 'replaced'),
       },
@@ -145,7 +145,7 @@
       tokensPerEvent: (service) => this.configuration.tokensPerEvent(service),
       ...orders,
       configurationVersion: () => this.configuration.version,
-      onKept: (reason) =>
+      onRestricted: (reason) =>
         dependencies.metrics.record(({ requestsKept }) => requestsKept.inc({ reason })),
       onSent: (backend) => this.rollouts.rollouts.noteSent(backend),
       sendRights: this.statements.rights,
@@ -362,7 +362,7 @@
       this.applyRecord(update.record, update.decoded, source);
     }
     if (this.configuration.table !== undefined) {
-      this.directory.noteListed();
+      this.directory.endInitialListing();
     }
     this.paths.syncLinks();
   }
@@ -404,7 +404,7 @@
   private applyCondition(backendId: string): void {
     const known = this.directory.find(backendId);
     if (known !== undefined) {
-      this.dispatcher.followCondition(known, this.dependencies.clock.now());
+      this.dispatcher.handleConditionChange(known, this.dependencies.clock.now());
     }
   }
 
@@ -438,9 +438,9 @@
     const { version } = configuration;
     for (const { name } of configuration.services) {
       // The configuration decides which services are engines, so assignments may change.
-      this.directory.assign(name);
+      this.directory.updateSubset(name);
     }
-    this.directory.reviewReplaced();
+    this.directory.recheckReplaced();
     // Sends agents the updated regions in which waiting requests may be served.
     this.dispatcher.tick(this.dependencies.clock.now());
     this.requests.withdrawUnsent();
--- a/src/gateway/links/gateway-peers.ts
+++ b/src/gateway/links/gateway-peers.ts
@@ -13,7 +13,7 @@
 import type { Clock } from '../../clock.js';
 import type { RandomSource } from '../../random.js';
 import type { Rollouts } from '../../rollout/rollouts.js';
-import type { GatewayView } from '../dispatch/cold-share.js';
+import type { PeerView } from '../dispatch/cold-share.js';
 import type { GatewayQuotas } from '../gateway-quotas.js';
 import type { GatewayStatements } from '../gateway-statements.js';
 import type { ToldCondition } from '../statements/backend-condition.js';
@@ -132,13 +132,13 @@
   }
 
   /** This gateway's view of the fleet, from which shares are computed without coordination. */
-  get view(): GatewayView {
+  get view(): PeerView {
     const { address, seeds } = this.parts;
     const isAlone = seeds.every((seed) => seed === address);
     return {
       self: address,
       others: this.mesh.addressesEverKnown,
-      hasHeardPeers: this.mesh.hasHeardPeers || isAlone,
+      hasReachedPeers: this.mesh.hasHeardPeers || isAlone,
       startedAtMs: this.startedAtMs,
     };
   }
--- a/src/gateway/links/slot-agent-links.ts
+++ b/src/gateway/links/slot-agent-links.ts
@@ -225,7 +225,7 @@
     const channel = new MessageChannel<GatewayToAgent, AgentToGateway>(socket, {
       onMessage: (message) => {
         link.lastReceivedAtMs = this.clock.now();
-        this.pathOf(link)?.noteHeard(link.lastReceivedAtMs);
+        this.pathOf(link)?.noteActivity(link.lastReceivedAtMs);
         if (message.kind === 'fetch') {
           channel.send(this.exchange.answer(message));
           return;
@@ -302,9 +302,9 @@
       return;
     }
     if (link.lastEnd === 'answered') {
-      this.pathOf(link)?.noteHeard(this.clock.now());
+      this.pathOf(link)?.noteActivity(this.clock.now());
     } else if (link.lastEnd === 'silent' && (link.isEstablished || link.wasReportedSilent)) {
-      this.pathOf(link)?.noteAgentSilent();
+      this.pathOf(link)?.noteAgentTimeout();
     }
   }
 
@@ -326,6 +326,6 @@
  * requests of this gateway, and while its agent is silent, to detect its recovery.
  */
 function needsLink(known: KnownBackend): boolean {
-  const { isCurrent, isAssigned, outstanding, path } = known;
+  const { isCurrent, isInSubset: isAssigned, outstanding, path } = known;
   return isCurrent && (isAssigned || outstanding > 0 || path.isAgentSilent);
 }
--- a/src/model/model-gateway.ts
+++ b/src/model/model-gateway.ts
@@ -15,7 +15,7 @@
 import { sendRefusal } from '../gateway/admission/send-refusal.js';
 import { NO_STATEMENT } from '../gateway/statements/backend-statement.js';
 import { BackendDirectory } from '../gateway/dispatch/backend-directory.js';
-import { ColdStarts } from '../gateway/dispatch/cold-starts.js';
+import { ColdStartLimiter } from '../gateway/dispatch/cold-starts.js';
 import { Dispatcher } from '../gateway/dispatch/dispatcher.js';
 import type { RandomSource } from '../random.js';
 import type { OperatorRules } from '../routing/backend-restriction.js';
@@ -106,11 +106,11 @@
     this.dispatcher = new Dispatcher(this.directory, {
       sendToAgent: (backendId, message) => this.senders.get(backendId)?.(message),
       onEjected: () => undefined,
-      onKept: () => undefined,
+      onRestricted: () => undefined,
       onAvailability: () => undefined,
       ...NO_ORDERS,
       onSent: () => undefined,
-      coldStarts: new ColdStarts(),
+      coldStarts: new ColdStartLimiter(),
       isEngine: () => true,
       countGateways: () => parts.countGateways(),
       tokensPerEvent: () => parts.tokensPerEvent,
@@ -165,7 +165,7 @@
       this.dispatcher.updateBackend(backend.id, backend, clock.now());
     }
     for (const { backend, agent } of backends.values()) {
-      if (this.directory.find(backend.id)!.isAssigned) {
+      if (this.directory.find(backend.id)!.isInSubset) {
         this.connect(backend.id, agent);
       }
     }
--- a/test/backend-lives.test.ts
+++ b/test/backend-lives.test.ts
@@ -254,6 +254,6 @@
   world.dispatcher.updateBackend('other', foreign, 0);
   t.true(world.directory.find('w')!.isReady);
   world.namedServices = new Set(['s', 'foreign']);
-  world.directory.reviewReplaced();
+  world.directory.recheckReplaced();
   t.false(world.directory.find('w')!.isReady);
 });
--- a/test/cold-start.test.ts
+++ b/test/cold-start.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import fc from 'fast-check';
-import { ColdStarts } from '../src/gateway/dispatch/cold-starts.js';
-import { coldShare, PEER_VIEW_SETTLE_MS } from '../src/gateway/dispatch/cold-share.js';
+import { ColdStartLimiter } from '../src/gateway/dispatch/cold-starts.js';
+import { coldStartShare, PEER_VIEW_SETTLE_MS } from '../src/gateway/dispatch/cold-share.js';
 import { ColdStartTracker, coldStartBound } from '../src/routing/cold-start.js';
 import type { AgentSlotMessage } from '../src/slot-agent/slot-messages.js';
 import { START_WINDOW_MS, StartWindow } from '../src/slot-agent/start-window.js';
@@ -53,8 +53,8 @@
         const shares = names.map((self, index) => {
           const gone = Array.from({ length: strangers[index]! }, (_none, i) => `10.9.9.${i}:1`);
           const others = new Set([...names.filter((name) => name !== self), ...gone]);
-          const view = { self, others, hasHeardPeers: true, startedAtMs: 0 };
-          return coldShare(view, backendId, total, PEER_VIEW_SETTLE_MS);
+          const view = { self, others, hasReachedPeers: true, startedAtMs: 0 };
+          return coldStartShare(view, backendId, total, PEER_VIEW_SETTLE_MS);
         });
         return shares.reduce((sum, share) => sum + share, 0) <= total;
       },
@@ -65,9 +65,9 @@
 
 test('a gateway that has just started or never reached a peer has no share', (t) => {
   const view = { self: 'a', others: new Set<string>(), startedAtMs: 0 };
-  t.is(coldShare({ ...view, hasHeardPeers: true }, 'e', 10, PEER_VIEW_SETTLE_MS - 1), 0);
-  t.is(coldShare({ ...view, hasHeardPeers: false }, 'e', 10, PEER_VIEW_SETTLE_MS * 10), 0);
-  t.is(coldShare({ ...view, hasHeardPeers: true }, 'e', 10, PEER_VIEW_SETTLE_MS), 10);
+  t.is(coldStartShare({ ...view, hasReachedPeers: true }, 'e', 10, PEER_VIEW_SETTLE_MS - 1), 0);
+  t.is(coldStartShare({ ...view, hasReachedPeers: false }, 'e', 10, PEER_VIEW_SETTLE_MS * 10), 0);
+  t.is(coldStartShare({ ...view, hasReachedPeers: true }, 'e', 10, PEER_VIEW_SETTLE_MS), 10);
 });
 
 test('a start counts for one second after the latest time at which it may happen', (t) => {
@@ -113,11 +113,11 @@
 function createColdWorld(share = 0, ...ids: string[]): GatewayWorld {
   const world = new GatewayWorld();
   world.engines = true;
-  world.coldStarts = new ColdStarts({
-    boundOf: () => BOUND,
+  world.coldStarts = new ColdStartLimiter({
+    startLimitOf: () => BOUND,
     returnedAtMs: () => undefined,
     share: () => share,
-    onHeld: () => undefined,
+    onStartDelayed: () => undefined,
     onChange: () => undefined,
   });
   for (const id of ids) {
@@ -157,11 +157,11 @@
   const world = createColdWorld(0, 'warm');
   const reports: Array<[string, string | undefined]> = [];
   const zone: { returnedAtMs?: number } = {};
-  world.coldStarts = new ColdStarts({
-    boundOf: () => BOUND,
+  world.coldStarts = new ColdStartLimiter({
+    startLimitOf: () => BOUND,
     returnedAtMs: () => zone.returnedAtMs,
     share: () => 0,
-    onHeld: () => undefined,
+    onStartDelayed: () => undefined,
     onChange: ({ backend }, coldness) => reports.push([backend.id, coldness?.reason]),
   });
   world.dispatcher.tick(0);
@@ -217,7 +217,7 @@
 
 test('a backend that was announced after the start, or was gone, counts as cold', async (t) => {
   const world = createColdWorld(0, 'warm');
-  world.directory.noteListed();
+  world.directory.endInitialListing();
   world.dispatcher.updateBackend('new', backendOf('new'), 0);
   t.true(world.dispatcher.isCold('new', COLD_MS - 1));
   t.false(world.dispatcher.isCold('new', COLD_MS));
@@ -282,7 +282,7 @@
 
 test('a service without slow starts has no limit', (t) => {
   const world = createColdWorld(0);
-  world.coldStarts = new ColdStarts();
+  world.coldStarts = new ColdStartLimiter();
   world.dispatcher.updateBackend('cold', backendOf('cold', { slots: 9, remainingColdMs: 9 }), 0);
   world.directory.find('cold')!.endAgentWait();
   world.dispatcher.connectAgent('cold', 0);
--- a/test/engine-subset.test.ts
+++ b/test/engine-subset.test.ts
@@ -62,7 +62,9 @@
   world.engines = true;
   backends.forEach((backend) => world.directory.update(backend.id, backend, 0));
   const assigned = new Set(
-    world.directory.list().flatMap(({ backend, isAssigned }) => (isAssigned ? [backend.id] : [])),
+    world.directory
+      .list()
+      .flatMap(({ backend, isInSubset: isAssigned }) => (isAssigned ? [backend.id] : [])),
   );
   t.is(assigned.size, 22);
   await world.clock.runUntil(200);
--- a/test/gateway-metrics.test.ts
+++ b/test/gateway-metrics.test.ts
@@ -87,7 +87,7 @@
 
 test('backends are counted by service and observed state', (t) => {
   const ejected = new KnownBackend(backendOf('a'), 0);
-  while (!ejected.health.learn('failed', 10)) {
+  while (!ejected.health.noteOutcome('failed', 10)) {
     // Reports failures until the backend is ejected.
   }
   const gone = new KnownBackend(backendOf('b'), 0);
--- a/test/homes.test.ts
+++ b/test/homes.test.ts
@@ -119,7 +119,7 @@
   const used = world.attempts[0]!.backend.id;
   const paths = world.directory.list().filter(({ backend }) => backend.id !== 'far');
   paths.forEach(({ path }) => path.suspect('agent-silent', world.clock.now()));
-  world.directory.find(used)!.path.tellLost();
+  world.directory.find(used)!.path.notifyLost();
   t.false(world.attempts[0]!.isCancelled);
   t.deepEqual(attemptedBackends(world), [used]);
 });
@@ -200,7 +200,7 @@
   ejected.request();
   t.deepEqual(attemptedBackends(ejected), ['w']);
   const unassigned = worldOf(homes, ['w', { zone: 'a1' }], ['far', { zone: 'b1' }]);
-  unassigned.directory.find('w')!.isAssigned = false;
+  unassigned.directory.find('w')!.isInSubset = false;
   unassigned.request();
   t.deepEqual(attemptedBackends(unassigned), ['w']);
   const unlisted = worldOf(homes, ['w', { zone: 'a1' }], ['far', { zone: 'b1' }]);
@@ -264,7 +264,7 @@
     const id = `w${index}`;
     world.dispatcher.updateBackend(id, backendOf(id, { zone: index < 40 ? 'z' : 'a1' }), 0);
   }
-  const assigned = world.directory.list().filter(({ isAssigned }) => isAssigned);
+  const assigned = world.directory.list().filter(({ isInSubset: isAssigned }) => isAssigned);
   t.is(assigned.filter(({ backend }) => backend.zone === 'a1').length, 4);
 });
 
--- a/test/lost-paths.test.ts
+++ b/test/lost-paths.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { PathWatch } from '../src/gateway/dispatch/path-watch.js';
+import { PathMonitor } from '../src/gateway/dispatch/path-watch.js';
 import type { SuspicionCause } from '../src/gateway/dispatch/path-state.js';
 import type { Route } from '../src/routing/configuration.js';
 import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
@@ -20,9 +20,9 @@
   readonly suspected: Array<[string, SuspicionCause]> = [];
   readonly regained: string[] = [];
   readonly silent = new Set<string>();
-  readonly paths = new PathWatch(this.directory, {
+  readonly paths = new PathMonitor(this.directory, {
     onSuspected: ({ backend }, cause) => void this.suspected.push([backend.id, cause]),
-    onRegained: ({ backend }) => void this.regained.push(backend.id),
+    onRecovered: ({ backend }) => void this.regained.push(backend.id),
   });
 
   constructor() {
@@ -49,10 +49,10 @@
       await this.clock.runUntil(nowMs);
       for (const { backend, path } of this.directory.list()) {
         if (!this.silent.has(backend.id) && nowMs % HEARTBEAT_MS === 0) {
-          path.noteHeard(nowMs);
+          path.noteActivity(nowMs);
         }
       }
-      this.paths.review(nowMs);
+      this.paths.checkPaths(nowMs);
       this.dispatcher.tick(nowMs);
     }
   }
@@ -66,7 +66,7 @@
     }
     for (const id of declared) {
       this.dispatcher.disconnectAgent(id, this.clock.now());
-      this.pathOf(id).noteAgentSilent();
+      this.pathOf(id).noteAgentTimeout();
     }
   }
 
@@ -139,7 +139,7 @@
   const world = await createActiveWorld();
   world.silenceZone('y', ['far1']);
   await world.runUntil(700);
-  world.pathOf('far2').noteHeard(700);
+  world.pathOf('far2').noteActivity(700);
   await world.runUntil(1_300);
   t.deepEqual(world.suspected, [['far1', 'agent-silent']]);
 });
@@ -255,11 +255,11 @@
     ),
   );
   world.engines = true;
-  world.directory.assign('s');
+  world.directory.updateSubset('s');
   const assigned = () =>
     world.directory
       .list()
-      .filter(({ isAssigned, path }) => isAssigned && !path.isSuspect)
+      .filter(({ isInSubset: isAssigned, path }) => isAssigned && !path.isSuspect)
       .map(({ backend }) => backend.zone);
   t.is(assigned().filter((zone) => zone === 'z').length, 10);
   for (const known of world.directory.list()) {
@@ -267,7 +267,7 @@
       known.path.suspect('zone-silent', 0);
     }
   }
-  world.directory.assign('s');
+  world.directory.updateSubset('s');
   t.is(assigned().length, 16);
   t.false(assigned().includes('z'));
 });
--- a/test/regions.test.ts
+++ b/test/regions.test.ts
@@ -63,8 +63,8 @@
   ] as const) {
     const world = worldOf(['near'], ['far']);
     const learned = (baseMs: number) => ({ prefill: { baseMs, msPerToken: 0.01 }, msPerUnit: 1 });
-    world.directory.find('near')!.adopt(learned(30 + gainMs));
-    world.directory.find('far')!.adopt(learned(30));
+    world.directory.find('near')!.adoptLearned(learned(30 + gainMs));
+    world.directory.find('far')!.adoptLearned(learned(30));
     world.request({ route: UNSAFE_ROUTE, promptTokens: TOKENS });
     t.deepEqual(usedBackends(world), [expected]);
   }
@@ -76,7 +76,9 @@
   world.dispatcher.updateBackend('next', backendOf('next', { zone: 'next', slots: 13 }), 0);
   world.dispatcher.connectAgent('next', 0);
   for (const id of ['near', 'next']) {
-    world.directory.find(id)!.adopt({ prefill: { baseMs: 50, msPerToken: 0.01 }, msPerUnit: 1 });
+    world.directory
+      .find(id)!
+      .adoptLearned({ prefill: { baseMs: 50, msPerToken: 0.01 }, msPerUnit: 1 });
   }
   sendState(world, 'near', 9);
   sendState(world, 'next', 1);
@@ -86,12 +88,12 @@
 
 test('learned and shared engine times exclude the round trip to the engine', (t) => {
   const world = worldOf([], ['far']);
-  world.dispatcher.learnFirst('far', TOKENS, 116);
+  world.dispatcher.learnFirstEventTime('far', TOKENS, 116);
   world.dispatcher.learnSpeed('far', 1, 216);
   const { prefill, msPerUnit } = world.directory.find('far')!.learned;
   t.is(prefill!.baseMs + prefill!.msPerToken * TOKENS, 100);
   t.is(msPerUnit, 200);
-  t.is(world.directory.expectedFirstMs('s', TOKENS), 116);
+  t.is(world.directory.expectedFirstEventMs('s', TOKENS), 116);
 });
 
 test('a request waits for full engines in its region before it is sent to another region', async (t) => {
@@ -110,7 +112,7 @@
   sendState(world, 'near', 1);
   world.request({ route: UNSAFE_ROUTE });
   world.directory.find('far')!.roundTrip.adopt(30);
-  world.directory.reviewReach('s');
+  world.directory.updateRegionAvailability('s');
   await world.clock.runUntil(39);
   t.deepEqual(usedBackends(world), []);
   await world.clock.runUntil(40);
@@ -155,7 +157,7 @@
   for (const isFarFull of [false, true]) {
     const world = worldOf(['near'], ['far']);
     world.evacuatedZones.add('z');
-    world.directory.reviewReach('s');
+    world.directory.updateRegionAvailability('s');
     sendState(world, 'far', isFarFull ? 1 : 0);
     world.request({ route: UNSAFE_ROUTE });
     t.deepEqual(usedBackends(world), isFarFull ? [] : ['far']);
@@ -176,7 +178,7 @@
   const far = Array.from({ length: 40 }, (_unused, index) => `f${index}`);
   const world = worldOf(near, far);
   const countInSubset = (ids: readonly string[]) =>
-    ids.filter((id) => world.directory.find(id)!.isAssigned).length;
+    ids.filter((id) => world.directory.find(id)!.isInSubset).length;
   const before = countInSubset(far);
   near.forEach((id) => sendState(world, id, 0, 'closed'));
   t.is(countInSubset(far), 16);
--- a/test/statement-choices.test.ts
+++ b/test/statement-choices.test.ts
@@ -96,7 +96,7 @@
   t.is(world.attempts.length, 1);
   t.true(world.wantedRights.includes('a'));
   world.heldRights.add('a');
-  world.dispatcher.review('s', 10);
+  world.dispatcher.serveAgain('s', 10);
   world.request({ route: UNSAFE });
   t.is(world.attempts.length, 2);
 });
@@ -151,7 +151,7 @@
   world.request({ route: UNSAFE });
   t.is(world.attempts.length, 1);
   world.heldRights.add('a');
-  world.dispatcher.review('s', 600);
+  world.dispatcher.serveAgain('s', 600);
   t.is(world.attempts.length, 2);
   world.answer(1, 200, 'done');
   t.is(world.attempts.length, 3);
@@ -212,6 +212,6 @@
   refused.request({ route: UNSAFE });
   t.is(refused.attempts.length, 1);
   await refused.clock.runUntil(20);
-  refused.dispatcher.review('s', 20);
+  refused.dispatcher.serveAgain('s', 20);
   t.is(refused.attempts.length, 2);
 });
--- a/test/support/cold-fleet.ts
+++ b/test/support/cold-fleet.ts
@@ -3,8 +3,8 @@
  * are slow, stall and break.
  */
 import { BackendDirectory } from '../../src/gateway/dispatch/backend-directory.js';
-import { coldShare } from '../../src/gateway/dispatch/cold-share.js';
-import { ColdStarts } from '../../src/gateway/dispatch/cold-starts.js';
+import { coldStartShare } from '../../src/gateway/dispatch/cold-share.js';
+import { ColdStartLimiter } from '../../src/gateway/dispatch/cold-starts.js';
 import { Dispatcher } from '../../src/gateway/dispatch/dispatcher.js';
 import type { DispatchRequest } from '../../src/gateway/dispatch/dispatch-request.js';
 import { randomInteger, SeededRandom } from '../../src/random.js';
@@ -97,7 +97,7 @@
       onEjected: () => undefined,
       onAvailability: () => undefined,
       ...orders,
-      onKept: () => undefined,
+      onRestricted: () => undefined,
       onSent: () => undefined,
       isEngine: () => true,
       countGateways: () => 1,
@@ -147,13 +147,13 @@
     }
   }
 
-  private createLimiter(): ColdStarts {
+  private createLimiter(): ColdStartLimiter {
     const { fault } = this.fleet;
-    const limiter = new ColdStarts({
-      boundOf: () => COLD_BOUND,
+    const limiter = new ColdStartLimiter({
+      startLimitOf: () => COLD_BOUND,
       returnedAtMs: () => undefined,
       share: (id, total, nowMs) => (fault.ignoresPeers ? total : this.share(id, total, nowMs)),
-      onHeld: () => undefined,
+      onStartDelayed: () => undefined,
       onChange: () => undefined,
     });
     if (fault.takesSlotsUngranted) {
@@ -167,7 +167,12 @@
 
   private share(backendId: string, total: number, nowMs: number): number {
     const { name: self, others, startedAtMs } = this;
-    return coldShare({ self, others, startedAtMs, hasHeardPeers: true }, backendId, total, nowMs);
+    return coldStartShare(
+      { self, others, startedAtMs, hasReachedPeers: true },
+      backendId,
+      total,
+      nowMs,
+    );
   }
 
   private send(message: GatewaySlotMessage): void {
--- a/test/support/gateway.ts
+++ b/test/support/gateway.ts
@@ -10,7 +10,7 @@
 import type { RequestCrashes } from '../../src/gateway/crashes/crash-tally.js';
 import { CrashingRequests } from '../../src/gateway/crashes/crashing-requests.js';
 import type { CountedCrash } from '../../src/gateway/crashes/crashing-requests.js';
-import { ColdStarts } from '../../src/gateway/dispatch/cold-starts.js';
+import { ColdStartLimiter } from '../../src/gateway/dispatch/cold-starts.js';
 import { Dispatcher } from '../../src/gateway/dispatch/dispatcher.js';
 import type { DispatcherPorts } from '../../src/gateway/dispatch/dispatcher.js';
 import type { HomeRegions } from '../../src/gateway/dispatch/home-engines.js';
@@ -176,7 +176,7 @@
   readonly triesOver: EndedAttempt[] = [];
   /** Backends to which connections are not established for now. */
   readonly connecting = new Set<string>();
-  coldStarts = new ColdStarts();
+  coldStarts = new ColdStartLimiter();
   /** Configured services; undefined if all are. */
   namedServices: ReadonlySet<string> | undefined;
   /** Backends whose probe was requested, in order. */
@@ -220,7 +220,7 @@
   private recordStatement({ backend, ...heard }: HeardAnswer): void {
     const known = this.directory.find(backend.id);
     if (known?.condition.hear(heard, this.clock.now()) === true) {
-      this.dispatcher.followCondition(known, this.clock.now());
+      this.dispatcher.handleConditionChange(known, this.clock.now());
     }
   }
 
@@ -272,7 +272,7 @@
     // Tests check the attempts instead.
   }
 
-  onKept(reason: RestrictionReason): void {
+  onRestricted(reason: RestrictionReason): void {
     this.kept.push(reason);
   }
 
--- a/test/zone-evacuation.test.ts
+++ b/test/zone-evacuation.test.ts
@@ -195,7 +195,9 @@
     }
   }
   const subsetZones = () =>
-    world.directory.list().flatMap(({ isAssigned, backend }) => (isAssigned ? backend.zone : []));
+    world.directory
+      .list()
+      .flatMap(({ isInSubset: isAssigned, backend }) => (isAssigned ? backend.zone : []));
   const before = subsetZones();
   t.true(before.filter((zone) => zone === 'z').length >= 16);
   world.order('z', true);
@@ -223,10 +225,10 @@
   world.dispatcher.learnSpeed('a', 1, 10);
   world.dispatcher.learnSpeed('b', 1, 50);
   t.is(world.directory.permitted('s', undefined).length, 2);
-  t.is(world.directory.expectedWholeMs('s', 1), 30);
+  t.is(world.directory.expectedAnswerMs('s', 1), 30);
   world.order('za', true);
   t.is(world.directory.permitted('s', undefined).length, 1);
-  t.is(world.directory.expectedWholeMs('s', 1), 50);
+  t.is(world.directory.expectedAnswerMs('s', 1), 50);
   t.is(world.directory.countSlots('s'), 2);
 });
 
