--- a/src/cli/queries/explain-logs.ts
+++ b/src/cli/queries/explain-logs.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from 'node:fs';
 import { CommandFailure, print } from '../context.js';
 import type { GlobalOptions } from '../context.js';
-import type { SpentQuota } from '../../gateway/admission/gateway-refusal.js';
+import type { ExhaustedQuota } from '../../gateway/admission/gateway-refusal.js';
 import type { HomeReport } from '../../gateway/homes/home-report.js';
 import { EXIT } from '../exit-codes.js';
 import { explainCrashes } from './explain-crashes.js';
@@ -170,7 +170,7 @@
   const status = Number(line['status']);
   const ended = status === 0 ? 'ended without a whole answer' : `was answered ${status}`;
   const words = [`${line.time} ${line.process}: ${ended}: ${REASONS[reason] ?? reason}`];
-  const quota = line['quota'] as SpentQuota | undefined;
+  const quota = line['quota'] as ExhaustedQuota | undefined;
   if (quota !== undefined) {
     words.push(
       `  tenant ${quota.tenant}: it would have cost ${quota.cost}, ${quota.left} were left`,
--- a/src/gateway/admission/caller-listener.ts
+++ b/src/gateway/admission/caller-listener.ts
@@ -17,17 +17,17 @@
 }
 
 /** Callbacks for a request whose body is being read. */
-export interface PendingBody {
+export interface RequestBodyHandlers {
   /** The body is complete. */
   onBody(body: Buffer): void;
   /** The body is longer than allowed. */
   onTooLong(): void;
   /** The caller disconnected, before or after the body was complete. */
-  onCallerLeft(): void;
+  onCallerDisconnected(): void;
 }
 
 /** Handles a request head and returns the callbacks for its body. */
-export type RequestHandler = (head: ReceivedHead, reply: CallerReply) => PendingBody;
+export type RequestHandler = (head: ReceivedHead, reply: CallerReply) => RequestBodyHandlers;
 
 /** Limit at which the HTTP parser rejects headers; the configured limit is lower. */
 const PARSER_HEADER_BYTES = 128 * 1024;
@@ -71,7 +71,7 @@
   }
 
   /** Adds `Connection: close` to every response from now on. */
-  announceClose(): void {
+  closeConnectionsAfterResponse(): void {
     this.isClosing = true;
   }
 
@@ -95,7 +95,7 @@
     const disconnect = () => {
       hasDisconnected = true;
       if (!response.writableFinished) {
-        handlers.onCallerLeft();
+        handlers.onCallerDisconnected();
       }
       if (!response.writableEnded) {
         response.destroy();
@@ -119,7 +119,7 @@
 
   private readBody(
     request: IncomingMessage,
-    handlers: Pick<PendingBody, 'onBody' | 'onTooLong'>,
+    handlers: Pick<RequestBodyHandlers, 'onBody' | 'onTooLong'>,
   ): void {
     const chunks: Buffer[] = [];
     let length = 0;
--- a/src/gateway/admission/gateway-refusal.ts
+++ b/src/gateway/admission/gateway-refusal.ts
@@ -31,11 +31,11 @@
   /** Fingerprint of the request, if it is refused because earlier runs crashed backends. */
   readonly fingerprint?: RequestFingerprint;
   /** Details of the decision, if the quota of the tenant is exhausted. */
-  readonly quota?: SpentQuota;
+  readonly quota?: ExhaustedQuota;
 }
 
 /** Details of an insufficient tenant quota; the field names are part of the log format. */
-export interface SpentQuota {
+export interface ExhaustedQuota {
   readonly tenant: string;
   /** Cost of the request, in tokens or requests. */
   readonly cost: number;
--- a/src/gateway/admission/retry-budget.ts
+++ b/src/gateway/admission/retry-budget.ts
@@ -79,7 +79,7 @@
    * Takes one retry if the budget, shared by `gateways` gateways, allows it; returns whether it
    * did.
    */
-  takeRepeat(service: string, gateways: number, nowMs: number): boolean {
+  takeRetry(service: string, gateways: number, nowMs: number): boolean {
     const budget = this.budgetOf(service);
     const { requests, retries } = budget.count(nowMs - this.options.windowMs);
     if (retries + 1 > this.allowedRetries(requests, gateways)) {
--- a/src/gateway/admission/unconfirmed-refusals.ts
+++ b/src/gateway/admission/unconfirmed-refusals.ts
@@ -37,7 +37,7 @@
 }
 
 /** Queues requests until the gateway's configuration is confirmed as current, or a timeout. */
-export class UnconfirmedRefusals {
+export class ConfigurationConfirmationQueue {
   private readonly waiting = new Set<WaitingRequest>();
   private timer: TimerHandle | undefined;
 
--- a/src/gateway/attempt/accepted-request.ts
+++ b/src/gateway/attempt/accepted-request.ts
@@ -22,10 +22,10 @@
   readonly homeOwner?: RouteAndTenant | undefined;
   readonly arrivedAtMs: number;
   /** Estimated time of the caller's first attempt; `arrivedAtMs` unless this is a retry. */
-  readonly firstTriedAtMs: number;
+  readonly firstAttemptAtMs: number;
   /** The caller's deadline or the route's timeout, whichever comes first. */
-  readonly endsAtMs: number;
-  readonly units: number;
+  readonly deadlineAtMs: number;
+  readonly workUnits: number;
   /** Prompt tokens; 0 if the request states none. */
   readonly promptTokens: number;
   /**
--- a/src/gateway/attempt/outgoing-request.ts
+++ b/src/gateway/attempt/outgoing-request.ts
@@ -30,7 +30,7 @@
   const { requestId, tenant, method, path, body } = request;
   const headers = protocol.attemptHeaders(endToEndHeaders(request.headers, NO_HEADERS), {
     requestId,
-    remainingMs: Math.max(MIN_REMAINING_MS, Math.floor(request.endsAtMs - nowMs)),
+    remainingMs: Math.max(MIN_REMAINING_MS, Math.floor(request.deadlineAtMs - nowMs)),
     backendName: backend.name,
     tenant,
     lastEventId,
--- a/src/gateway/attempt/proxied-request.ts
+++ b/src/gateway/attempt/proxied-request.ts
@@ -87,7 +87,7 @@
       lastEventId,
       isStream: route.kind === 'stream',
     });
-    const remainingMs = Math.max(0, request.endsAtMs - ports.clock.now());
+    const remainingMs = Math.max(0, request.deadlineAtMs - ports.clock.now());
     this.deadlineTimer = new OneShotTimer(ports.clock);
     this.silenceTimer = new OneShotTimer(ports.clock);
     this.endedTimer = new OneShotTimer(ports.clock);
@@ -105,7 +105,7 @@
   }
 
   /** Handles the disconnect of the caller. */
-  callerLeft(): void {
+  handleCallerDisconnect(): void {
     if (this.phase === 'done') {
       return;
     }
@@ -119,7 +119,7 @@
    * Moves an unsent request elsewhere if operators no longer permit its backend; returns whether it
    * did.
    */
-  withdrawUnsent(): boolean {
+  withdrawIfUnsent(): boolean {
     const { backend, attempt, phase } = this;
     if (phase !== 'sent' || backend === undefined || attempt === undefined) {
       return false;
@@ -148,7 +148,7 @@
    * network partition they are not, and the request would wait until its deadline for a response
    * that cannot arrive.
    */
-  noteBackendEnded(backendId: string, evidence: EndingEvidence): void {
+  handleBackendEnded(backendId: string, evidence: EndingEvidence): void {
     const isAssigned = this.attempt !== undefined && this.backend?.id === backendId;
     // A draining backend closes its port first and completes its requests; its connections show
     // when it ends.
@@ -178,7 +178,7 @@
   }
 
   /** Refuses a waiting request that was found to crash the backends that execute it. */
-  refuseCrashing(): void {
+  refuseIfCrashing(): void {
     const refusal = this.phase === 'waiting' && this.ports.crashes.refusalOf(this.request);
     if (refusal) {
       this.replyWithFailure(refusal.reason, refusal.retryAfterMs);
@@ -188,7 +188,7 @@
   private waitForBackend(): void {
     this.phase = 'waiting';
     this.silenceTimer.clear();
-    this.refuseCrashing();
+    this.refuseIfCrashing();
     if (this.isDone) {
       return;
     }
@@ -202,7 +202,7 @@
       },
       excluded: this.excludedIds,
       onPlaced: (backend, placedAtMs) => this.send(backend, placedAtMs),
-      onGivenUp: (reason) => this.failWait(reason),
+      onAbandoned: (reason) => this.failWait(reason),
     });
     this.wait.begin();
   }
@@ -298,7 +298,7 @@
   private leaveOnceCharged(outcome: AttemptOutcome, detail: string): void {
     const { attempt, lastReceiptAtMs } = this;
     const backendId = this.backend!.id;
-    this.ports.chargeAgain(this.request, (isGranted) => {
+    this.ports.chargeRetry(this.request, (isGranted) => {
       const hasMoved = this.attempt !== attempt || this.lastReceiptAtMs !== lastReceiptAtMs;
       if (!isGranted || hasMoved || this.isDone) {
         return;
@@ -374,7 +374,7 @@
       this.ports.directory.noteMisdirected(backendId);
     }
     const canRetry = this.attempts < this.request.route.maxAttempts && this.hasTimeLeft();
-    if (canRetry && this.ports.takeRepeat(this.request.service)) {
+    if (canRetry && this.ports.takeRetry(this.request.service)) {
       this.retryElsewhere(backendId);
       return;
     }
@@ -434,7 +434,7 @@
       return;
     }
     const elapsedMs = this.ports.clock.now() - this.attemptStartedAtMs;
-    this.ports.dispatcher.learnSpeed(backendId, this.request.units, elapsedMs);
+    this.ports.dispatcher.learnSpeed(backendId, this.request.workUnits, elapsedMs);
   }
 
   private completeReply(response: BufferedResponse): void {
@@ -504,11 +504,11 @@
   }
 
   private hasTimeLeft(): boolean {
-    return this.request.endsAtMs - this.ports.clock.now() > MIN_TIME_FOR_ATTEMPT_MS;
+    return this.request.deadlineAtMs - this.ports.clock.now() > MIN_TIME_FOR_ATTEMPT_MS;
   }
 
   private takeRetry(): boolean {
-    return this.ports.takeRepeat(this.request.service);
+    return this.ports.takeRetry(this.request.service);
   }
 
   /**
@@ -517,7 +517,7 @@
    */
   private retryOnceCharged(fromBackendId: string): void {
     this.phase = 'waiting';
-    this.ports.chargeAgain(this.request, (isGranted) => {
+    this.ports.chargeRetry(this.request, (isGranted) => {
       if (this.isDone) {
         return;
       }
@@ -570,7 +570,7 @@
 
   private retryAfterMs(reason: GatewayRefusal['reason']): number {
     const { wait, options } = this;
-    const remainingMs = this.request.endsAtMs - this.ports.clock.now();
+    const remainingMs = this.request.deadlineAtMs - this.ports.clock.now();
     const queueRetryAfterMs = wait && (() => wait.retryAfterMs());
     return refusalRetryAfterMs(reason, { options, queueRetryAfterMs, remainingMs });
   }
--- a/src/gateway/attempt/request-model.ts
+++ b/src/gateway/attempt/request-model.ts
@@ -65,7 +65,7 @@
 }
 
 /** The status report in a response head received from a backend. */
-export interface HeardAnswer extends HeardStatement {
+export interface ResponseStatement extends HeardStatement {
   readonly backend: Backend;
   readonly requestId: string;
 }
@@ -80,14 +80,14 @@
   readonly random: RandomSource;
   readonly crashes: RunCrashes;
   /** Takes one retry from the budget of a service; returns false if none is left. */
-  takeRepeat(service: string): boolean;
+  takeRetry(service: string): boolean;
   /**
    * Charges a retry of a request that may have been executed to its tenant; `onResult` may be
    * called synchronously.
    */
-  chargeAgain(request: AcceptedRequest, onResult: (isGranted: boolean) => void): void;
+  chargeRetry(request: AcceptedRequest, onResult: (isGranted: boolean) => void): void;
   /** Called with the status report of each response head that is from the intended backend. */
-  onStatement(heard: HeardAnswer): void;
+  onStatement(heard: ResponseStatement): void;
   /** Called once at the end of each attempt. */
   onTryOver(over: EndedAttempt): void;
   /** Called once at the end of the request. */
--- a/src/gateway/attempt/request-wait.ts
+++ b/src/gateway/attempt/request-wait.ts
@@ -34,7 +34,7 @@
    * Called after the wait ended without a slot: `reason` if a home region rule prevents it, else no
    * slot in time.
    */
-  onGivenUp(reason?: HomeRefusalReason): void;
+  onAbandoned(reason?: HomeRefusalReason): void;
 }
 
 /** One wait for a slot. */
@@ -60,7 +60,7 @@
       startByMs:
         firstDueAtMs -
         ports.directory.expectedFirstEventMs(service, promptTokens, request.allowedRegions),
-      units: request.units,
+      units: request.workUnits,
       promptTokens,
       firstDueAtMs,
       maxPauseMs: route.maxPauseMs,
@@ -113,7 +113,7 @@
     }
     // Jitter, so that callers refused together do not retry together.
     const spreadMs = earliestMs * (1 + random.next());
-    return Math.min(spreadMs, (request.endsAtMs - nowMs) * options.maxRetryShare);
+    return Math.min(spreadMs, (request.deadlineAtMs - nowMs) * options.maxRetryShare);
   }
 
   /** Whether zone evacuations leave no backend for the request, for an unknown time. */
@@ -160,7 +160,7 @@
     if (this.isOver) {
       return;
     }
-    const { ports, options, onGivenUp } = this.context;
+    const { ports, options, onAbandoned: onGivenUp } = this.context;
     const nowMs = ports.clock.now();
     if (this.endIfHomeRefused(nowMs)) {
       return;
@@ -183,7 +183,7 @@
       return false;
     }
     this.cancel();
-    this.context.onGivenUp(reason);
+    this.context.onAbandoned(reason);
     return true;
   }
 
@@ -207,7 +207,7 @@
     const forecast = ports.dispatcher.forecastOf(service);
     const expectedResponseMs = ports.directory.expectedAnswerMs(
       service,
-      request.units,
+      request.workUnits,
       allowedRegions,
     );
     const expectedFirstEventMs = ports.directory.expectedFirstEventMs(
@@ -221,8 +221,8 @@
     return {
       untilLateMs: startByMs - earliestStartMs,
       untilUselessMs:
-        Math.min(request.endsAtMs - expectedResponseMs, callerWaitsUntilMs) - earliestStartMs,
-      totalTimeMs: request.endsAtMs - request.firstTriedAtMs,
+        Math.min(request.deadlineAtMs - expectedResponseMs, callerWaitsUntilMs) - earliestStartMs,
+      totalTimeMs: request.deadlineAtMs - request.firstAttemptAtMs,
       expectedOnTimeWaitMs: forecast.expectedWaitMs(this.dispatchRequest, nowMs),
       expectedWaitOnceLateMs: forecast.expectedLateWaitMs(this.dispatchRequest, nowMs),
     };
@@ -251,7 +251,7 @@
  * milliseconds.
  */
 function dueAtMs(
-  { firstTriedAtMs, route }: AcceptedRequest,
+  { firstAttemptAtMs: firstTriedAtMs, route }: AcceptedRequest,
   lastEventAtMs: number | undefined,
 ): number {
   return lastEventAtMs === undefined
--- a/src/gateway/gateway-requests.ts
+++ b/src/gateway/gateway-requests.ts
@@ -8,14 +8,14 @@
 import { DEFAULT_REQUEST_OPTIONS } from './attempt/request-model.js';
 import type { AcceptedRequest } from './attempt/accepted-request.js';
 import type { RequestEnd, RequestPorts } from './attempt/request-model.js';
-import type { PendingBody, ReceivedHead } from './admission/caller-listener.js';
+import type { RequestBodyHandlers, ReceivedHead } from './admission/caller-listener.js';
 import type { CallerRequestHead } from './admission/caller-protocol.js';
 import type { GatewayRefusal } from './admission/gateway-refusal.js';
 import { RequestAdmission } from './admission/request-admission.js';
 import type { ReceivedRequest } from './admission/request-admission.js';
 import { RetryBudget } from './admission/retry-budget.js';
 import { sendRefusal } from './admission/send-refusal.js';
-import { UnconfirmedRefusals } from './admission/unconfirmed-refusals.js';
+import { ConfigurationConfirmationQueue } from './admission/unconfirmed-refusals.js';
 import type { GatewayQuotas } from './gateway-quotas.js';
 import type { Charge, ChargeResult } from './quotas/open-charge.js';
 import type { ActiveConfiguration } from './configuration-in-force.js';
@@ -88,7 +88,7 @@
   /** Requests whose quota charge is pending. */
   private readonly charging = new Set<AcceptedRequest>();
   private readonly admission: RequestAdmission;
-  private readonly unconfirmedRefusals: UnconfirmedRefusals;
+  private readonly unconfirmedRefusals: ConfigurationConfirmationQueue;
   private readonly retryBudget: RetryBudget;
   private readonly ports: RequestPorts;
 
@@ -102,7 +102,7 @@
       },
       dependencies.crashes,
     );
-    this.unconfirmedRefusals = new UnconfirmedRefusals(
+    this.unconfirmedRefusals = new ConfigurationConfirmationQueue(
       { isKnowledgeOld: () => dependencies.cluster.isKnowledgeOld },
       clock,
     );
@@ -119,8 +119,8 @@
       sender: dependencies.sender,
       crashes: dependencies.crashes,
       protocol: adapter.protocol,
-      takeRepeat: (service) => this.takeRetry(service),
-      chargeAgain: (request, onResult) =>
+      takeRetry: (service) => this.takeRetry(service),
+      chargeRetry: (request, onResult) =>
         this.charge(request, ({ isGranted }) => onResult(isGranted)),
       onStatement: dependencies.onStatement,
       onTryOver: dependencies.onTryOver,
@@ -135,20 +135,20 @@
 
   /** Redirects unsent requests whose backend is not permitted any more; returns their number. */
   withdrawUnsent(): number {
-    return [...this.active.values()].filter(({ proxied }) => proxied.withdrawUnsent()).length;
+    return [...this.active.values()].filter(({ proxied }) => proxied.withdrawIfUnsent()).length;
   }
 
   /** Treats the attempts that run on a backend as lost once its process has ended. */
   handleBackendEnded(backendId: string, evidence: EndingEvidence): void {
     for (const { proxied } of [...this.active.values()]) {
-      proxied.noteBackendEnded(backendId, evidence);
+      proxied.handleBackendEnded(backendId, evidence);
     }
   }
 
   /** Refuses waiting requests that have been found to crash backends. */
   refuseCrashing(): void {
     for (const { proxied } of [...this.active.values()]) {
-      proxied.refuseCrashing();
+      proxied.refuseIfCrashing();
     }
   }
 
@@ -168,7 +168,7 @@
   }
 
   /** Processes a received request head; returns the handlers of its body. */
-  receive(head: ReceivedHead, reply: CallerReply): PendingBody {
+  receive(head: ReceivedHead, reply: CallerReply): RequestBodyHandlers {
     const arrivedAtMs = this.dependencies.clock.now();
     const caller = this.dependencies.adapter.protocol.readRequest(head.headers);
     for (const header of caller.reservedHeaders) {
@@ -182,7 +182,7 @@
       onTooLong: () => {
         this.refuse(caller, reply, { reason: 'body-too-long' });
       },
-      onCallerLeft: () => request?.callerLeft(),
+      onCallerDisconnected: () => request?.callerLeft(),
     };
   }
 
@@ -251,7 +251,7 @@
         charge?.cancel();
         this.logEarlyDisconnect(accepted);
       }
-      proxied?.callerLeft();
+      proxied?.handleCallerDisconnect();
     };
     return { callerLeft: handleDisconnect };
   }
@@ -289,7 +289,7 @@
 
   private takeRetry(service: string): boolean {
     const { cluster, clock, metrics } = this.dependencies;
-    const isAllowed = this.retryBudget.takeRepeat(service, cluster.size, clock.now());
+    const isAllowed = this.retryBudget.takeRetry(service, cluster.size, clock.now());
     if (!isAllowed) {
       metrics.record(({ repeatsDenied }) => repeatsDenied.inc({ service }));
     }
@@ -330,7 +330,7 @@
       tier: request.tier,
       promptTokens: request.promptTokens,
       quotaCost: request.quotaCost,
-      triedForMs: request.arrivedAtMs - request.firstTriedAtMs,
+      triedForMs: request.arrivedAtMs - request.firstAttemptAtMs,
       ...end,
       // A resent request has a new id; the fingerprint identifies it as the same request.
       fingerprint: hasFailedAtBackend(end)
--- a/src/gateway/gateway-role.ts
+++ b/src/gateway/gateway-role.ts
@@ -293,7 +293,7 @@
       return;
     }
     this.onStopped = onStopped;
-    this.listener.announceClose();
+    this.listener.closeConnectionsAfterResponse();
     this.dependencies.log.write('stopping', 'state', { active: this.requests.countActive });
     this.shutdown.begin();
   }
--- a/src/gateway/gateway-statements.ts
+++ b/src/gateway/gateway-statements.ts
@@ -12,7 +12,7 @@
 } from '../cluster/peer-messages.js';
 import type { RandomSource } from '../random.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
-import type { HeardAnswer } from './attempt/request-model.js';
+import type { ResponseStatement } from './attempt/request-model.js';
 import type { GatewayQuotas } from './gateway-quotas.js';
 import type { GatewaySettings } from './gateway-settings.js';
 import type { GatewayMetrics } from './metrics/gateway-metrics.js';
@@ -108,7 +108,7 @@
   }
 
   /** Processes the head of a response. */
-  hear({ backend, requestId, ...head }: HeardAnswer): void {
+  hear({ backend, requestId, ...head }: ResponseStatement): void {
     const { metrics, log, clock } = this.dependencies;
     for (const field of head.statement.unreadable) {
       metrics.record(({ statementsUnreadable }) => statementsUnreadable.inc({ field }));
--- a/src/model/model-gateway.ts
+++ b/src/model/model-gateway.ts
@@ -126,8 +126,8 @@
       sender: this.sender,
       protocol: MODEL_PROTOCOL,
       crashes: NO_CRASHING_REQUESTS,
-      chargeAgain: (_request, onResult) => onResult(true),
-      takeRepeat: (service) => budget.takeRepeat(service, parts.countGateways(), clock.now()),
+      chargeRetry: (_request, onResult) => onResult(true),
+      takeRetry: (service) => budget.takeRetry(service, parts.countGateways(), clock.now()),
       onStatement: () => undefined,
       onTryOver: () => undefined,
       onEnd: () => undefined,
@@ -144,7 +144,7 @@
     }
     const request = new ProxiedRequest(admitted.val, reply, this.ports, this.parts.options);
     request.begin();
-    return () => request.callerLeft();
+    return () => request.handleCallerDisconnect();
   }
 
   /** Whether it runs. */
--- a/test/backend-lives-random.test.ts
+++ b/test/backend-lives-random.test.ts
@@ -6,8 +6,8 @@
 import { SeededRandom } from '../src/random.js';
 import { BackendIncarnations } from '../src/routing/backend-lives.js';
 import type { Announcement } from '../src/routing/backend-lives.js';
-import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
-import type { SeenAttempt } from './support/gateway.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
+import type { RecordedAttempt } from './support/gateway.js';
 
 const SEEDS = 200;
 const STEPS = 120;
@@ -18,14 +18,14 @@
 interface RunningRequest {
   readonly name: string;
   readonly bornAtMs: number;
-  readonly attempt: SeenAttempt;
+  readonly attempt: RecordedAttempt;
   readonly index: number;
 }
 
 /** A gateway, and the actual state of the back ends that it receives announcements of. */
 class IncarnationHarness {
   private readonly random: SeededRandom;
-  private readonly gateway = new GatewayWorld();
+  private readonly gateway = new GatewayHarness();
   private readonly incarnations = new BackendIncarnations();
   private readonly currentStartMs = new Map(NAMES.map((name) => [name, 1]));
   /** Start time of the incarnation announced last, by name; missing once its record expired. */
--- a/test/backend-lives.test.ts
+++ b/test/backend-lives.test.ts
@@ -5,7 +5,7 @@
 import type { Announcement } from '../src/routing/backend-lives.js';
 import { EngineReplicaView } from '../src/slot-agent/engine-knowledge.js';
 import { ZoneTopology } from '../src/routing/places.js';
-import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
 import { SlotAllocatorHarness } from './support/played-agent.js';
 import { at } from './support/positions.js';
 
@@ -39,7 +39,7 @@
 
 /** Applies an announcement to a gateway as it applies records of the store. */
 function update(
-  world: GatewayWorld,
+  world: GatewayHarness,
   incarnations: BackendIncarnations,
   announcement: Announcement | undefined,
 ) {
@@ -49,7 +49,7 @@
 }
 
 test('a back end that restarts under its name gets a new id without the previous statistics', (t) => {
-  const world = new GatewayWorld();
+  const world = new GatewayHarness();
   const incarnations = new BackendIncarnations();
   update(world, incarnations, announced(1_000, { revision: 1 }));
   world.request({ route: routeOf({ kind: 'unsafe' }) });
@@ -65,7 +65,7 @@
 });
 
 test('a request of the previous incarnation that ends late frees no slot of the next one', (t) => {
-  const world = new GatewayWorld();
+  const world = new GatewayHarness();
   const incarnations = new BackendIncarnations();
   update(world, incarnations, announced(1_000, { revision: 1, slots: 1 }));
   world.request({ route: routeOf({ kind: 'unsafe' }) });
@@ -78,7 +78,7 @@
 });
 
 test('a repeatable request that was lost with its back end is retried at the next incarnation', (t) => {
-  const world = new GatewayWorld();
+  const world = new GatewayHarness();
   const incarnations = new BackendIncarnations();
   update(world, incarnations, announced(1_000, { revision: 1 }));
   const { reply } = world.request({ route: routeOf({ kind: 'safe', maxAttempts: 3 }) });
@@ -89,13 +89,13 @@
 });
 
 test('a request fails soon after its back end ended, but a response already in flight is delivered', async (t) => {
-  const world = new GatewayWorld(backendOf('a'));
+  const world = new GatewayHarness(backendOf('a'));
   const lost = world.request({ route: routeOf({ kind: 'unsafe' }) });
   const ready = world.request({ route: routeOf({ kind: 'unsafe' }) });
-  [lost, ready].forEach(({ request }) => request.noteBackendEnded('other', 'agent'));
+  [lost, ready].forEach(({ request }) => request.handleBackendEnded('other', 'agent'));
   await world.clock.runUntil(400);
   t.deepEqual([lost.reply.status, ready.reply.status], [0, 0]);
-  [lost, ready].forEach(({ request }) => request.noteBackendEnded('a', 'agent'));
+  [lost, ready].forEach(({ request }) => request.handleBackendEnded('a', 'agent'));
   await world.clock.runUntil(500);
   world.answer(1, 200, 'good');
   await world.clock.runUntil(800);
@@ -104,11 +104,11 @@
 });
 
 test('a request that was still connecting when its back end ended is sent to another back end', async (t) => {
-  const world = new GatewayWorld(backendOf('a'), backendOf('b'));
+  const world = new GatewayHarness(backendOf('a'), backendOf('b'));
   const { request, reply } = world.request({ route: routeOf({ kind: 'unsafe' }) });
   const { backend } = world.attempts[0]!;
-  world.connecting.add(backend.id);
-  request.noteBackendEnded(backend.id, 'agent');
+  world.unconnectableBackendIds.add(backend.id);
+  request.handleBackendEnded(backend.id, 'agent');
   await world.clock.runUntil(301);
   t.not(world.attempts[1]!.backend.id, backend.id);
   world.answer(1, 200, 'good');
@@ -129,7 +129,7 @@
 });
 
 test('a late announcement of an earlier incarnation is ignored, even with a newer revision', (t) => {
-  const world = new GatewayWorld();
+  const world = new GatewayHarness();
   const incarnations = new BackendIncarnations();
   update(world, incarnations, announced(2_000, { revision: 2 }));
   t.deepEqual(
@@ -141,7 +141,7 @@
 });
 
 test('an incarnation that is announced again after its record expired retains its statistics', (t) => {
-  const world = new GatewayWorld();
+  const world = new GatewayHarness();
   const incarnations = new BackendIncarnations();
   update(world, incarnations, announced(1_000, { revision: 1 }));
   world.dispatcher.learnSpeed('w@1000', 1, 50);
@@ -223,7 +223,7 @@
       .record({ field: fc.constantFrom(...Object.keys(RECORD)), value: fc.anything() })
       .map(({ field, value }) => ({ ...RECORD, [field]: value })),
   );
-  const world = new GatewayWorld();
+  const world = new GatewayHarness();
   const incarnations = new BackendIncarnations();
   fc.assert(
     fc.property(values, (value) => {
@@ -247,13 +247,13 @@
 });
 
 test('an announcement of an unconfigured service replaces no other back end at its address', (t) => {
-  const world = new GatewayWorld();
-  world.namedServices = new Set(['s']);
+  const world = new GatewayHarness();
+  world.configuredServices = new Set(['s']);
   world.dispatcher.updateBackend('w', backendOf('w', { address: 'a:1' }), 0);
   const foreign = backendOf('other', { address: 'a:1', service: 'foreign', revision: 2 });
   world.dispatcher.updateBackend('other', foreign, 0);
   t.true(world.directory.find('w')!.isReady);
-  world.namedServices = new Set(['s', 'foreign']);
+  world.configuredServices = new Set(['s', 'foreign']);
   world.directory.recheckReplaced();
   t.false(world.directory.find('w')!.isReady);
 });
--- a/test/backend-restriction.test.ts
+++ b/test/backend-restriction.test.ts
@@ -5,7 +5,7 @@
 import { ZoneTopology } from '../src/routing/places.js';
 import { ZoneEvacuations } from '../src/routing/zone-evacuations.js';
 import { EngineReplicaView } from '../src/slot-agent/engine-knowledge.js';
-import { backendOf, GatewayWorld } from './support/gateway.js';
+import { backendOf, GatewayHarness } from './support/gateway.js';
 import { at } from './support/positions.js';
 
 const PLACES = new ZoneTopology(
@@ -86,7 +86,7 @@
 });
 
 test('a gateway sends nothing to an evacuated zone or outside the allowed regions of a request', (t) => {
-  const world = new GatewayWorld(
+  const world = new GatewayHarness(
     backendOf('far', { zone: 'b1' }),
     backendOf('near', { zone: 'a1' }),
   );
--- a/test/caller-listener.test.ts
+++ b/test/caller-listener.test.ts
@@ -29,7 +29,7 @@
           onBody(one);
         },
         onTooLong: () => undefined,
-        onCallerLeft: () => (one.hasLeft = true),
+        onCallerDisconnected: () => (one.hasLeft = true),
       };
     },
     () => 1_000_000,
--- a/test/cold-start.test.ts
+++ b/test/cold-start.test.ts
@@ -5,7 +5,7 @@
 import { ColdStartTracker, coldStartBound } from '../src/routing/cold-start.js';
 import type { AgentSlotMessage } from '../src/slot-agent/slot-messages.js';
 import { START_WINDOW_MS, StartWindow } from '../src/slot-agent/start-window.js';
-import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
 
 const COLD_MS = 3_000;
 const BOUND = coldStartBound(
@@ -110,8 +110,8 @@
   t.is(period.currentPeriod(COLD_MS, undefined, 5_999)?.reason, 'new-incarnation');
 });
 
-function createColdWorld(share = 0, ...ids: string[]): GatewayWorld {
-  const world = new GatewayWorld();
+function createColdWorld(share = 0, ...ids: string[]): GatewayHarness {
+  const world = new GatewayHarness();
   world.engines = true;
   world.coldStarts = new ColdStartLimiter({
     startLimitOf: () => BOUND,
@@ -128,7 +128,7 @@
   return world;
 }
 
-function receive(world: GatewayWorld, id: string, message: AgentSlotMessage): void {
+function receive(world: GatewayHarness, id: string, message: AgentSlotMessage): void {
   world.dispatcher.receiveFromAgent(id, message, world.clock.now());
 }
 
@@ -138,7 +138,7 @@
   receive(world, 'cold', { ...OPEN, occupied: 0, availability: 'open' });
   world.request();
   t.is(world.attempts.length, 0);
-  const [, demand] = world.toAgents.filter(([, { kind }]) => kind === 'demand').at(-1)!;
+  const [, demand] = world.agentMessages.filter(([, { kind }]) => kind === 'demand').at(-1)!;
   t.like(demand, { kind: 'demand', coldMs: 2_000, atMs: 0 });
   receive(world, 'cold', { kind: 'granted', heardAtMs: 0 });
   t.is(world.attempts.length, 1);
@@ -182,7 +182,7 @@
   await world.clock.runUntil(600);
   receive(world, 'cold', { kind: 'granted', heardAtMs: 0 });
   t.is(world.attempts.length, 0);
-  t.deepEqual(world.toAgents.at(-1), ['cold', { kind: 'grant-returned' }]);
+  t.deepEqual(world.agentMessages.at(-1), ['cold', { kind: 'grant-returned' }]);
 });
 
 test('an agent whose grant was delayed gets a current demand with its time', async (t) => {
@@ -190,14 +190,14 @@
   world.dispatcher.connectAgent('cold', 0);
   world.request({ route: routeOf({ kind: 'stream', timeoutMs: 9_000, targetLatencyMs: 5_000 }) });
   await world.clock.runUntil(600);
-  world.toAgents.length = 0;
+  world.agentMessages.length = 0;
   receive(world, 'cold', { kind: 'granted', heardAtMs: 0 });
   t.deepEqual(
-    world.toAgents.map(([, { kind }]) => kind),
+    world.agentMessages.map(([, { kind }]) => kind),
     ['demand', 'grant-returned'],
     'the agent must get the demand that its next grant is based on before the slot is free',
   );
-  t.like(world.toAgents[0]![1], { ranks: [{ waitedMs: 600 }], grantsSeen: 1, atMs: 600 });
+  t.like(world.agentMessages[0]![1], { ranks: [{ waitedMs: 600 }], grantsSeen: 1, atMs: 600 });
   receive(world, 'cold', { kind: 'granted', heardAtMs: 600 });
   t.is(world.attempts.length, 1);
 });
@@ -265,7 +265,7 @@
   t.false(known.health.isEjected(1_500));
   t.is(known.failureShare(1_500), 0);
   t.deepEqual(
-    world.triesOver.map(({ isBad }) => isBad),
+    world.endedAttempts.map(({ isBad }) => isBad),
     [undefined, undefined, undefined, undefined, undefined],
   );
 });
@@ -300,7 +300,7 @@
   const first = world.request({ route: routeOf({ targetLatencyMs: 700 }) });
   world.dispatcher.tick(0);
   t.false(first.request.isDone, 'the first request may expect 14 x 1.25 / 10 starts per second');
-  const others: Array<ReturnType<GatewayWorld['request']>> = [];
+  const others: Array<ReturnType<GatewayHarness['request']>> = [];
   for (let index = 1; index <= 5; index += 1) {
     await world.clock.runUntil(index);
     others.push(world.request());
@@ -337,7 +337,7 @@
 });
 
 test('without a start rate limit a grant is used regardless of its age', (t) => {
-  const world = new GatewayWorld(backendOf('a'));
+  const world = new GatewayHarness(backendOf('a'));
   world.engines = true;
   world.dispatcher.connectAgent('a', 0);
   receive(world, 'a', { ...OPEN, occupied: 2, availability: 'open' });
--- a/test/crashing-requests.test.ts
+++ b/test/crashing-requests.test.ts
@@ -8,7 +8,7 @@
 import { DEFAULT_CALLER_LIMITS } from '../src/routing/configuration.js';
 import { RoutingTable } from '../src/routing/routing-table.js';
 import { VirtualClock } from '../src/sim/virtual-clock.js';
-import { backendOf, GatewayWorld, PLAIN_PROTOCOL, routeOf } from './support/gateway.js';
+import { backendOf, GatewayHarness, PLAIN_PROTOCOL, routeOf } from './support/gateway.js';
 
 const RESET = { mayHaveRun: true, isPortClosed: false, detail: 'reset' };
 const REFUSED = { mayHaveRun: false, isPortClosed: true, detail: 'refused' };
@@ -17,20 +17,20 @@
 const HARMLESS = { route: UNSAFE, body: Buffer.from('harmless') };
 const MINUTE_MS = 60_000;
 
-function createWorld(): GatewayWorld {
-  return new GatewayWorld(...['a', 'b', 'c', 'd', 'e'].map((id) => backendOf(id, { slots: 9 })));
+function createWorld(): GatewayHarness {
+  return new GatewayHarness(...['a', 'b', 'c', 'd', 'e'].map((id) => backendOf(id, { slots: 9 })));
 }
 
 /** Sends one request and crashes its backend; `noteEnded` reports the exit as found by an agent. */
-function crash(world: GatewayWorld, changes: Partial<AcceptedRequest>): void {
+function crash(world: GatewayHarness, changes: Partial<AcceptedRequest>): void {
   world.request(changes);
   const attempt = world.attempts.at(-1)!;
   attempt.handlers.onFailure(RESET);
-  world.crashing.noteEnded(attempt.backend.id, 'agent');
+  world.crashingRequests.noteEnded(attempt.backend.id, 'agent');
 }
 
-function lastStatus(world: GatewayWorld): number {
-  return world.ends.at(-1)!.status;
+function lastStatus(world: GatewayHarness): number {
+  return world.requestEnds.at(-1)!.status;
 }
 
 test('the fourth send of a request that crashed three backends is refused and reported as not executed', (t) => {
@@ -43,7 +43,14 @@
   t.is(world.attempts.length, 3);
   t.is(reply.status, 503);
   t.true(reply.headers.includes('retry-after-ms'));
-  t.true(world.crashing.isRefused({ ...CRASHING, tenant: undefined, method: 'GET', path: '/a/' }));
+  t.true(
+    world.crashingRequests.isRefused({
+      ...CRASHING,
+      tenant: undefined,
+      method: 'GET',
+      path: '/a/',
+    }),
+  );
 });
 
 test('a request with another body, caller or path on the same route is served while one is refused', (t) => {
@@ -68,7 +75,7 @@
   }
   t.is(world.attempts.length, 16);
   t.is(world.crashes.length, 0);
-  t.is(world.looks.length, 8);
+  t.is(world.probedBackendIds.length, 8);
 });
 
 test('a planned shutdown does not count as a crash', (t) => {
@@ -79,7 +86,7 @@
     const leaving = { ...backend, state: 'draining' as const, revision: 2 };
     world.dispatcher.updateBackend(backend.id, leaving, 0);
     handlers.onFailure(RESET);
-    world.crashing.noteEnded(backend.id, 'agent');
+    world.crashingRequests.noteEnded(backend.id, 'agent');
     t.is(world.crashes.length, 0, id);
   }
 });
@@ -94,7 +101,7 @@
     const running = world.attempts.slice(before);
     running.forEach(({ handlers }) => handlers.onFailure(RESET));
     new Set(running.map(({ backend }) => backend.id)).forEach((id) =>
-      world.crashing.noteEnded(id, 'agent'),
+      world.crashingRequests.noteEnded(id, 'agent'),
     );
   }
   t.true(world.crashes.length > 20);
@@ -102,7 +109,7 @@
     world.crashes.map(({ crashes }) => crashes).filter((crashes) => crashes > 2),
     [],
   );
-  t.is(world.crashing.count().refused, 0);
+  t.is(world.crashingRequests.count().refused, 0);
 });
 
 test('one completed response clears a request of its crashes, also on other backends', (t) => {
@@ -111,7 +118,7 @@
   crash(world, HARMLESS);
   world.request(HARMLESS);
   world.answer(2, 200, 'good');
-  t.like(world.crashNews.at(-1)!, { crashes: 0, clearances: 1 });
+  t.like(world.crashReports.at(-1)!, { crashes: 0, clearances: 1 });
   crash(world, HARMLESS);
   crash(world, HARMLESS);
   world.request(HARMLESS);
@@ -123,14 +130,14 @@
   right.request(HARMLESS);
   right.answer(0, 200, 'good');
   crash(left, HARMLESS);
-  right.crashing.hear(left.crashing.tell(), 'peer');
-  t.like(right.crashNews.at(-1)!, { crashes: 0, clearances: 1 });
-  left.crashing.hear(right.crashing.tell(), 'peer');
+  right.crashingRequests.hear(left.crashingRequests.tell(), 'peer');
+  t.like(right.crashReports.at(-1)!, { crashes: 0, clearances: 1 });
+  left.crashingRequests.hear(right.crashingRequests.tell(), 'peer');
   for (let index = 0; index < 3; index += 1) {
     crash(left, HARMLESS);
-    right.crashing.hear(left.crashing.tell(), 'peer');
+    right.crashingRequests.hear(left.crashingRequests.tell(), 'peer');
   }
-  t.is(right.crashing.count().refused, 1);
+  t.is(right.crashingRequests.count().refused, 1);
 });
 
 test('a run that began before a clearance does not restore the earlier crashes', (t) => {
@@ -142,8 +149,8 @@
   world.request(HARMLESS);
   world.answer(3, 200, 'good');
   slowAttempt.handlers.onFailure(RESET);
-  world.crashing.noteEnded(slowAttempt.backend.id, 'agent');
-  t.like(world.crashNews.at(-1)!, { crashes: 1, clearances: 1 });
+  world.crashingRequests.noteEnded(slowAttempt.backend.id, 'agent');
+  t.like(world.crashReports.at(-1)!, { crashes: 1, clearances: 1 });
 });
 
 test('a closed port or another process at the address proves that a backend exited', (t) => {
@@ -249,27 +256,27 @@
   const world = createWorld();
   for (let index = 0; index < 3; index += 1) {
     const { request } = world.request(CRASHING);
-    request.callerLeft();
-    world.crashing.noteEnded(world.attempts.at(-1)!.backend.id, 'agent');
+    request.handleCallerDisconnect();
+    world.crashingRequests.noteEnded(world.attempts.at(-1)!.backend.id, 'agent');
   }
   world.request(CRASHING);
   t.is(world.attempts.length, 3);
 });
 
 test('queued runs of a request are refused immediately when it becomes known as crashing', (t) => {
-  const world = new GatewayWorld(backendOf('a', { slots: 1 }));
+  const world = new GatewayHarness(backendOf('a', { slots: 1 }));
   world.engines = true;
   world.dispatcher.connectAgent('a', 0);
   const { reply: running } = world.request({ ...HARMLESS });
   const { reply } = world.request({ ...CRASHING });
   t.is(reply.status, 0);
-  const fingerprint = world.crashing.fingerprintOf({
+  const fingerprint = world.crashingRequests.fingerprintOf({
     ...CRASHING,
     tenant: undefined,
     method: 'GET',
     path: '/a/',
   });
-  world.crashing.hear([{ fingerprint, crashes: 3, clearances: 0 }], 'peer');
+  world.crashingRequests.hear([{ fingerprint, crashes: 3, clearances: 0 }], 'peer');
   t.is(reply.status, 503);
   t.is(running.status, 0);
 });
@@ -280,7 +287,7 @@
   world.request({ route, body: CRASHING.body });
   for (let index = 0; index < 3; index += 1) {
     world.attempts[index]!.handlers.onFailure(RESET);
-    world.crashing.noteEnded(world.attempts[index]!.backend.id, 'agent');
+    world.crashingRequests.noteEnded(world.attempts[index]!.backend.id, 'agent');
   }
   t.is(world.crashes.at(-1)!.crashes, 3);
   world.request({ route, body: CRASHING.body });
@@ -294,11 +301,11 @@
     { fingerprint: 'f', crashes: 1, clearances: 1 },
     { fingerprint: 'f', crashes: 3, clearances: 0 },
   ];
-  tallies.forEach((tally) => left.crashing.hear([tally], 'peer'));
-  [...tallies].reverse().forEach((tally) => right.crashing.hear([tally], 'peer'));
-  t.deepEqual(left.crashing.tell(), [{ fingerprint: 'f', crashes: 1, clearances: 1 }]);
-  t.deepEqual(right.crashing.tell(), left.crashing.tell());
-  t.deepEqual(left.crashing.hear([tallies[2]!], 'peer'), left.crashing.tell());
+  tallies.forEach((tally) => left.crashingRequests.hear([tally], 'peer'));
+  [...tallies].reverse().forEach((tally) => right.crashingRequests.hear([tally], 'peer'));
+  t.deepEqual(left.crashingRequests.tell(), [{ fingerprint: 'f', crashes: 1, clearances: 1 }]);
+  t.deepEqual(right.crashingRequests.tell(), left.crashingRequests.tell());
+  t.deepEqual(left.crashingRequests.hear([tallies[2]!], 'peer'), left.crashingRequests.tell());
 });
 
 test('a request stays refused while it keeps arriving, and its entry expires after ten minutes without arrivals', async (t) => {
@@ -308,12 +315,12 @@
   }
   for (let minute = 9; minute <= 36; minute += 9) {
     await world.clock.runUntil(minute * MINUTE_MS);
-    world.crashing.forgetOld();
+    world.crashingRequests.forgetOld();
     world.request(CRASHING);
   }
   t.is(world.attempts.length, 3);
   await world.clock.runUntil(47 * MINUTE_MS);
-  world.crashing.forgetOld();
+  world.crashingRequests.forgetOld();
   world.request(CRASHING);
   t.is(world.attempts.length, 4);
 });
--- a/test/dispatcher.test.ts
+++ b/test/dispatcher.test.ts
@@ -2,18 +2,18 @@
 import { pairShare } from '../src/pair-share.js';
 import { KnownBackend } from '../src/gateway/dispatch/known-backend.js';
 import { hasFreeCapacity } from '../src/gateway/dispatch/slot-room.js';
-import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
 
 const SECOND = routeOf({ kind: 'unsafe', priority: 2, targetLatencyMs: 1_000 });
 const FIRST = routeOf({ kind: 'unsafe', priority: 0 });
 
-function usedBackends(world: GatewayWorld): string[] {
+function usedBackends(world: GatewayHarness): string[] {
   return world.attempts.map(({ backend }) => backend.id);
 }
 
 /** Creates a gateway with one engine whose connected agent reports that every slot is occupied. */
-function createWorldWithFullEngine(): GatewayWorld {
-  const world = new GatewayWorld(backendOf('a'));
+function createWorldWithFullEngine(): GatewayHarness {
+  const world = new GatewayHarness(backendOf('a'));
   world.engines = true;
   world.dispatcher.connectAgent('a', 0);
   world.dispatcher.receiveFromAgent(
@@ -32,7 +32,7 @@
 }
 
 test('requests go to the backend with the fastest expected answer', (t) => {
-  const world = new GatewayWorld(backendOf('slow'), backendOf('fast'));
+  const world = new GatewayHarness(backendOf('slow'), backendOf('fast'));
   world.dispatcher.learnSpeed('slow', 1, 50);
   world.dispatcher.learnSpeed('fast', 1, 10);
   world.request();
@@ -41,7 +41,7 @@
 });
 
 test('a draining or unlisted backend gets no requests while others are ready', (t) => {
-  const world = new GatewayWorld(backendOf('a'), backendOf('b'), backendOf('c'));
+  const world = new GatewayHarness(backendOf('a'), backendOf('b'), backendOf('c'));
   world.dispatcher.updateBackend('a', backendOf('a', { state: 'draining' }), 0);
   world.dispatcher.updateBackend('b', undefined, 0);
   world.request();
@@ -50,7 +50,7 @@
 });
 
 test('when every backend is unlisted at once they stay usable for a grace period', async (t) => {
-  const world = new GatewayWorld(backendOf('a'));
+  const world = new GatewayHarness(backendOf('a'));
   world.dispatcher.updateBackend('a', undefined, 0);
   world.request();
   t.deepEqual(usedBackends(world), ['a']);
@@ -60,14 +60,14 @@
 });
 
 test('an unlisted backend that was draining is never used', (t) => {
-  const world = new GatewayWorld(backendOf('a', { state: 'draining' }));
+  const world = new GatewayHarness(backendOf('a', { state: 'draining' }));
   world.dispatcher.updateBackend('a', undefined, 0);
   world.request();
   t.is(world.attempts.length, 0);
 });
 
 test('a freed slot goes to the waiting request of the highest tier', (t) => {
-  const world = new GatewayWorld(backendOf('a', { slots: 1 }));
+  const world = new GatewayHarness(backendOf('a', { slots: 1 }));
   world.request({ requestId: 'running' });
   world.request({ route: SECOND, path: '/second' });
   world.request({ route: FIRST, path: '/first' });
@@ -78,7 +78,7 @@
 test('the grant of a full engine serves the request that is first in the queue by then', (t) => {
   const world = createWorldWithFullEngine();
   world.request({ route: SECOND, path: '/second' });
-  t.deepEqual(world.toAgents.at(-1)?.[1].kind, 'demand');
+  t.deepEqual(world.agentMessages.at(-1)?.[1].kind, 'demand');
   world.request({ route: FIRST, path: '/first' });
   world.dispatcher.receiveFromAgent('a', { kind: 'granted' }, 0);
   t.deepEqual(
@@ -90,11 +90,11 @@
 test('a grant without a waiting request is returned', (t) => {
   const world = createWorldWithFullEngine();
   world.dispatcher.receiveFromAgent('a', { kind: 'granted' }, 0);
-  t.deepEqual(world.toAgents.at(-1), ['a', { kind: 'grant-returned' }]);
+  t.deepEqual(world.agentMessages.at(-1), ['a', { kind: 'grant-returned' }]);
 });
 
 test('slots taken after an agent counted its occupied slots are not taken twice', (t) => {
-  const world = new GatewayWorld(backendOf('a'));
+  const world = new GatewayHarness(backendOf('a'));
   world.engines = true;
   world.dispatcher.connectAgent('a', 0);
   world.request({ route: SECOND });
@@ -116,7 +116,7 @@
 });
 
 test('without its agent an engine gets a share of its slots from each gateway', async (t) => {
-  const world = new GatewayWorld(backendOf('a', { slots: 8 }));
+  const world = new GatewayHarness(backendOf('a', { slots: 8 }));
   world.engines = true;
   world.gateways = 2;
   for (let index = 0; index < 9; index += 1) {
@@ -138,7 +138,7 @@
 });
 
 test('a new engine gets no requests until its agent connects, refuses or times out', (t) => {
-  const world = new GatewayWorld(backendOf('a'), backendOf('b'), backendOf('c'));
+  const world = new GatewayHarness(backendOf('a'), backendOf('b'), backendOf('c'));
   world.engines = true;
   for (let index = 0; index < 6; index += 1) {
     world.request({ route: SECOND });
@@ -154,7 +154,7 @@
 });
 
 test('a backend that keeps failing gets no requests, unless all backends fail', (t) => {
-  const world = new GatewayWorld(backendOf('bad', { slots: 9 }), backendOf('good', { slots: 9 }));
+  const world = new GatewayHarness(backendOf('bad', { slots: 9 }), backendOf('good', { slots: 9 }));
   for (let index = 0; index < 5; index += 1) {
     world.dispatcher.finish('bad', 'failed', 0);
   }
@@ -168,7 +168,7 @@
 });
 
 test('of two incarnations at one address only the one announced later is used', (t) => {
-  const world = new GatewayWorld(
+  const world = new GatewayHarness(
     backendOf('new', { address: '10.0.0.1:80', revision: 8 }),
     backendOf('old', { address: '10.0.0.1:80', revision: 5 }),
   );
@@ -178,7 +178,7 @@
 });
 
 test('an incarnation replaced at its address is not used, even if announced later', (t) => {
-  const world = new GatewayWorld(
+  const world = new GatewayHarness(
     backendOf('alive', { address: '10.0.0.1:80', revision: 5 }),
     backendOf('ended', { address: '10.0.0.1:80', revision: 8 }),
   );
@@ -191,7 +191,7 @@
 });
 
 test('a prompt goes to the engine with the higher prompt speed learned by other gateways', (t) => {
-  const world = new GatewayWorld(backendOf('slow'), backendOf('fast'));
+  const world = new GatewayHarness(backendOf('slow'), backendOf('fast'));
   world.engines = true;
   for (const [id, msPerToken] of [
     ['slow', 0.09],
@@ -210,7 +210,7 @@
 });
 
 test('a long prompt is not sent where it would pause other streams for too long', async (t) => {
-  const world = new GatewayWorld(backendOf('a'));
+  const world = new GatewayHarness(backendOf('a'));
   world.engines = true;
   const route = routeOf({ kind: 'stream', targetLatencyMs: 900, maxPauseMs: 200 });
   world.dispatcher.connectAgent('a', 0);
@@ -229,7 +229,7 @@
 });
 
 test('time without waiting requests does not count towards the expected wait', async (t) => {
-  const world = new GatewayWorld(backendOf('a', { slots: 1 }));
+  const world = new GatewayHarness(backendOf('a', { slots: 1 }));
   for (let round = 0; round < 12; round += 1) {
     world.request({ route: SECOND });
     world.request({ route: SECOND });
@@ -260,7 +260,7 @@
 });
 
 test('a request goes to an engine without recent failures, even if another is faster', (t) => {
-  const world = new GatewayWorld(backendOf('fast'), backendOf('slow'));
+  const world = new GatewayHarness(backendOf('fast'), backendOf('slow'));
   const state = { kind: 'state' as const, occupied: 0, messagesSeen: 0 };
   const speedOf = (msPerToken: number) => ({ prefill: { baseMs: 0, msPerToken }, msPerUnit: 0.01 });
   for (const id of ['fast', 'slow']) {
@@ -283,7 +283,7 @@
 });
 
 test('failures of a backend without an agent lower its rank and decay in seconds', async (t) => {
-  const world = new GatewayWorld(backendOf('a', { slots: 8 }), backendOf('b', { slots: 8 }));
+  const world = new GatewayHarness(backendOf('a', { slots: 8 }), backendOf('b', { slots: 8 }));
   const failing = world.directory.find('a')!;
   for (let index = 0; index < 4; index += 1) {
     failing.noteOutcome(true, 0);
@@ -296,7 +296,7 @@
 });
 
 test('an engine that its agent reports as closed gets no requests until it is open again', (t) => {
-  const world = new GatewayWorld(backendOf('a'));
+  const world = new GatewayHarness(backendOf('a'));
   world.engines = true;
   world.dispatcher.connectAgent('a', 0);
   const state = {
@@ -314,7 +314,7 @@
 });
 
 test('an engine on trial is probed with a repeatable request', (t) => {
-  const world = new GatewayWorld(backendOf('failing'), backendOf('busy', { slots: 1 }));
+  const world = new GatewayHarness(backendOf('failing'), backendOf('busy', { slots: 1 }));
   world.engines = true;
   const state = {
     kind: 'state',
--- a/test/engine-subset.test.ts
+++ b/test/engine-subset.test.ts
@@ -3,7 +3,7 @@
 import type { SubsetEngine } from '../src/gateway/dispatch/engine-subset.js';
 import { pairShare } from '../src/pair-share.js';
 import { ZoneTopology } from '../src/routing/places.js';
-import { GatewayWorld, backendOf } from './support/gateway.js';
+import { GatewayHarness, backendOf } from './support/gateway.js';
 
 function enginesOf(zones: number, perZone: number): SubsetEngine[] {
   return Array.from({ length: zones * perZone }, (_unused, index) => ({
@@ -58,7 +58,7 @@
   const backends = Array.from({ length: 40 }, (_unused, index) =>
     backendOf(`b${index}`, { zone: index < 20 ? 'z' : 'far', slots: 1 }),
   );
-  const world = new GatewayWorld();
+  const world = new GatewayHarness();
   world.engines = true;
   backends.forEach((backend) => world.directory.update(backend.id, backend, 0));
   const assigned = new Set(
--- a/test/gateway-metrics.test.ts
+++ b/test/gateway-metrics.test.ts
@@ -5,7 +5,7 @@
 import { countBackends } from '../src/gateway/metrics/gateway-snapshot.js';
 import type { GatewaySnapshot } from '../src/gateway/metrics/gateway-snapshot.js';
 import { KnownBackend } from '../src/gateway/dispatch/known-backend.js';
-import { backendOf, GatewayWorld } from './support/gateway.js';
+import { backendOf, GatewayHarness } from './support/gateway.js';
 
 const HOST = '127.0.4.9';
 const PORT = 28_900;
@@ -69,14 +69,14 @@
 });
 
 test('sends and body bytes are counted by the distance of the backend', async (t) => {
-  const world = new GatewayWorld();
+  const world = new GatewayHarness();
   world.regions.set('z', 'north').set('far', 'south');
   world.dispatcher.updateBackend('far', backendOf('far', { zone: 'far' }), 0);
   world.request({ body: Buffer.alloc(100) });
   world.answer(0, 200, 'answer');
   const { MetricInstruments } = await import('../src/gateway/metrics/metric-instruments.js');
   const instruments = new MetricInstruments(() => SNAPSHOT);
-  const [request, end] = world.ended[0]!;
+  const [request, end] = world.endedRequests[0]!;
   instruments.recordEnd(request, end);
   instruments.connections.inc({ reason: 'first' });
   const text = await instruments.registry.metrics();
--- a/test/homes-agent.test.ts
+++ b/test/homes-agent.test.ts
@@ -15,7 +15,7 @@
 import { SlotAllocator } from '../src/slot-agent/slot-ledger.js';
 import type { GatewaySlotMessage } from '../src/slot-agent/slot-messages.js';
 import type { ForbiddenTake } from '../src/slot-agent/slot-ledger.js';
-import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
 import { at } from './support/positions.js';
 
 const PLACES = new ZoneTopology(
@@ -48,7 +48,7 @@
 
 /** A gateway and the agent of engine "far" in region b, connected by direct calls. */
 class GatewayAgentPair {
-  readonly world = new GatewayWorld();
+  readonly world = new GatewayHarness();
   readonly agentView = new EngineReplicaView({ address: 'far:1', zone: 'b1' }, PLACES);
   readonly forbiddenTakes: ForbiddenTake[] = [];
   private readonly ledger: SlotAllocator;
@@ -113,8 +113,12 @@
 
   /** Delivers the messages that the gateway sent since the last call. */
   deliver(): void {
-    for (; this.deliveredCount < this.world.toAgents.length; this.deliveredCount += 1) {
-      this.ledger.receive(1, this.world.toAgents[this.deliveredCount]![1], this.world.clock.now());
+    for (; this.deliveredCount < this.world.agentMessages.length; this.deliveredCount += 1) {
+      this.ledger.receive(
+        1,
+        this.world.agentMessages[this.deliveredCount]![1],
+        this.world.clock.now(),
+      );
     }
   }
 }
@@ -172,7 +176,7 @@
   pair.deliver();
   t.deepEqual(pair.world.attempts, []);
   t.is(reply.status, 503);
-  t.is(pair.world.ends[0]?.reason, 'no-backend-at-home');
+  t.is(pair.world.requestEnds[0]?.reason, 'no-backend-at-home');
 });
 
 test('an agent grants no forbidden request although the gateway ignores its region info', (t) => {
@@ -270,7 +274,7 @@
   const pair = new GatewayAgentPair(none, none);
   pair.deliver();
   pair.world.request();
-  const taken = pair.world.toAgents.find(([, { kind }]) => kind === 'taken');
+  const taken = pair.world.agentMessages.find(([, { kind }]) => kind === 'taken');
   t.deepEqual(taken?.[1], { kind: 'taken' });
   t.is(pair.agentView.regionInfo, undefined);
 });
@@ -324,9 +328,9 @@
     pair.world.request({ body: Buffer.from(secret), headers, path: `/a/${secret}` });
     pair.deliver();
   }
-  t.true(pair.world.toAgents.some(([, { kind }]) => kind === 'demand'));
-  t.true(pair.world.toAgents.some(([, { kind }]) => kind === 'taken'));
-  t.false(JSON.stringify(pair.world.toAgents).includes(secret));
+  t.true(pair.world.agentMessages.some(([, { kind }]) => kind === 'demand'));
+  t.true(pair.world.agentMessages.some(([, { kind }]) => kind === 'taken'));
+  t.false(JSON.stringify(pair.world.agentMessages).includes(secret));
 });
 
 /** Folders of modules that exchange messages with other processes. */
--- a/test/homes.test.ts
+++ b/test/homes.test.ts
@@ -9,7 +9,7 @@
 import type { Tenant } from '../src/routing/configuration.js';
 import { RegionRestrictions } from '../src/routing/named-homes.js';
 import { RoutingTable } from '../src/routing/routing-table.js';
-import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
 
 const REGIONS = new Map([
   ['a1', 'a'],
@@ -41,8 +41,8 @@
 function worldOf(
   homes: RegionRestrictions,
   ...backends: Parameters<typeof backendOf>[]
-): GatewayWorld {
-  const world = new GatewayWorld();
+): GatewayHarness {
+  const world = new GatewayHarness();
   REGIONS.forEach((region, zone) => world.regions.set(zone, region));
   world.homes = homes;
   for (const backend of backends) {
@@ -51,7 +51,7 @@
   return world;
 }
 
-function attemptedBackends(world: GatewayWorld): string[] {
+function attemptedBackends(world: GatewayHarness): string[] {
   return world.attempts.map(({ backend }) => backend.id);
 }
 
@@ -144,7 +144,7 @@
   const world = worldOf(regionsOf({ r: ['a'] }, { t: ['b'] }), ['w', { zone: 'a1' }]);
   const { reply } = world.request({ tenant: 't' });
   t.is(reply.status, 503);
-  t.is(world.ends[0]?.reason, 'no-common-home');
+  t.is(world.requestEnds[0]?.reason, 'no-common-home');
   // One third of the caller's deadline of two seconds.
   t.is(Math.floor(Number(reply.headers[1])), 666);
   t.deepEqual(world.attempts, []);
@@ -162,7 +162,7 @@
   for (const world of worlds) {
     const { reply } = world.request();
     t.is(reply.status, 503);
-    t.is(world.ends[0]?.reason, 'no-backend-at-home');
+    t.is(world.requestEnds[0]?.reason, 'no-backend-at-home');
     t.deepEqual(world.attempts, []);
   }
 });
@@ -171,7 +171,7 @@
   const world = worldOf(regionsOf({ r: ['a'] }), ['w', { zone: 'a1' }], ['far', { zone: 'b1' }]);
   world.evacuatedZones.add('a1');
   world.request();
-  t.is(world.ends[0]?.reason, 'no-backend-at-home');
+  t.is(world.requestEnds[0]?.reason, 'no-backend-at-home');
   t.deepEqual(world.attempts, []);
 });
 
@@ -186,7 +186,7 @@
   world.request();
   world.homes = regionsOf({ r: ['c'] });
   await world.clock.runUntil(world.clock.now() + 150);
-  t.is(world.ends[0]?.reason, 'no-backend-at-home');
+  t.is(world.requestEnds[0]?.reason, 'no-backend-at-home');
   t.is(world.attempts.length, 2);
 });
 
@@ -230,10 +230,10 @@
   for (let count = 0; count < 3; count += 1) {
     world.request();
   }
-  world.toAgents.length = 0;
+  world.agentMessages.length = 0;
   world.homes = regionsOf({ r: ['a'] });
   world.dispatcher.tick(world.clock.now());
-  const sent = world.toAgents.flatMap(([to, message]) =>
+  const sent = world.agentMessages.flatMap(([to, message]) =>
     message.kind === 'demand' ? [[to, message.ranks[0]?.allowedRegions]] : [],
   );
   t.deepEqual(sent, [
--- a/test/lost-paths.test.ts
+++ b/test/lost-paths.test.ts
@@ -2,7 +2,7 @@
 import { PathMonitor } from '../src/gateway/dispatch/path-watch.js';
 import type { SuspicionCause } from '../src/gateway/dispatch/path-state.js';
 import type { Route } from '../src/routing/configuration.js';
-import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
 
 const UNSAFE = routeOf({ kind: 'unsafe', timeoutMs: 10_000, targetLatencyMs: 4_000 });
 const SAFE = routeOf({ kind: 'safe', timeoutMs: 10_000, targetLatencyMs: 4_000 });
@@ -16,7 +16,7 @@
 const HEARTBEAT_MS = 300;
 
 /** A gateway with two engines in each of two zones, whose agents send heartbeats or fall silent. */
-class TwoZones extends GatewayWorld {
+class TwoZones extends GatewayHarness {
   readonly suspected: Array<[string, SuspicionCause]> = [];
   readonly regained: string[] = [];
   readonly silent = new Set<string>();
@@ -249,7 +249,7 @@
 
 test('engines outside the subset fill in while the subset is unreachable', (t) => {
   const zones = ['z', 'y', 'x'];
-  const world = new GatewayWorld(
+  const world = new GatewayHarness(
     ...zones.flatMap((zone) =>
       Array.from({ length: 10 }, (_unused, index) => backendOf(`${zone}${index}`, { zone })),
     ),
@@ -299,7 +299,7 @@
   t.is(new Set(world.usedSince(0)).size, 4);
   world.answer(3, 200, 'whole');
   t.is(reply.status, 200);
-  t.is(world.ends[0]!.attempts, 1);
+  t.is(world.requestEnds[0]!.attempts, 1);
 });
 
 test('a request that left a lost path records path-lost, not an engine failure', async (t) => {
@@ -313,8 +313,8 @@
       world.answer(next, 200, 'whole');
     }
   }
-  const outcomes = world.ends.flatMap(({ tries }) => tries.map(({ outcome }) => outcome));
+  const outcomes = world.requestEnds.flatMap(({ tries }) => tries.map(({ outcome }) => outcome));
   t.true(outcomes.includes('path-lost'));
   t.false(outcomes.includes('failed'));
-  t.true(world.triesOver.some(({ isBad }) => isBad === undefined));
+  t.true(world.endedAttempts.some(({ isBad }) => isBad === undefined));
 });
--- a/test/open-answers.test.ts
+++ b/test/open-answers.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
 
 /*
  * Guards against streams that the gateway cancels while their backend drains. A draining backend
@@ -17,8 +17,8 @@
 
 /** Starts a stream on a backend and sets the state of the backend. */
 function openStream(state: 'ready' | 'draining') {
-  const world = new GatewayWorld(backendOf('a'));
-  const { reply, request } = world.request({ route: STREAM, endsAtMs: 8_000 });
+  const world = new GatewayHarness(backendOf('a'));
+  const { reply, request } = world.request({ route: STREAM, deadlineAtMs: 8_000 });
   const { handlers } = world.attempts[0]!;
   handlers.onHead(HEAD);
   handlers.onData(Buffer.from('id: 1\ndata: x\n\n'));
@@ -28,7 +28,7 @@
 
 test('an open stream of a draining backend completes although its port is closed', async (t) => {
   const { world, reply, request, handlers } = openStream('draining');
-  request.noteBackendEnded('a', 'agent');
+  request.handleBackendEnded('a', 'agent');
   // Longer than the grace period after which a stream of an ended backend is cancelled.
   await world.clock.runUntil(700);
   handlers.onData(Buffer.from('id: 2\ndata: y\n\n'));
@@ -39,7 +39,7 @@
 
 test('a stream that still receives data is not cancelled when its backend is reported as ended', async (t) => {
   const { world, reply, request, handlers } = openStream('ready');
-  request.noteBackendEnded('a', 'agent');
+  request.handleBackendEnded('a', 'agent');
   for (const atMs of [200, 400, 600, 800]) {
     await world.clock.runUntil(atMs);
     handlers.onData(Buffer.from(`id: ${atMs}\ndata: y\n\n`));
--- a/test/proxied-request.test.ts
+++ b/test/proxied-request.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
 
 const UNSAFE = routeOf({ kind: 'unsafe' });
 const STREAM = routeOf({ kind: 'stream', targetLatencyMs: 500 });
@@ -9,8 +9,8 @@
 const EVENT_1 = 'id: 1\ndata: a\n\n';
 const EVENT_2 = 'id: 2\ndata: b\n\n';
 
-function twoBackends(): GatewayWorld {
-  return new GatewayWorld(backendOf('a'), backendOf('b'));
+function twoBackends(): GatewayHarness {
+  return new GatewayHarness(backendOf('a'), backendOf('b'));
 }
 
 test('a response reaches the caller with its status and body', (t) => {
@@ -29,7 +29,7 @@
 });
 
 test('a request that was never sent is refused with a Retry-After', async (t) => {
-  const world = new GatewayWorld();
+  const world = new GatewayHarness();
   const { reply } = world.request({ route: UNSAFE });
   await world.clock.runUntil(2_010);
   t.is(reply.status, 503);
@@ -53,7 +53,7 @@
 
 test('a request skips any number of closed ports, and later requests are not sent there', (t) => {
   const ids = ['a', 'b', 'c', 'd', 'e', 'f', 'g'];
-  const world = new GatewayWorld(...ids.map((id) => backendOf(id)));
+  const world = new GatewayHarness(...ids.map((id) => backendOf(id)));
   const { reply } = world.request({ route: UNSAFE });
   for (let index = 0; index < 6; index += 1) {
     world.attempts[index]!.handlers.onFailure(CONNECTION_REFUSED);
@@ -79,7 +79,7 @@
 
 test('a request is refused after a few failed connects', (t) => {
   const ids = ['a', 'b', 'c', 'd', 'e', 'f', 'g'];
-  const world = new GatewayWorld(...ids.map((id) => backendOf(id)));
+  const world = new GatewayHarness(...ids.map((id) => backendOf(id)));
   const { reply } = world.request({ route: UNSAFE });
   for (let index = 0; index < 5; index += 1) {
     world.attempts[index]!.handlers.onFailure({ ...CONNECTION_REFUSED, isPortClosed: false });
@@ -102,7 +102,7 @@
   world.dispatcher.connectAgent('a', 0);
   world.request({ route: UNSAFE });
   world.answer(0, 421, '', { 'not-run': '1' });
-  t.deepEqual(world.toAgents.at(-1), ['a', { kind: 'released', hasFailed: undefined }]);
+  t.deepEqual(world.agentMessages.at(-1), ['a', { kind: 'released', hasFailed: undefined }]);
 });
 
 test('a connect timeout is reported to the agent as silence, not as an engine failure', (t) => {
@@ -119,7 +119,7 @@
   };
   world.attempts[0]!.handlers.onFailure(failure);
   t.deepEqual(
-    world.toAgents.find(([, { kind }]) => kind === 'released'),
+    world.agentMessages.find(([, { kind }]) => kind === 'released'),
     ['a', { kind: 'released', isSilent: true }],
   );
   t.is(world.attempts[1]!.backend.id, 'b');
@@ -210,7 +210,7 @@
 });
 
 test('a stalled stream is not cancelled while no other backend has a free slot', async (t) => {
-  const world = new GatewayWorld(backendOf('a', { slots: 1 }), backendOf('b', { slots: 1 }));
+  const world = new GatewayHarness(backendOf('a', { slots: 1 }), backendOf('b', { slots: 1 }));
   const { reply } = world.request({ route: RESUMABLE });
   world.request({ route: UNSAFE });
   t.not(world.attempts[0]!.backend.id, world.attempts[1]!.backend.id);
@@ -225,7 +225,7 @@
 });
 
 test('a stalled stream resumes elsewhere once another backend has a free slot', async (t) => {
-  const world = new GatewayWorld(backendOf('a', { slots: 1 }), backendOf('b', { slots: 1 }));
+  const world = new GatewayHarness(backendOf('a', { slots: 1 }), backendOf('b', { slots: 1 }));
   const { reply } = world.request({ route: RESUMABLE });
   world.request({ route: UNSAFE });
   const { handlers } = world.attempts[0]!;
@@ -266,7 +266,7 @@
 });
 
 test('a stream resumes on a third backend after an error of the second', (t) => {
-  const world = new GatewayWorld(backendOf('a'), backendOf('b'), backendOf('c'));
+  const world = new GatewayHarness(backendOf('a'), backendOf('b'), backendOf('c'));
   const { reply } = world.request({ route: { ...RESUMABLE, maxAttempts: 3 } });
   const { handlers } = world.attempts[0]!;
   handlers.onHead({ status: 200, rawHeaders: [], headers: {} });
@@ -288,22 +288,22 @@
 test('a caller disconnect cancels the attempt at once', (t) => {
   const world = twoBackends();
   const { request } = world.request();
-  request.callerLeft();
+  request.handleCallerDisconnect();
   t.true(world.attempts[0]!.isCancelled);
-  t.is(world.ends[0]?.reason, 'caller-left');
+  t.is(world.requestEnds[0]?.reason, 'caller-left');
 });
 
 test('a request that gets no slot is refused as not executed long before its deadline', async (t) => {
-  const world = new GatewayWorld(backendOf('a', { slots: 1 }));
+  const world = new GatewayHarness(backendOf('a', { slots: 1 }));
   world.request({ route: UNSAFE });
   const { reply } = world.request({ route: routeOf({ priority: 2 }) });
   await world.clock.runUntil(1_200);
   t.is(reply.status, 503);
-  t.is(world.ends.find(({ reason }) => reason === 'overloaded')?.attempts, 0);
+  t.is(world.requestEnds.find(({ reason }) => reason === 'overloaded')?.attempts, 0);
 });
 
 /** Keeps the only slot occupied with requests of the highest tier, one every 20 ms. */
-async function overload(world: GatewayWorld, forMs: number): Promise<void> {
+async function overload(world: GatewayHarness, forMs: number): Promise<void> {
   const urgent = routeOf({ kind: 'unsafe', priority: 0, targetLatencyMs: 1_000 });
   world.request({ route: urgent });
   const untilMs = world.clock.now() + forMs;
@@ -316,14 +316,14 @@
 }
 
 test('a request is refused on arrival under overload by more urgent requests', async (t) => {
-  const world = new GatewayWorld(backendOf('a', { slots: 1 }));
+  const world = new GatewayHarness(backendOf('a', { slots: 1 }));
   await overload(world, 2_000);
   const { reply } = world.request({ route: routeOf({ priority: 2 }) });
   t.is(reply.status, 503);
 });
 
 test('the Retry-After of a refusal leaves the caller time for a retry', async (t) => {
-  const world = new GatewayWorld(backendOf('a', { slots: 1 }));
+  const world = new GatewayHarness(backendOf('a', { slots: 1 }));
   await overload(world, 4_000);
   const { reply } = world.request({ route: routeOf({ priority: 2, timeoutMs: 900 }) });
   const retryAfterMs = reply.headers[reply.headers.indexOf('retry-after-ms') + 1];
@@ -331,10 +331,10 @@
 });
 
 test('a late retry is queued behind requests of its tier that can still be on time', async (t) => {
-  const world = new GatewayWorld(backendOf('a', { slots: 1 }));
+  const world = new GatewayHarness(backendOf('a', { slots: 1 }));
   world.request({ route: UNSAFE });
   await world.clock.runUntil(500);
-  world.request({ route: UNSAFE, path: '/returned', firstTriedAtMs: 0 });
+  world.request({ route: UNSAFE, path: '/returned', firstAttemptAtMs: 0 });
   await world.clock.runUntil(510);
   world.request({ route: UNSAFE, path: '/first-try' });
   world.answer(0, 200, '');
--- a/test/region-cut.test.ts
+++ b/test/region-cut.test.ts
@@ -65,7 +65,7 @@
       budget.countRequest('s', nowMs);
       requests += 1;
       // Unreachable gateways count as members until they announce that they leave.
-      while (random.next() < 0.9 && budget.takeRepeat('s', GATEWAYS, nowMs)) {
+      while (random.next() < 0.9 && budget.takeRetry('s', GATEWAYS, nowMs)) {
         repeats += 1;
       }
     }
--- a/test/regions.test.ts
+++ b/test/regions.test.ts
@@ -3,7 +3,7 @@
 import { ZoneTopology } from '../src/routing/places.js';
 import { UnknownZones } from '../src/routing/unknown-zones.js';
 import type { EngineAvailability } from '../src/slot-agent/engine-watch.js';
-import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
 
 /** Extra cost of another region over the own zone: 16 - 0.5 for round trips, and 10 for bytes. */
 const REMOTE_EXTRA_COST_MS = 25.5;
@@ -13,8 +13,8 @@
 const UNSAFE_ROUTE = routeOf({ kind: 'unsafe', targetLatencyMs: 2_000 });
 
 /** A gateway in zone z of region north, with engines there and in region south. */
-function worldOf(near: readonly string[], far: readonly string[], slots = 1): GatewayWorld {
-  const world = new GatewayWorld();
+function worldOf(near: readonly string[], far: readonly string[], slots = 1): GatewayHarness {
+  const world = new GatewayHarness();
   world.engines = true;
   world.regions.set('z', 'north').set('far', 'south');
   for (const id of near) {
@@ -31,7 +31,7 @@
 }
 
 function sendState(
-  world: GatewayWorld,
+  world: GatewayHarness,
   id: string,
   occupied: number,
   availability: EngineAvailability = 'open',
@@ -45,13 +45,13 @@
   );
 }
 
-function usedBackends(world: GatewayWorld): string[] {
+function usedBackends(world: GatewayHarness): string[] {
   return world.attempts.map(({ backend }) => backend.id);
 }
 
 /** Agents that were sent demand for a waiting request. */
-function agentsWithDemand(world: GatewayWorld): string[] {
-  return world.toAgents.flatMap(([id, message]) =>
+function agentsWithDemand(world: GatewayHarness): string[] {
+  return world.agentMessages.flatMap(([id, message]) =>
     message.kind === 'demand' && message.ranks.length > 0 ? [id] : [],
   );
 }
@@ -182,12 +182,12 @@
   const before = countInSubset(far);
   near.forEach((id) => sendState(world, id, 0, 'closed'));
   t.is(countInSubset(far), 16);
-  t.is(world.reaches.at(-1), false);
+  t.is(world.reachChanges.at(-1), false);
   t.is(countInSubset(near), 2);
   t.true(before < 16);
   sendState(world, 'n1', 0);
   t.is(countInSubset(far), before);
-  t.deepEqual(world.reaches, [false, true]);
+  t.deepEqual(world.reachChanges, [false, true]);
 });
 
 test('the wait for the agent of a new engine in another region includes the round trip', async (t) => {
--- a/test/retry-budget.test.ts
+++ b/test/retry-budget.test.ts
@@ -5,7 +5,7 @@
 
 function takeAllRetries(budget: RetryBudget, gateways: number, nowMs: number): number {
   let retries = 0;
-  while (budget.takeRepeat('s', gateways, nowMs)) {
+  while (budget.takeRetry('s', gateways, nowMs)) {
     retries += 1;
   }
   return retries;
@@ -31,12 +31,12 @@
 test('retries of one service do not use the budget of another', (t) => {
   const budget = new RetryBudget(OPTIONS);
   takeAllRetries(budget, 1, 0);
-  t.true(budget.takeRepeat('other', 1, 0));
+  t.true(budget.takeRetry('other', 1, 0));
 });
 
 test('the retry budget recovers as its window slides', (t) => {
   const budget = new RetryBudget(OPTIONS);
   const first = takeAllRetries(budget, 1, 0);
-  t.false(budget.takeRepeat('s', 1, 9_999));
+  t.false(budget.takeRetry('s', 1, 9_999));
   t.is(takeAllRetries(budget, 1, 10_001), first);
 });
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -8,7 +8,7 @@
 import { ServiceRollout } from '../src/rollout/service-rollout.js';
 import { VirtualClock } from '../src/sim/virtual-clock.js';
 import type { DecisionLog } from '../src/telemetry/decision-log.js';
-import { backendOf, GatewayWorld } from './support/gateway.js';
+import { backendOf, GatewayHarness } from './support/gateway.js';
 import { RolloutFleet } from './support/rollout-fleet.js';
 import type { FleetFaults, RolloutRun, VersionBehaviour } from './support/rollout-fleet.js';
 import { at } from './support/positions.js';
@@ -219,7 +219,7 @@
 });
 
 test('back ends in evacuated zones do not count as ready back ends of a version', (t) => {
-  const world = new GatewayWorld(
+  const world = new GatewayHarness(
     backendOf('a', { zone: 'za', version: 'v2' }),
     backendOf('b', { zone: 'zb', version: 'v2' }),
     backendOf('c', { zone: 'zb', version: 'v1' }),
--- a/test/slot-agent-links.test.ts
+++ b/test/slot-agent-links.test.ts
@@ -12,7 +12,7 @@
 import { MessageChannel } from '../src/protocol/message-channel.js';
 import type { AgentToGateway, GatewayToAgent } from '../src/slot-agent/slot-messages.js';
 import { LoopbackProxy } from '../bench/soak/loopback-proxy.js';
-import { backendOf, GatewayWorld } from './support/gateway.js';
+import { backendOf, GatewayHarness } from './support/gateway.js';
 
 const HOST = '127.0.5.1';
 const SILENCE_MS = 150;
@@ -71,7 +71,7 @@
 
 /** Starts a gateway's links to the agent of one engine, maintained in ticks of 10 ms. */
 function startLinks(port: number, host = HOST) {
-  const world = new GatewayWorld(backendOf('a', { address: `${host}:9` }));
+  const world = new GatewayHarness(backendOf('a', { address: `${host}:9` }));
   world.engines = true;
   const records = new ReplicatedRecords();
   const links = new SlotAgentLinks(
--- a/test/statement-choices.test.ts
+++ b/test/statement-choices.test.ts
@@ -3,7 +3,7 @@
 import { NO_STATEMENT } from '../src/gateway/statements/backend-statement.js';
 import { DEFAULT_REQUEST_OPTIONS } from '../src/gateway/attempt/request-model.js';
 import { RequestWait } from '../src/gateway/attempt/request-wait.js';
-import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
 
 /*
  * A backend's statement must be respected on every path by which a request is sent: the first
@@ -18,13 +18,13 @@
   return { statement: { ...NO_STATEMENT, ...statement } as unknown as string };
 }
 
-function usedBackends(world: GatewayWorld): string[] {
+function usedBackends(world: GatewayHarness): string[] {
   return world.attempts.map(({ backend }) => backend.id);
 }
 
 /** Creates a world in which `a` has answered one request with the statement. */
-function worldAfter(statement: Partial<BackendStatement>, ...others: string[]): GatewayWorld {
-  const world = new GatewayWorld(...['a', ...others].map((id) => backendOf(id)));
+function worldAfter(statement: Partial<BackendStatement>, ...others: string[]): GatewayHarness {
+  const world = new GatewayHarness(...['a', ...others].map((id) => backendOf(id)));
   world.dispatcher.learnSpeed('a', 1, 5);
   others.forEach((id) => world.dispatcher.learnSpeed(id, 1, 50));
   world.request({ route: UNSAFE });
@@ -58,7 +58,7 @@
 });
 
 test('draining: a request queued for its slot goes to another backend, and its response in progress completes', (t) => {
-  const world = new GatewayWorld(backendOf('a', { slots: 1 }));
+  const world = new GatewayHarness(backendOf('a', { slots: 1 }));
   const running = world.request({ route: UNSAFE });
   world.request({ route: UNSAFE });
   world.attempts[0]!.handlers.onHead({
@@ -75,7 +75,7 @@
 });
 
 test('draining: a slot that its agent granted earlier is returned', (t) => {
-  const world = new GatewayWorld(backendOf('a', { slots: 1 }));
+  const world = new GatewayHarness(backendOf('a', { slots: 1 }));
   world.engines = true;
   world.dispatcher.connectAgent('a', 0);
   world.request({ route: UNSAFE });
@@ -86,7 +86,7 @@
     headers: headersStating({ isLeaving: true }),
   });
   world.dispatcher.receiveFromAgent('a', { kind: 'granted' }, 10);
-  t.deepEqual(world.toAgents.at(-1), ['a', { kind: 'grant-returned' }]);
+  t.deepEqual(world.agentMessages.at(-1), ['a', { kind: 'grant-returned' }]);
   t.is(world.attempts.length, 1);
 });
 
@@ -102,7 +102,7 @@
 });
 
 test('limit: a slot that the agent granted earlier is returned, and no further demand is reported', (t) => {
-  const world = new GatewayWorld(backendOf('a', { slots: 1 }));
+  const world = new GatewayHarness(backendOf('a', { slots: 1 }));
   world.engines = true;
   world.dispatcher.connectAgent('a', 0);
   world.request({ route: UNSAFE });
@@ -113,9 +113,9 @@
     headers: headersStating({ limitPerS: 2 }),
   });
   world.dispatcher.receiveFromAgent('a', { kind: 'granted' }, 10);
-  const kinds = world.toAgents.map(([, message]) => message.kind);
+  const kinds = world.agentMessages.map(([, message]) => message.kind);
   t.true(kinds.includes('grant-returned'));
-  const demands = world.toAgents.flatMap(([, message]) =>
+  const demands = world.agentMessages.flatMap(([, message]) =>
     message.kind === 'demand' ? [message.ranks.length] : [],
   );
   t.is(demands.at(-1), 0);
@@ -130,7 +130,7 @@
 });
 
 test('backoff: a refused request goes to another backend immediately, and no request is sent until the backoff ends', async (t) => {
-  const world = new GatewayWorld(backendOf('a'), backendOf('b'));
+  const world = new GatewayHarness(backendOf('a'), backendOf('b'));
   world.dispatcher.learnSpeed('a', 1, 5);
   world.dispatcher.learnSpeed('b', 1, 50);
   world.request({ route: routeOf({ kind: 'unsafe', maxAttempts: 2 }) });
@@ -143,7 +143,7 @@
 });
 
 test('backoff: after it requests are sent one at a time, with rights, until one was served', async (t) => {
-  const world = new GatewayWorld(backendOf('a'));
+  const world = new GatewayHarness(backendOf('a'));
   world.request({ route: UNSAFE });
   world.answer(0, 503, '', { ...headersStating({ restMs: 500 }), 'not-run': '1' });
   await world.clock.runUntil(600);
@@ -158,7 +158,7 @@
 });
 
 test('backoff: with all backends in backoff a caller immediately gets the delay until the first returns, or waits if it can', async (t) => {
-  const world = new GatewayWorld(backendOf('a'));
+  const world = new GatewayHarness(backendOf('a'));
   world.request({ route: UNSAFE });
   world.answer(0, 503, '', { ...headersStating({ restMs: 10_000 }), 'not-run': '1' });
   await world.clock.runUntil(100);
@@ -166,7 +166,7 @@
   t.is(reply.status, 503);
   const pauseMs = Number(reply.headers[reply.headers.indexOf('retry-after-ms') + 1]);
   t.true(pauseMs >= 9_900 && pauseMs < 10_300);
-  const shortBackoff = new GatewayWorld(backendOf('a'));
+  const shortBackoff = new GatewayHarness(backendOf('a'));
   shortBackoff.request({ route: UNSAFE });
   shortBackoff.answer(0, 503, '', { ...headersStating({ restMs: 30 }), 'not-run': '1' });
   const waiting = shortBackoff.request({ route: UNSAFE });
@@ -175,7 +175,7 @@
 
 test('backoff: the retry delay covers the first backend to return and at least the expected queue wait', (t) => {
   const retryDelayWith = (restLeftMs: number) => {
-    const world = new GatewayWorld(backendOf('a'));
+    const world = new GatewayHarness(backendOf('a'));
     world.directory.restLeftMs = () => restLeftMs;
     world.dispatcher.forecastOf = () => ({
       expectedWaitMs: () => 800,
@@ -183,13 +183,13 @@
       expectedRecoveryMs: () => 800,
     });
     const wait = new RequestWait({
-      request: world.accept({ endsAtMs: 60_000 }),
+      request: world.accept({ deadlineAtMs: 60_000 }),
       ports: world.requestPorts,
       options: DEFAULT_REQUEST_OPTIONS,
       answer: { lastEventAtMs: undefined, hasStarted: false },
       excluded: new Set(),
       onPlaced: () => undefined,
-      onGivenUp: () => undefined,
+      onAbandoned: () => undefined,
     });
     return wait.retryAfterMs();
   };
@@ -200,13 +200,13 @@
 });
 
 test('backoff: a held right does not shorten it, and the backoff after a refusal applies as well', async (t) => {
-  const world = new GatewayWorld(backendOf('a'));
+  const world = new GatewayHarness(backendOf('a'));
   world.request({ route: UNSAFE });
   world.answer(0, 503, '', { ...headersStating({ restMs: 500 }), 'not-run': '1' });
   world.heldRights.add('a');
   world.request({ route: UNSAFE });
   t.is(world.attempts.length, 1);
-  const refused = new GatewayWorld(backendOf('a'));
+  const refused = new GatewayHarness(backendOf('a'));
   refused.request({ route: UNSAFE });
   refused.answer(0, 503, '', { 'not-run': '1' });
   refused.request({ route: UNSAFE });
--- a/test/support/gateway.ts
+++ b/test/support/gateway.ts
@@ -19,7 +19,7 @@
 import { DEFAULT_REQUEST_OPTIONS } from '../../src/gateway/attempt/request-model.js';
 import type { AcceptedRequest } from '../../src/gateway/attempt/accepted-request.js';
 import type {
-  HeardAnswer,
+  ResponseStatement,
   RequestEnd,
   RequestPorts,
   EndedAttempt,
@@ -78,7 +78,7 @@
 }
 
 /** An attempt as recorded by the simulated backends. */
-export interface SeenAttempt extends OutgoingAttempt {
+export interface RecordedAttempt extends OutgoingAttempt {
   readonly handlers: AttemptHandlers;
   isCancelled: boolean;
 }
@@ -145,12 +145,12 @@
  * Test harness: the gateway core on a virtual clock, with backends and agents simulated by the
  * test.
  */
-export class GatewayWorld implements BackendSender, DispatcherPorts {
+export class GatewayHarness implements BackendSender, DispatcherPorts {
   readonly clock = new VirtualClock();
-  readonly attempts: SeenAttempt[] = [];
-  readonly toAgents: Array<[string, GatewaySlotMessage]> = [];
-  readonly ends: RequestEnd[] = [];
-  readonly ended: Array<[AcceptedRequest, RequestEnd]> = [];
+  readonly attempts: RecordedAttempt[] = [];
+  readonly agentMessages: Array<[string, GatewaySlotMessage]> = [];
+  readonly requestEnds: RequestEnd[] = [];
+  readonly endedRequests: Array<[AcceptedRequest, RequestEnd]> = [];
   readonly regions = new Map<string, string>();
   readonly directory = new BackendDirectory(
     { name: 'g', zone: 'z', places: new ZoneTopology(this.regions) },
@@ -163,7 +163,7 @@
   /** Versions with restricted use; all others are open. */
   readonly versionUses = new Map<string, VersionUse>();
   /** Changes of whether the gateway's region has usable backends, in order. */
-  readonly reaches: boolean[] = [];
+  readonly reachChanges: boolean[] = [];
   readonly evacuatedZones = new Set<string>();
   /**
    * Home regions of the configuration in force; undefined leaves the regions of each request
@@ -172,25 +172,25 @@
   homes: RegionRestrictions | undefined;
   version = 1;
   /** Reasons for which requests were not sent to backends, in order. */
-  readonly kept: RestrictionReason[] = [];
-  readonly triesOver: EndedAttempt[] = [];
+  readonly restrictedReasons: RestrictionReason[] = [];
+  readonly endedAttempts: EndedAttempt[] = [];
   /** Backends to which connections are not established for now. */
-  readonly connecting = new Set<string>();
+  readonly unconnectableBackendIds = new Set<string>();
   coldStarts = new ColdStartLimiter();
   /** Configured services; undefined if all are. */
-  namedServices: ReadonlySet<string> | undefined;
+  configuredServices: ReadonlySet<string> | undefined;
   /** Backends whose probe was requested, in order. */
-  readonly looks: string[] = [];
+  readonly probedBackendIds: string[] = [];
   readonly crashes: CountedCrash[] = [];
-  readonly crashNews: RequestCrashes[] = [];
+  readonly crashReports: RequestCrashes[] = [];
   private readonly proxiedRequests: ProxiedRequest[] = [];
-  readonly crashing = new CrashingRequests(
+  readonly crashingRequests = new CrashingRequests(
     {
       isLeaving: (backendId) => this.directory.find(backendId)?.backend.state === 'draining',
-      look: ({ id }) => void this.looks.push(id),
+      look: ({ id }) => void this.probedBackendIds.push(id),
       onCrash: (crash) => void this.crashes.push(crash),
-      onNews: (news) => void this.crashNews.push(...news),
-      onRefused: () => this.proxiedRequests.forEach((request) => request.refuseCrashing()),
+      onNews: (news) => void this.crashReports.push(...news),
+      onRefused: () => this.proxiedRequests.forEach((request) => request.refuseIfCrashing()),
     },
     this.clock,
   );
@@ -217,7 +217,7 @@
     return sendLimitPerS(this.directory.find(backendId)!.condition) !== undefined;
   }
 
-  private recordStatement({ backend, ...heard }: HeardAnswer): void {
+  private recordStatement({ backend, ...heard }: ResponseStatement): void {
     const known = this.directory.find(backend.id);
     if (known?.condition.hear(heard, this.clock.now()) === true) {
       this.dispatcher.handleConditionChange(known, this.clock.now());
@@ -237,7 +237,7 @@
   }
 
   sendToAgent(backendId: string, message: GatewaySlotMessage): void {
-    this.toAgents.push([backendId, message]);
+    this.agentMessages.push([backendId, message]);
   }
 
   onEjected(): void {
@@ -265,7 +265,7 @@
   }
 
   onReach(_service: string, hasNear: boolean): void {
-    this.reaches.push(hasNear);
+    this.reachChanges.push(hasNear);
   }
 
   onSent(): void {
@@ -273,7 +273,7 @@
   }
 
   onRestricted(reason: RestrictionReason): void {
-    this.kept.push(reason);
+    this.restrictedReasons.push(reason);
   }
 
   /** Number of retries charged to a tenant; `hasQuota` sets whether its quota suffices. */
@@ -288,15 +288,15 @@
   }
 
   isNamed(service: string): boolean {
-    return this.namedServices?.has(service) ?? true;
+    return this.configuredServices?.has(service) ?? true;
   }
 
   onEnded(backendId: string): void {
-    this.crashing.noteEnded(backendId, 'agent');
+    this.crashingRequests.noteEnded(backendId, 'agent');
   }
 
   onReplaced(backendId: string): void {
-    this.crashing.noteEnded(backendId, 'replaced');
+    this.crashingRequests.noteEnded(backendId, 'replaced');
   }
 
   onAvailability(): void {
@@ -304,12 +304,12 @@
   }
 
   send(attempt: OutgoingAttempt, handlers: AttemptHandlers) {
-    const seen: SeenAttempt = { ...attempt, handlers, isCancelled: false };
+    const seen: RecordedAttempt = { ...attempt, handlers, isCancelled: false };
     this.attempts.push(seen);
     const ignore = () => undefined;
     const cancel = () => void (seen.isCancelled = true);
     const withdraw = () => {
-      seen.isCancelled ||= this.connecting.has(attempt.backend.id);
+      seen.isCancelled ||= this.unconnectableBackendIds.has(attempt.backend.id);
       return seen.isCancelled;
     };
     return { cancel, withdraw, pause: ignore, resume: ignore };
@@ -328,9 +328,9 @@
       rankInTier: 0,
       allowedRegions: undefined,
       arrivedAtMs,
-      firstTriedAtMs: arrivedAtMs,
-      endsAtMs: arrivedAtMs + route.timeoutMs,
-      units: 1,
+      firstAttemptAtMs: arrivedAtMs,
+      deadlineAtMs: arrivedAtMs + route.timeoutMs,
+      workUnits: 1,
       promptTokens: 0,
       quotaCost: 0,
       method: 'GET',
@@ -351,17 +351,17 @@
       dispatcher: this.dispatcher,
       sender: this,
       protocol: PLAIN_PROTOCOL,
-      crashes: this.crashing,
-      chargeAgain: (_request: AcceptedRequest, onResult: (isGranted: boolean) => void) => {
+      crashes: this.crashingRequests,
+      chargeRetry: (_request: AcceptedRequest, onResult: (isGranted: boolean) => void) => {
         this.chargedAgain += 1;
         onResult(this.hasQuota);
       },
-      takeRepeat: () => this.repeatsLeft-- > 0,
-      onStatement: (heard: HeardAnswer) => this.recordStatement(heard),
-      onTryOver: (over: EndedAttempt) => void this.triesOver.push(over),
+      takeRetry: () => this.repeatsLeft-- > 0,
+      onStatement: (heard: ResponseStatement) => this.recordStatement(heard),
+      onTryOver: (over: EndedAttempt) => void this.endedAttempts.push(over),
       onEnd: (ended: AcceptedRequest, end: RequestEnd) => {
-        this.ends.push(end);
-        this.ended.push([ended, end]);
+        this.requestEnds.push(end);
+        this.endedRequests.push([ended, end]);
       },
     };
   }
--- a/test/unconfirmed-refusals.test.ts
+++ b/test/unconfirmed-refusals.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { UnconfirmedRefusals } from '../src/gateway/admission/unconfirmed-refusals.js';
+import { ConfigurationConfirmationQueue } from '../src/gateway/admission/unconfirmed-refusals.js';
 import { HeapClock } from './support/heap-clock.js';
 
 function startQueue(maxWaiting = 200) {
@@ -7,7 +7,7 @@
   const knowledge = { isOld: true };
   const options = { waitMs: 500, checkIntervalMs: 25, maxWaiting };
   const ports = { isKnowledgeOld: () => knowledge.isOld };
-  const queue = new UnconfirmedRefusals(ports, clock, options);
+  const queue = new ConfigurationConfirmationQueue(ports, clock, options);
   const ended: Array<readonly [string, boolean, number]> = [];
   const wait = (name: string) =>
     queue.wait((isConfirmed) => ended.push([name, isConfirmed, clock.now()]));
--- a/test/zone-evacuation.test.ts
+++ b/test/zone-evacuation.test.ts
@@ -7,13 +7,13 @@
 import { GatewayEvacuations } from '../src/gateway/gateway-evacuations.js';
 import { ZoneTopology } from '../src/routing/places.js';
 import type { AgentSlotMessage, SlotDemand } from '../src/slot-agent/slot-messages.js';
-import { backendOf, GatewayWorld, routeOf } from './support/gateway.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
 import { at } from './support/positions.js';
 
 const UNSAFE_ROUTE = routeOf({ kind: 'unsafe', targetLatencyMs: 1_000 });
 const STREAM_ROUTE = routeOf({ kind: 'stream', isResumable: true });
 
-function usedBackends(world: GatewayWorld): string[] {
+function usedBackends(world: GatewayHarness): string[] {
   return world.attempts.map(({ backend }) => backend.id);
 }
 
@@ -29,8 +29,8 @@
 }
 
 /** A gateway with one full engine in each of two zones, whose agents are connected. */
-function worldOfFullEngines(): GatewayWorld {
-  const world = new GatewayWorld(backendOf('a', { zone: 'za' }), backendOf('b', { zone: 'zb' }));
+function worldOfFullEngines(): GatewayHarness {
+  const world = new GatewayHarness(backendOf('a', { zone: 'za' }), backendOf('b', { zone: 'zb' }));
   world.engines = true;
   for (const id of ['a', 'b']) {
     world.dispatcher.connectAgent(id, 0);
@@ -39,15 +39,15 @@
   return world;
 }
 
-function lastDemand(world: GatewayWorld, backendId: string): SlotDemand | undefined {
-  const demands = world.toAgents.flatMap(([id, message]) =>
+function lastDemand(world: GatewayHarness, backendId: string): SlotDemand | undefined {
+  const demands = world.agentMessages.flatMap(([id, message]) =>
     id === backendId && message.kind === 'demand' ? [message] : [],
   );
   return demands.at(-1);
 }
 
 test('a retry does not go to a zone that was evacuated in the meantime', (t) => {
-  const world = new GatewayWorld(
+  const world = new GatewayHarness(
     backendOf('a', { zone: 'za' }),
     backendOf('b', { zone: 'zb' }),
     backendOf('c', { zone: 'zc' }),
@@ -61,7 +61,7 @@
 });
 
 test('an interrupted stream is not resumed in a zone that was evacuated in the meantime', (t) => {
-  const world = new GatewayWorld(backendOf('a', { zone: 'za' }), backendOf('b', { zone: 'zb' }));
+  const world = new GatewayHarness(backendOf('a', { zone: 'za' }), backendOf('b', { zone: 'zb' }));
   const { reply } = world.request({ route: STREAM_ROUTE });
   const [first] = usedBackends(world);
   world.order(first === 'a' ? 'zb' : 'za', true);
@@ -75,7 +75,7 @@
 });
 
 test('a request in flight in an evacuated zone runs to completion', (t) => {
-  const world = new GatewayWorld(backendOf('a', { zone: 'za' }));
+  const world = new GatewayHarness(backendOf('a', { zone: 'za' }));
   const { reply } = world.request();
   world.order('za', true);
   t.false(world.attempts[0]!.isCancelled);
@@ -84,24 +84,24 @@
 });
 
 test('an unsent request that waits for a connection to an evacuated zone is sent elsewhere', (t) => {
-  const world = new GatewayWorld(backendOf('a', { zone: 'za', slots: 1 }));
-  world.connecting.add('a');
+  const world = new GatewayHarness(backendOf('a', { zone: 'za', slots: 1 }));
+  world.unconnectableBackendIds.add('a');
   const { request } = world.request({ route: UNSAFE_ROUTE });
   world.dispatcher.updateBackend('b', backendOf('b', { zone: 'zb' }), 0);
-  t.false(request.withdrawUnsent());
+  t.false(request.withdrawIfUnsent());
   world.order('za', true);
-  t.true(request.withdrawUnsent());
+  t.true(request.withdrawIfUnsent());
   t.true(world.attempts[0]!.isCancelled);
   t.deepEqual(usedBackends(world), ['a', 'b']);
 });
 
 test('an order does not withdraw a connecting request whose version’s roll-out share is used up', (t) => {
-  const world = new GatewayWorld(backendOf('a', { zone: 'za' }));
-  world.connecting.add('a');
+  const world = new GatewayHarness(backendOf('a', { zone: 'za' }));
+  world.unconnectableBackendIds.add('a');
   const { request } = world.request({ route: UNSAFE_ROUTE });
   world.versionUses.set('v1', 'closed');
   world.order('zb', true);
-  t.false(request.withdrawUnsent());
+  t.false(request.withdrawIfUnsent());
   t.false(world.attempts[0]!.isCancelled);
 });
 
@@ -125,10 +125,10 @@
 });
 
 test('a request already sent to a zone that is then evacuated is not sent a second time', (t) => {
-  const world = new GatewayWorld(backendOf('a', { zone: 'za' }), backendOf('b', { zone: 'zb' }));
+  const world = new GatewayHarness(backendOf('a', { zone: 'za' }), backendOf('b', { zone: 'zb' }));
   const { request } = world.request({ route: UNSAFE_ROUTE });
   world.order(world.attempts[0]!.backend.zone, true);
-  t.false(request.withdrawUnsent());
+  t.false(request.withdrawIfUnsent());
   t.is(world.attempts.length, 1);
 });
 
@@ -137,7 +137,7 @@
   world.request({ route: UNSAFE_ROUTE });
   world.order('za', true);
   world.dispatcher.receiveFromAgent('a', { kind: 'granted' }, 0);
-  t.deepEqual(world.toAgents.at(-1), ['a', { kind: 'grant-returned' }]);
+  t.deepEqual(world.agentMessages.at(-1), ['a', { kind: 'grant-returned' }]);
   t.is(world.attempts.length, 0);
   world.dispatcher.receiveFromAgent('b', { kind: 'granted' }, 0);
   t.deepEqual(usedBackends(world), ['b']);
@@ -165,7 +165,7 @@
 });
 
 test('a waiting request is sent at once to a zone whose evacuation ends', (t) => {
-  const world = new GatewayWorld(
+  const world = new GatewayHarness(
     backendOf('a', { zone: 'za' }),
     backendOf('b', { zone: 'zb', slots: 1 }),
   );
@@ -178,7 +178,7 @@
 });
 
 test('a recently removed back end in an evacuated zone is not used', (t) => {
-  const world = new GatewayWorld(backendOf('a', { zone: 'za' }));
+  const world = new GatewayHarness(backendOf('a', { zone: 'za' }));
   world.order('za', true);
   world.dispatcher.updateBackend('a', undefined, 0);
   world.request();
@@ -186,7 +186,7 @@
 });
 
 test('a gateway in an evacuated zone uses engines of other zones instead of its own', (t) => {
-  const world = new GatewayWorld();
+  const world = new GatewayHarness();
   world.engines = true;
   for (const zone of ['z', 'zb', 'zc']) {
     for (let index = 0; index < 20; index += 1) {
@@ -208,7 +208,7 @@
 });
 
 test('engines of a zone whose evacuation ends get nothing until their agents connect', async (t) => {
-  const world = new GatewayWorld(backendOf('a', { zone: 'za' }));
+  const world = new GatewayHarness(backendOf('a', { zone: 'za' }));
   world.engines = true;
   await world.clock.runUntil(1_000);
   world.order('za', true);
@@ -221,7 +221,7 @@
 });
 
 test('expected answer times count only permitted back ends', (t) => {
-  const world = new GatewayWorld(backendOf('a', { zone: 'za' }), backendOf('b', { zone: 'zb' }));
+  const world = new GatewayHarness(backendOf('a', { zone: 'za' }), backendOf('b', { zone: 'zb' }));
   world.dispatcher.learnSpeed('a', 1, 10);
   world.dispatcher.learnSpeed('b', 1, 50);
   t.is(world.directory.permitted('s', undefined).length, 2);
@@ -233,15 +233,15 @@
 });
 
 test('a request to a service whose zones are all evacuated gets 503 at once with retry-after-ms', async (t) => {
-  const world = new GatewayWorld(backendOf('a', { zone: 'za' }), backendOf('b', { zone: 'zb' }));
+  const world = new GatewayHarness(backendOf('a', { zone: 'za' }), backendOf('b', { zone: 'zb' }));
   world.order('za', true);
   world.order('zb', true);
   const { reply } = world.request({ route: UNSAFE_ROUTE });
   t.is(reply.status, 503);
-  t.is(world.ends[0]?.reason, 'zone-evacuated');
+  t.is(world.requestEnds[0]?.reason, 'zone-evacuated');
   t.is(reply.headers[0], 'retry-after-ms');
   t.true(Number(reply.headers[1]) > 300);
-  t.deepEqual(world.kept, ['zone-evacuated']);
+  t.deepEqual(world.restrictedReasons, ['zone-evacuated']);
   world.order('zb', false);
   world.request({ route: UNSAFE_ROUTE });
   t.deepEqual(usedBackends(world), ['b']);
@@ -249,23 +249,23 @@
 });
 
 test('a request that is waiting when the last zone is evacuated is refused at its next check', async (t) => {
-  const world = new GatewayWorld(backendOf('a', { zone: 'za', slots: 1 }));
+  const world = new GatewayHarness(backendOf('a', { zone: 'za', slots: 1 }));
   world.request({ route: UNSAFE_ROUTE });
   const { reply } = world.request({ route: UNSAFE_ROUTE });
   world.order('za', true);
   await world.clock.runUntil(101);
   t.is(reply.status, 503);
-  t.is(world.ends[0]?.reason, 'zone-evacuated');
+  t.is(world.requestEnds[0]?.reason, 'zone-evacuated');
 });
 
 test('a service without back ends does not count as evacuated', (t) => {
-  const world = new GatewayWorld();
+  const world = new GatewayHarness();
   world.order('za', true);
   t.false(world.directory.isEvacuated('s', undefined));
 });
 
 test('evacuations outside the allowed regions of a request do not make its service evacuated', (t) => {
-  const world = new GatewayWorld(backendOf('a', { zone: 'za' }), backendOf('b', { zone: 'zb' }));
+  const world = new GatewayHarness(backendOf('a', { zone: 'za' }), backendOf('b', { zone: 'zb' }));
   world.regions.set('za', 'east').set('zb', 'west');
   world.order('zb', true);
   t.true(world.directory.isEvacuated('s', new Set(['west'])));
@@ -288,7 +288,7 @@
 });
 
 test('the wait forecast increases as soon as a zone is evacuated', async (t) => {
-  const world = new GatewayWorld(
+  const world = new GatewayHarness(
     backendOf('a', { zone: 'za', slots: 3 }),
     backendOf('b', { zone: 'zb', slots: 1 }),
   );
@@ -319,7 +319,7 @@
     fc.record({ kind: fc.constant('leave' as const), zone: fc.constantFrom(...zones) }),
   );
   const property = fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
-    const world = new GatewayWorld(...zones.map((zone) => backendOf(zone, { zone })));
+    const world = new GatewayHarness(...zones.map((zone) => backendOf(zone, { zone })));
     world.engines = true;
     world.dispatcher.connectAgent('za', 0);
     let isHonored = true;
@@ -364,7 +364,7 @@
 });
 
 /** Evacuations that act on the back ends of `world`, and the log lines that they write. */
-function evacuationsOf(world: GatewayWorld) {
+function evacuationsOf(world: GatewayHarness) {
   const lines: Array<Readonly<Record<string, unknown>>> = [];
   const evacuations = new GatewayEvacuations({
     directory: world.directory,
@@ -380,7 +380,7 @@
 }
 
 test('each order is logged once when applied, when the zone has drained, and when it ends', async (t) => {
-  const world = new GatewayWorld(backendOf('a', { zone: 'za' }));
+  const world = new GatewayHarness(backendOf('a', { zone: 'za' }));
   const { evacuations, lines } = evacuationsOf(world);
   world.request();
   evacuations.take({ zone: 'za', isOrdered: true, ...at(5) });
@@ -419,7 +419,7 @@
 });
 
 test('an order renewed after a removal stays in force if the removal arrives last', (t) => {
-  const world = new GatewayWorld(backendOf('a', { zone: 'za' }));
+  const world = new GatewayHarness(backendOf('a', { zone: 'za' }));
   const { evacuations } = evacuationsOf(world);
   evacuations.take({ zone: 'za', isOrdered: true, ...at(5) });
   evacuations.take({ zone: 'za', isOrdered: true, ...at(7) });
@@ -429,7 +429,7 @@
 });
 
 test('an order for an unknown zone is logged once as such and has no effect', (t) => {
-  const world = new GatewayWorld(backendOf('a', { zone: 'za' }));
+  const world = new GatewayHarness(backendOf('a', { zone: 'za' }));
   const { evacuations, lines } = evacuationsOf(world);
   evacuations.take({ zone: 'nowhere', isOrdered: true, ...at(5) });
   evacuations.tick();
@@ -446,7 +446,7 @@
 });
 
 test('a zone counts as known if its order is listed before its back ends', (t) => {
-  const world = new GatewayWorld();
+  const world = new GatewayHarness();
   const { evacuations, lines } = evacuationsOf(world);
   evacuations.take({ zone: 'zb', isOrdered: true, ...at(5) });
   world.dispatcher.updateBackend('b', backendOf('b', { zone: 'zb' }), 0);
