--- a/src/cli/queries/explain-homes.ts
+++ b/src/cli/queries/explain-homes.ts
@@ -1,7 +1,7 @@
 /** Query: what a request's line says of its homes, in words. */
-import type { HomeReport, KeptBackend } from '../../gateway/homes/home-report.js';
+import type { RegionReport, ExcludedBackend } from '../../gateway/homes/home-report.js';
 
-const REASONS: Readonly<Record<KeptBackend['reason'], string>> = {
+const REASONS: Readonly<Record<ExcludedBackend['reason'], string>> = {
   'outside-home': 'its region is no home',
   'zone-evacuated': 'its zone is evacuated',
   'version-closed': 'a roll-out keeps requests from its version',
@@ -10,7 +10,7 @@
 
 /** Words on the homes of a request, a line each; none where it has no homes. */
 export function explainHomes(
-  line: HomeReport & { readonly route?: unknown; tenant?: unknown },
+  line: RegionReport & { readonly route?: unknown; tenant?: unknown },
 ): string[] {
   const { homes, kept = [], keptMore = 0 } = line;
   if (homes === undefined) {
@@ -24,7 +24,7 @@
   return keptMore > 0 ? [...words, `  kept from ${keptMore} more`] : words;
 }
 
-function describeKept({ backend, zone, region, reason, by }: KeptBackend): string {
+function describeKept({ backend, zone, region, reason, by }: ExcludedBackend): string {
   const place = `zone ${zone || 'none'}, region ${region ?? 'unknown'}`;
   const whose = by.length === 0 ? '' : ` of the ${by.join(' and the ')}`;
   return `  kept from ${backend} (${place}): ${REASONS[reason] ?? reason}${whose}`;
--- a/src/cli/queries/explain-logs.ts
+++ b/src/cli/queries/explain-logs.ts
@@ -3,7 +3,7 @@
 import { CommandFailure, print } from '../context.js';
 import type { GlobalOptions } from '../context.js';
 import type { ExhaustedQuota } from '../../gateway/admission/gateway-refusal.js';
-import type { HomeReport } from '../../gateway/homes/home-report.js';
+import type { RegionReport } from '../../gateway/homes/home-report.js';
 import { EXIT } from '../exit-codes.js';
 import { explainCrashes } from './explain-crashes.js';
 import { explainHomes } from './explain-homes.js';
@@ -182,7 +182,7 @@
       `  waited ${line['waitedMs']} ms, first byte after ${line['firstByteMs'] ?? 'none'} ms, ended after ${line['totalMs']} ms, longest pause ${line['longestPauseMs']} ms`,
     );
   }
-  words.push(...explainHomes(line as HomeReport));
+  words.push(...explainHomes(line as RegionReport));
   for (const tried of triesOf(line)) {
     words.push(
       `  after ${Math.round(tried.afterMs)} ms to ${tried.backend}${placeOf(tried)} (${tried.occupied} of ${tried.slots} slots believed taken): ${tried.outcome}, ${tried.detail}`,
--- a/src/gateway/admission/gateway-refusal.ts
+++ b/src/gateway/admission/gateway-refusal.ts
@@ -1,11 +1,11 @@
 /** Refusals: responses that the gateway generates itself. */
 
 import type { RequestFingerprint } from '../crashes/crash-tally.js';
-import type { HomeRefusalReason } from '../homes/home-refusal.js';
+import type { RegionRefusalReason } from '../homes/home-refusal.js';
 
 /** Why the gateway refuses a request. */
 export type GatewayRefusalReason =
-  | HomeRefusalReason
+  | RegionRefusalReason
   | 'no-configuration'
   | 'no-route'
   | 'unknown-key'
--- a/src/gateway/attempt/proxied-request.ts
+++ b/src/gateway/attempt/proxied-request.ts
@@ -12,7 +12,7 @@
 import type { RequestRun } from '../crashes/crashing-requests.js';
 import type { BackendResponseInfo } from '../admission/caller-protocol.js';
 import type { GatewayRefusal } from '../admission/gateway-refusal.js';
-import type { HomeRefusalReason } from '../homes/home-refusal.js';
+import type { RegionRefusalReason } from '../homes/home-refusal.js';
 import { sendRefusal } from '../admission/send-refusal.js';
 import { isBadAttempt, outcomeOfFailure } from './try-verdict.js';
 import { ResponseRelay } from './answer-relay.js';
@@ -207,7 +207,7 @@
     this.wait.begin();
   }
 
-  private failWait(homeReason: HomeRefusalReason | undefined): void {
+  private failWait(homeReason: RegionRefusalReason | undefined): void {
     if (homeReason === undefined && this.wait?.isEvacuated === true) {
       this.replyWithFailure('zone-evacuated');
       return;
--- a/src/gateway/attempt/refusal-pause.ts
+++ b/src/gateway/attempt/refusal-pause.ts
@@ -1,6 +1,6 @@
 /** Computes the Retry-After of a request that was not executed. */
 import type { GatewayRefusal } from '../admission/gateway-refusal.js';
-import { isHomeRefusal } from '../homes/home-refusal.js';
+import { isRegionRefusal } from '../homes/home-refusal.js';
 import type { RequestOptions } from './request-model.js';
 
 /** Inputs of the Retry-After computation. */
@@ -24,7 +24,7 @@
   if (dependsOnQueue && queueRetryAfterMs !== undefined) {
     return queueRetryAfterMs();
   }
-  if (isHomeRefusal(reason)) {
+  if (isRegionRefusal(reason)) {
     // Only operators can resolve this, which takes longer than any Retry-After that callers honor.
     return Math.min(options.overloadRetryMaxMs, remainingMs * options.maxRetryShare);
   }
--- a/src/gateway/attempt/request-wait.ts
+++ b/src/gateway/attempt/request-wait.ts
@@ -5,7 +5,7 @@
  */
 import type { TimerHandle } from '../../clock.js';
 import type { DispatchRequest } from '../dispatch/dispatch-request.js';
-import type { HomeRefusalReason } from '../homes/home-refusal.js';
+import type { RegionRefusalReason } from '../homes/home-refusal.js';
 import type { AcceptedRequest } from './accepted-request.js';
 import type { RequestOptions, RequestPorts } from './request-model.js';
 import { isRepeatable } from '../../routing/configuration.js';
@@ -34,7 +34,7 @@
    * Called after the wait ended without a slot: `reason` if a home region rule prevents it, else no
    * slot in time.
    */
-  onAbandoned(reason?: HomeRefusalReason): void;
+  onAbandoned(reason?: RegionRefusalReason): void;
 }
 
 /** One wait for a slot. */
--- a/src/gateway/dispatch/dispatcher.ts
+++ b/src/gateway/dispatch/dispatcher.ts
@@ -23,8 +23,8 @@
 } from '../../slot-agent/slot-messages.js';
 import type { EngineAvailability } from '../../slot-agent/engine-watch.js';
 import type { AttemptOutcome } from './backend-health.js';
-import { homeRefusalOf } from '../homes/home-refusal.js';
-import type { HomeRefusalReason } from '../homes/home-refusal.js';
+import { regionRefusalOf } from '../homes/home-refusal.js';
+import type { RegionRefusalReason } from '../homes/home-refusal.js';
 import type { DispatchRequest } from './dispatch-request.js';
 import type { KnownBackend, SlotAgentLink } from './known-backend.js';
 import { hasWaitedForLocalRegion } from './near-first.js';
@@ -96,8 +96,8 @@
   }
 
   /** Returns why the request is refused because of its homes; undefined where it is not. */
-  homeRefusal(request: PlacementConstraints, nowMs: number): HomeRefusalReason | undefined {
-    return homeRefusalOf(request.allowedRegions, () => this.picker.hasCandidates(request, nowMs));
+  homeRefusal(request: PlacementConstraints, nowMs: number): RegionRefusalReason | undefined {
+    return regionRefusalOf(request.allowedRegions, () => this.picker.hasCandidates(request, nowMs));
   }
 
   /** Returns why operators exclude a backend for the request; undefined where they do not. */
--- a/src/gateway/gateway-cluster.ts
+++ b/src/gateway/gateway-cluster.ts
@@ -39,7 +39,7 @@
 const STALE_VIEW_MS = 2_500;
 
 /** Dependencies of `GatewayCluster`. */
-export interface GatewayClusterParts {
+export interface GatewayClusterDependencies {
   readonly settings: GatewaySettings;
   /** Unique for each start of the process. */
   readonly incarnation: string;
@@ -72,7 +72,7 @@
   private wasKnowledgeOld = true;
   private readonly epochs: StoreEpochs;
 
-  constructor(private readonly dependencies: GatewayClusterParts) {
+  constructor(private readonly dependencies: GatewayClusterDependencies) {
     const { incarnation, clock, compareByOwner } = dependencies;
     this.records = new ReplicatedRecords(compareByOwner);
     this.epochs = new StoreEpochs(this.records, clock);
--- a/src/gateway/gateway-evacuations.ts
+++ b/src/gateway/gateway-evacuations.ts
@@ -34,7 +34,7 @@
   constructor(private readonly dependencies: GatewayEvacuationsDependencies) {}
 
   /** Applies an evacuation order or its removal before it returns. */
-  take(change: EvacuationChange): void {
+  apply(change: EvacuationChange): void {
     const { dispatcher, clock } = this.dependencies;
     const nowMs = clock.now();
     const previous = this.zones.find(change.zone);
--- a/src/gateway/gateway-quotas.ts
+++ b/src/gateway/gateway-quotas.ts
@@ -44,7 +44,7 @@
   /** Sends a message to the gateway at `address`; returns false if there is no connection to it. */
   sendToPeer(address: string, message: PeerMessage): boolean;
   /** Called with the addresses of other gateways. */
-  learnPeers(addresses: readonly string[]): void;
+  addPeers(addresses: readonly string[]): void;
   /** Age of the view of the store, in milliseconds; undefined before the first confirmation. */
   storeAgeMs(): number | undefined;
   /** Names of all tenants in the active configuration. */
@@ -159,12 +159,12 @@
   }
 
   /** Applies the member record of the store. */
-  takeRecord(record: QuotaMembersRecord): void {
+  applyRecord(record: QuotaMembersRecord): void {
     if (!this.rights.take(record, this.dependencies.clock.now())) {
       return;
     }
     const { members, settled, epoch, revision, sequence, credits, isLost } = this.rights.record;
-    this.dependencies.learnPeers((members ?? []).map(({ address }) => address));
+    this.dependencies.addPeers((members ?? []).map(({ address }) => address));
     this.refreshContact();
     this.dependencies.log.write('quota-members', 'state', {
       members: members?.length,
@@ -178,7 +178,10 @@
   }
 
   /** Processes a peer's heartbeat, which names the member record that the peer has applied. */
-  hearBeat({ name, address, zone = '' }: PeerHello, { quotaPosition, ageMs }: PeerBeat): void {
+  receiveHeartbeat(
+    { name, address, zone = '' }: PeerHello,
+    { quotaPosition, ageMs }: PeerBeat,
+  ): void {
     const region = this.dependencies.places.regionOf(zone) ?? '';
     const heardAtMs = this.dependencies.clock.now();
     const startedAtMs = heardAtMs - ageMs;
@@ -187,7 +190,7 @@
   }
 
   /** Answers a peer's request for a grant from a pool of this gateway. */
-  answer({ incarnation }: PeerHello, ask: PeerQuotaAsk): PeerQuotaAnswer {
+  answerPeer({ incarnation }: PeerHello, ask: PeerQuotaAsk): PeerQuotaAnswer {
     const nowMs = this.dependencies.clock.now();
     const grant = this.pools.ask(ask.tenant, ask, grantName(incarnation, ask.id), nowMs);
     return { kind: 'quota-answer', id: ask.id, grant };
@@ -290,7 +293,7 @@
       reason: failure?.message,
     });
     if (failure === undefined) {
-      this.takeRecord(record);
+      this.applyRecord(record);
     }
   }
 
--- a/src/gateway/gateway-requests.ts
+++ b/src/gateway/gateway-requests.ts
@@ -26,8 +26,8 @@
 import type { CrashingRequests } from './crashes/crashing-requests.js';
 import type { GatewayCluster } from './gateway-cluster.js';
 import { reportRegions, reportExcluded } from './homes/home-report.js';
-import type { HomeReport } from './homes/home-report.js';
-import { followHomes, RequestHomes } from './homes/request-homes.js';
+import type { RegionReport } from './homes/home-report.js';
+import { withActiveRegions, RequestRegions } from './homes/request-homes.js';
 import type { GatewaySettings } from './gateway-settings.js';
 import type { GatewayMetrics } from './metrics/gateway-metrics.js';
 
@@ -71,7 +71,7 @@
 
 /** A request that waits for a backend or runs. */
 interface ActiveRequest {
-  readonly regions: RequestHomes;
+  readonly regions: RequestRegions;
   readonly proxied: ProxiedRequest;
   /** Returns the initial charge to the tenant's quota. */
   refund(): void;
@@ -278,8 +278,8 @@
   private begin(accepted: AcceptedRequest, reply: CallerReply, refund: () => void): ProxiedRequest {
     const { tenant, route } = accepted;
     const owner = { route: route.name, tenant };
-    const regions = new RequestHomes(owner, () => this.dependencies.configuration.namedRegions);
-    const request = followHomes(accepted, regions);
+    const regions = new RequestRegions(owner, () => this.dependencies.configuration.namedRegions);
+    const request = withActiveRegions(accepted, regions);
     this.retryBudget.countRequest(request.service, this.dependencies.clock.now());
     const proxied = new ProxiedRequest(request, reply, this.ports, DEFAULT_REQUEST_OPTIONS);
     this.active.set(request, { regions, proxied, refund });
@@ -348,9 +348,9 @@
 
   private regionReportOf(
     request: AcceptedRequest,
-    regions: RequestHomes,
+    regions: RequestRegions,
     includesExcluded: boolean,
-  ): HomeReport {
+  ): RegionReport {
     const { directory, dispatcher } = this.dependencies;
     if (!includesExcluded) {
       return reportRegions(regions);
--- a/src/gateway/gateway-role.ts
+++ b/src/gateway/gateway-role.ts
@@ -30,7 +30,7 @@
 import { GatewayPaths } from './gateway-paths.js';
 import { GatewayRequests } from './gateway-requests.js';
 import { GatewayRollouts } from './gateway-rollouts.js';
-import { GatewayStatements } from './gateway-statements.js';
+import { GatewayConditions } from './gateway-statements.js';
 import { countBackends, listConditions } from './metrics/gateway-snapshot.js';
 import type { GatewaySnapshot } from './metrics/gateway-snapshot.js';
 import { PEER_TICK_MS } from './links/beat-times.js';
@@ -41,7 +41,7 @@
   DEFAULT_BACKEND_SENDER_OPTIONS,
   HttpBackendSender,
 } from './attempt/http-backend-sender.js';
-import { inOrderOfEffect } from './news-order.js';
+import { sortByApplyOrder } from './news-order.js';
 import { GracefulShutdown } from './planned-stop.js';
 import { ReadinessListener } from './readiness-listener.js';
 import { DEFAULT_SLOT_AGENT_LINK_OPTIONS, SlotAgentLinks } from './links/slot-agent-links.js';
@@ -83,7 +83,7 @@
   private readonly paths: GatewayPaths;
   private readonly rollouts: GatewayRollouts;
   private readonly crashes: GatewayCrashes;
-  private readonly statements: GatewayStatements;
+  private readonly statements: GatewayConditions;
   private readonly sender = new HttpBackendSender(DEFAULT_BACKEND_SENDER_OPTIONS, (reason) =>
     this.dependencies.metrics.record(({ connections }) => connections.inc({ reason })),
   );
@@ -104,11 +104,11 @@
     const { name } = settings.process;
     const incarnation = `${name}.${Math.floor(random.next() * 2 ** 32).toString(36)}`;
     this.configuration = new ActiveConfiguration(clock);
-    this.statements = new GatewayStatements({
+    this.statements = new GatewayConditions({
       ...dependencies,
       holders: () => this.quotas,
       countGateways: () => this.cluster.size,
-      tellPeers: (conditions) => this.cluster.broadcastConditions(conditions),
+      broadcastToPeers: (conditions) => this.cluster.broadcastConditions(conditions),
       onChange: (backendId) => this.applyCondition(backendId),
       isKnown: (backendId) => this.directory.find(backendId) !== undefined,
     });
@@ -202,7 +202,7 @@
       places: this.places,
       quotaOf: (tenant) => this.configuration.table?.findTenantByName(tenant)?.quota,
       sendToPeer: (address, message) => this.cluster.sendTo(address, message),
-      learnPeers: (addresses) => this.cluster.addPeers(addresses),
+      addPeers: (addresses) => this.cluster.addPeers(addresses),
       storeAgeMs: () => this.cluster.storeAgeMs,
       tenants: () => this.configuration.table?.configuration.tenants.map(({ name }) => name) ?? [],
       timeOfDayMs: () => Date.now(),
@@ -258,7 +258,7 @@
       crashes: this.crashes.requests,
       cluster: this.cluster,
       isRefusing: () => this.shutdown.isRefusing,
-      onStatement: (head) => this.statements.hear(head),
+      onStatement: (head) => this.statements.receiveResponseHead(head),
       onTryOver: ({ backend, route, isBad }) =>
         this.rollouts.rollouts.noteEnded(backend, route.name, isBad),
       onEnd: () => this.shutdown.onRequestEnded(),
@@ -358,7 +358,7 @@
     const decoded = records
       .map((record) => ({ record, decoded: adapter.decode(record) }))
       .filter(({ record, decoded: { kind } }) => record.isUnchanged !== true || isOwnRecord(kind));
-    for (const update of inOrderOfEffect(decoded)) {
+    for (const update of sortByApplyOrder(decoded)) {
       this.applyRecord(update.record, update.decoded, source);
     }
     if (this.configuration.table !== undefined) {
@@ -374,7 +374,7 @@
     } else if (decoded.kind === 'backend') {
       this.backends.applyRecord(decoded, record);
     } else if (decoded.kind === 'evacuation') {
-      this.evacuations.take(decoded.change);
+      this.evacuations.apply(decoded.change);
     } else if (decoded.kind === 'rollout-order') {
       this.rollouts.applyOrder(decoded.order);
     } else if (decoded.kind === 'rollout-removed') {
@@ -384,7 +384,7 @@
     } else if (decoded.kind === 'rollout-status') {
       this.rollouts.applyStatus(decoded.status);
     } else if (decoded.kind === 'quota-members') {
-      this.quotas.takeRecord(decoded.record);
+      this.quotas.applyRecord(decoded.record);
     } else if (decoded.kind === 'crash-record') {
       this.crashes.applyRecord(decoded.record);
     } else if (decoded.kind === 'invalid') {
--- a/src/gateway/gateway-statements.ts
+++ b/src/gateway/gateway-statements.ts
@@ -37,7 +37,7 @@
   /** Number of known gateways, including this one. */
   countGateways(): number;
   /** Sends conditions to every other gateway. */
-  tellPeers(conditions: readonly ToldCondition[]): void;
+  broadcastToPeers(conditions: readonly ToldCondition[]): void;
   /** Called when a backend's condition, or a send permit for it, changes what may be sent there. */
   onChange(backendId: string): void;
   /** Whether the backend is still in the directory. */
@@ -56,7 +56,7 @@
  * Tracks backend-reported conditions (rate limit, rest, leaving) and enforces the rate limits by
  * send permits.
  */
-export class GatewayStatements {
+export class GatewayConditions {
   readonly conditions: BackendConditions;
   readonly rights: SendRights;
   private readonly pools: SendRightPools;
@@ -108,7 +108,7 @@
   }
 
   /** Processes the head of a response. */
-  hear({ backend, requestId, ...head }: ResponseStatement): void {
+  receiveResponseHead({ backend, requestId, ...head }: ResponseStatement): void {
     const { metrics, log, clock } = this.dependencies;
     for (const field of head.statement.unreadable) {
       metrics.record(({ statementsUnreadable }) => statementsUnreadable.inc({ field }));
@@ -132,7 +132,7 @@
   }
 
   /** Answers a peer's request for a send permit from a pool of this gateway. */
-  answer(
+  answerPeer(
     { incarnation }: PeerHello,
     { id, backendId, place, condition }: PeerSendRightAsk,
     reply: (answer: PeerSendRightAnswer) => void,
@@ -206,7 +206,7 @@
     );
     this.broadcastTimer = undefined;
     this.changedBackends.clear();
-    this.dependencies.tellPeers(conditions);
+    this.dependencies.broadcastToPeers(conditions);
   }
 
   private logChange(backendId: string, condition: BackendCondition, source: ConditionSource): void {
--- a/src/gateway/homes/home-report.ts
+++ b/src/gateway/homes/home-report.ts
@@ -4,13 +4,13 @@
  */
 import type { RestrictionReason } from '../../routing/backend-restriction.js';
 import type { KnownBackend } from '../dispatch/known-backend.js';
-import type { RequestHomes } from './request-homes.js';
+import type { RequestRegions } from './request-homes.js';
 
 /** The configuration entry that restricts the regions of a request. */
 export type RegionSource = 'route' | 'tenant';
 
 /** A backend that was excluded for the request. */
-export interface KeptBackend {
+export interface ExcludedBackend {
   readonly backend: string;
   readonly zone: string;
   /** Region of the zone; undefined if the settings do not name the zone. */
@@ -21,11 +21,11 @@
 }
 
 /** Log fields of a request about its allowed regions. */
-export interface HomeReport {
+export interface RegionReport {
   /** Allowed regions of its route and its tenant; an entry without a restriction is omitted. */
   readonly homes?: Partial<Record<RegionSource, readonly string[]>>;
   /** Up to `MAX_EXCLUDED` excluded backends, those in allowed regions first. */
-  readonly kept?: readonly KeptBackend[];
+  readonly kept?: readonly ExcludedBackend[];
   /** Number of excluded backends beyond that. */
   readonly keptMore?: number;
 }
@@ -46,7 +46,7 @@
 const MAX_EXCLUDED = 8;
 
 /** Reports the allowed regions of a request; empty if it is not restricted. */
-export function reportRegions({ routeRegions, tenantRegions }: RequestHomes): HomeReport {
+export function reportRegions({ routeRegions, tenantRegions }: RequestRegions): RegionReport {
   if (routeRegions === undefined && tenantRegions === undefined) {
     return {};
   }
@@ -61,7 +61,7 @@
 /**
  * Reports the allowed regions and the excluded backends; empty if the request is not restricted.
  */
-export function reportExcluded(request: RequestHomes, ports: RegionReportPorts): HomeReport {
+export function reportExcluded(request: RequestRegions, ports: RegionReportPorts): RegionReport {
   if (request.allowed === undefined) {
     return {};
   }
@@ -79,9 +79,9 @@
 
 function excludedBackend(
   known: KnownBackend,
-  request: RequestHomes,
+  request: RequestRegions,
   ports: RegionReportPorts,
-): KeptBackend | undefined {
+): ExcludedBackend | undefined {
   const { id, zone } = known.backend;
   const reason = ports.restriction(known) ?? (known.isReady ? undefined : 'not-ready');
   if (reason === undefined) {
@@ -92,7 +92,7 @@
   return { backend: id, zone, region, reason, by };
 }
 
-function sourcesExcluding(region: string | undefined, request: RequestHomes): RegionSource[] {
+function sourcesExcluding(region: string | undefined, request: RequestRegions): RegionSource[] {
   const lists = { route: request.routeRegions, tenant: request.tenantRegions };
   return (['route', 'tenant'] as const).filter((source) => {
     const regions = lists[source];
--- a/src/gateway/homes/request-homes.ts
+++ b/src/gateway/homes/request-homes.ts
@@ -25,7 +25,7 @@
 const ANYWHERE: TrackedRegions = { current: undefined, narrowest: undefined };
 
 /** The allowed regions of one request. */
-export class RequestHomes {
+export class RequestRegions {
   private ofRoute = ANYWHERE;
   private ofTenant = ANYWHERE;
   private intersection: AllowedRegions;
@@ -76,7 +76,10 @@
 }
 
 /** Returns the request with allowed regions that follow the active configuration. */
-export function followHomes(request: AcceptedRequest, regions: RequestHomes): AcceptedRequest {
+export function withActiveRegions(
+  request: AcceptedRequest,
+  regions: RequestRegions,
+): AcceptedRequest {
   return {
     ...request,
     get allowedRegions() {
--- a/src/gateway/links/gateway-peers.ts
+++ b/src/gateway/links/gateway-peers.ts
@@ -15,7 +15,7 @@
 import type { Rollouts } from '../../rollout/rollouts.js';
 import type { PeerView } from '../dispatch/cold-share.js';
 import type { GatewayQuotas } from '../gateway-quotas.js';
-import type { GatewayStatements } from '../gateway-statements.js';
+import type { GatewayConditions } from '../gateway-statements.js';
 import type { ToldCondition } from '../statements/backend-condition.js';
 import type { RequestCrashes } from '../crashes/crash-tally.js';
 import { heartbeatTicks, IDLE_HEARTBEAT_TICKS, maxHeartbeatIntervalMs } from './beat-times.js';
@@ -33,8 +33,8 @@
  * limit.
  */
 export type PeerStatements = Pick<
-  GatewayStatements,
-  'tell' | 'hearPeer' | 'answer' | 'receiveAnswer' | 'takeBack'
+  GatewayConditions,
+  'tell' | 'hearPeer' | 'answerPeer' | 'receiveAnswer' | 'takeBack'
 >;
 
 /** Configuration and dependencies of `GatewayPeers`. */
@@ -283,12 +283,12 @@
     } else if (message.kind === 'conditions') {
       statements.hearPeer(message.conditions);
     } else if (message.kind === 'send-right-ask') {
-      statements.answer(hello, message, reply);
+      statements.answerPeer(hello, message, reply);
     } else if (message.kind === 'send-right-return') {
       statements.takeBack(hello, message);
     } else if (message.kind === 'beat') {
       const peer = hello.incarnation;
-      quotas.hearBeat(hello, message);
+      quotas.receiveHeartbeat(hello, message);
       readers.hear(peer, message.isReading, clock.now(), message.region);
       this.parts.rollouts.hear(peer, message.rollouts ?? {});
       exchange.hearReach(peer, message.reach, reply);
@@ -296,7 +296,7 @@
         this.parts.onKnowledge(message.reach, message.knowledgeAgeMs);
       }
     } else if (message.kind === 'quota-ask') {
-      reply(quotas.answer(hello, message));
+      reply(quotas.answerPeer(hello, message));
     } else if (message.kind === 'quota-return') {
       quotas.takeBack(hello, message);
     } else if (message.kind === 'reach') {
--- a/src/gateway/news-order.ts
+++ b/src/gateway/news-order.ts
@@ -2,7 +2,7 @@
 import type { DecodedRecord } from '../routing/decoded-record.js';
 
 /** The part of an update that determines its order. */
-export interface DecodedNews {
+export interface DecodedUpdate {
   readonly decoded: Pick<DecodedRecord, 'kind'>;
 }
 
@@ -11,11 +11,13 @@
  * backend starts to serve waiting requests as soon as it is applied, so the orders and allowed
  * regions that arrived with it must apply before.
  */
-export function inOrderOfEffect<Update extends DecodedNews>(updates: readonly Update[]): Update[] {
+export function sortByApplyOrder<Update extends DecodedUpdate>(
+  updates: readonly Update[],
+): Update[] {
   return [...updates].sort((left, right) => rankOf(left) - rankOf(right));
 }
 
-function rankOf({ decoded: { kind } }: DecodedNews): number {
+function rankOf({ decoded: { kind } }: DecodedUpdate): number {
   if (kind === 'evacuation') {
     return 0;
   }
--- a/test/homes.test.ts
+++ b/test/homes.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import * as fc from 'fast-check';
 import { reportRegions, reportExcluded } from '../src/gateway/homes/home-report.js';
-import { RequestHomes } from '../src/gateway/homes/request-homes.js';
+import { RequestRegions } from '../src/gateway/homes/request-homes.js';
 import { RequestAdmission } from '../src/gateway/admission/request-admission.js';
 import { addHomeEngines } from '../src/gateway/dispatch/home-engines.js';
 import { SeededRandom } from '../src/random.js';
@@ -57,7 +57,7 @@
 
 test('a request follows the active configuration; a removed route or tenant keeps its narrowest regions', (t) => {
   let homes = regionsOf({ r: ['a', 'b'] }, { t: ['a', 'b', 'c'] });
-  const request = new RequestHomes({ route: 'r', tenant: 't' }, () => homes);
+  const request = new RequestRegions({ route: 'r', tenant: 't' }, () => homes);
   t.deepEqual(request.allowed, new Set(['a', 'b']));
   homes = regionsOf({ r: ['a', 'b'] }, { t: ['b'] });
   t.deepEqual(request.allowed, new Set(['b']));
@@ -69,7 +69,7 @@
 
 test('an unrestricted request stays unrestricted when its route is removed', (t) => {
   let homes = regionsOf({ r: null });
-  const request = new RequestHomes({ route: 'r', tenant: undefined }, () => homes);
+  const request = new RequestRegions({ route: 'r', tenant: undefined }, () => homes);
   homes = regionsOf({ other: ['a'] });
   t.is(request.allowed, undefined);
 });
@@ -375,7 +375,7 @@
     const id = `w${index}`;
     world.dispatcher.updateBackend(id, backendOf(id, { zone: index === 0 ? 'x' : 'b1' }), 0);
   }
-  const request = new RequestHomes({ route: 'r', tenant: 't' }, () => homes);
+  const request = new RequestRegions({ route: 'r', tenant: 't' }, () => homes);
   const report = reportExcluded(request, {
     backends: world.directory.ofService('s'),
     regionOf: (zone) => REGIONS.get(zone),
@@ -396,5 +396,8 @@
   ]);
   t.is(report.kept?.length, 8);
   t.is(report.keptMore, 13);
-  t.deepEqual(reportRegions(new RequestHomes({ route: 'q', tenant: undefined }, () => homes)), {});
+  t.deepEqual(
+    reportRegions(new RequestRegions({ route: 'q', tenant: undefined }, () => homes)),
+    {},
+  );
 });
--- a/test/support/gateway.ts
+++ b/test/support/gateway.ts
@@ -14,7 +14,7 @@
 import { Dispatcher } from '../../src/gateway/dispatch/dispatcher.js';
 import type { DispatcherPorts } from '../../src/gateway/dispatch/dispatcher.js';
 import type { HomeRegions } from '../../src/gateway/dispatch/home-engines.js';
-import { followHomes, RequestHomes } from '../../src/gateway/homes/request-homes.js';
+import { withActiveRegions, RequestRegions } from '../../src/gateway/homes/request-homes.js';
 import { ProxiedRequest } from '../../src/gateway/attempt/proxied-request.js';
 import { DEFAULT_REQUEST_OPTIONS } from '../../src/gateway/attempt/request-model.js';
 import type { AcceptedRequest } from '../../src/gateway/attempt/accepted-request.js';
@@ -377,7 +377,7 @@
     const followed =
       this.homes === undefined
         ? accepted
-        : followHomes(accepted, new RequestHomes(owner, () => this.homes));
+        : withActiveRegions(accepted, new RequestRegions(owner, () => this.homes));
     const request = new ProxiedRequest(followed, reply, this.requestPorts, DEFAULT_REQUEST_OPTIONS);
     this.proxiedRequests.push(request);
     request.begin();
--- a/test/support/limited-backend.ts
+++ b/test/support/limited-backend.ts
@@ -150,7 +150,7 @@
         this.informedAtMs.set(process, nowMs);
       }
     }
-    process.statements.hear({
+    process.statements.receiveResponseHead({
       backend: { id: BACKEND_ID } as Backend,
       requestId: '',
       statement: { limitPerS, isLeaving: false, unreadable: [] },
--- a/test/support/quota-fleet.ts
+++ b/test/support/quota-fleet.ts
@@ -7,7 +7,7 @@
 import { NO_REACH } from '../../src/cluster/replicated-records.js';
 import { StoreConflictError, StoreUnavailableError } from '../../src/cluster/cluster-store.js';
 import { GatewayQuotas } from '../../src/gateway/gateway-quotas.js';
-import { GatewayStatements } from '../../src/gateway/gateway-statements.js';
+import { GatewayConditions } from '../../src/gateway/gateway-statements.js';
 import type { GatewayMetrics } from '../../src/gateway/metrics/gateway-metrics.js';
 import type { GatewaySettings } from '../../src/gateway/gateway-settings.js';
 import type { QuotaMembersRecord } from '../../src/gateway/quotas/quota-members.js';
@@ -84,7 +84,7 @@
   isAlive = true;
   pausedUntilMs = 0;
   readonly quotas: GatewayQuotas;
-  readonly statements: GatewayStatements;
+  readonly statements: GatewayConditions;
   readonly hello: PeerHello;
 
   constructor(
@@ -113,12 +113,12 @@
       log: { write: () => undefined } as unknown as DecisionLog,
       quotaOf: (tenant) => fleet.quotas.get(tenant),
       sendToPeer: (address, message) => this.send(address, message),
-      learnPeers: () => undefined,
+      addPeers: () => undefined,
       storeAgeMs: () => this.storeAgeMs,
       tenants: () => [...fleet.quotas.keys()],
       timeOfDayMs: () => fleet.readTimeOfDayMs(),
     });
-    this.statements = new GatewayStatements({
+    this.statements = new GatewayConditions({
       settings: settingsOf(name, zone),
       clock: this.clock(),
       random: fleet.random,
@@ -126,7 +126,7 @@
       metrics: { record: () => undefined } as unknown as GatewayMetrics,
       holders: () => this.quotas,
       countGateways: () => fleet.gateways.length,
-      tellPeers: (conditions) => this.broadcast({ kind: 'conditions', conditions }),
+      broadcastToPeers: (conditions) => this.broadcast({ kind: 'conditions', conditions }),
       onChange: () => fleet.onCondition?.(this),
       isKnown: () => true,
     });
@@ -176,7 +176,7 @@
 
   private deliverTo(peer: FleetProcess, message: PeerMessage): void {
     if (message.kind === 'quota-ask') {
-      const answer = peer.quotas.answer(this.hello, message);
+      const answer = peer.quotas.answerPeer(this.hello, message);
       this.fleet.deliver(peer, this.gateway, (requester) => {
         if (requester === this) {
           requester.quotas.receiveAnswer(answer);
@@ -189,7 +189,7 @@
     } else if (message.kind === 'send-right-return') {
       peer.statements.takeBack(this.hello, message);
     } else if (message.kind === 'send-right-ask') {
-      peer.statements.answer(this.hello, message, (answer) =>
+      peer.statements.answerPeer(this.hello, message, (answer) =>
         this.fleet.deliver(peer, this.gateway, (requester) => {
           if (requester === this) {
             requester.statements.receiveAnswer(answer);
@@ -477,7 +477,7 @@
       if (this.isStoreUp && !gateway.isCut) {
         gateway.storeContactAtMs = this.clock.now();
         process.act(
-          () => this.recordHistory.length > 0 && process.quotas.takeRecord(this.visibleRecord),
+          () => this.recordHistory.length > 0 && process.quotas.applyRecord(this.visibleRecord),
         );
       }
       process.act(() => process.quotas.tick());
@@ -494,7 +494,9 @@
     for (const other of this.gateways) {
       if (other !== process.gateway) {
         const heartbeat = { ...base, quotaPosition, ageMs };
-        this.deliver(process, other, (peer) => peer.quotas.hearBeat(process.hello, heartbeat));
+        this.deliver(process, other, (peer) =>
+          peer.quotas.receiveHeartbeat(process.hello, heartbeat),
+        );
       }
     }
   }
--- a/test/support/store-fleet.ts
+++ b/test/support/store-fleet.ts
@@ -8,7 +8,7 @@
 import { NO_EPOCH, NO_POSITION } from '../../src/cluster/store-position.js';
 import type { Clock } from '../../src/clock.js';
 import { GatewayCluster } from '../../src/gateway/gateway-cluster.js';
-import type { GatewayClusterParts } from '../../src/gateway/gateway-cluster.js';
+import type { GatewayClusterDependencies } from '../../src/gateway/gateway-cluster.js';
 import { PEER_TICK_MS } from '../../src/gateway/links/beat-times.js';
 import { SeededRandom } from '../../src/random.js';
 import type { RandomSource } from '../../src/random.js';
@@ -490,7 +490,11 @@
   }
 
   /** Dependencies of a gateway process. */
-  dependenciesOf(machine: FleetMachine, host: NetworkHost, start: number): GatewayClusterParts {
+  dependenciesOf(
+    machine: FleetMachine,
+    host: NetworkHost,
+    start: number,
+  ): GatewayClusterDependencies {
     const { address } = machine;
     const peers = `${address}:${PEERS_PORT}`;
     const parts = {
@@ -502,7 +506,7 @@
       },
       incarnation: `${address}.${start}`,
       store: this.store.clientFor(host, STORE_TIMEOUT_MS),
-      quotas: { ageMs: 0, position: NO_POSITION, hearBeat: () => undefined },
+      quotas: { ageMs: 0, position: NO_POSITION, receiveHeartbeat: () => undefined },
       rollouts: { tell: () => undefined, hear: () => undefined },
       crashes: { tell: () => [], hear: () => [] },
       statements: { tell: () => [], hearPeer: () => undefined },
@@ -517,7 +521,7 @@
       compareByOwner,
       onRecords: (records: readonly StoreRecord[]) => machine.applyRecords(records),
     };
-    return parts as unknown as GatewayClusterParts;
+    return parts as unknown as GatewayClusterDependencies;
   }
 
   private clockFor(host: NetworkHost): Clock {
--- a/test/zone-evacuation.test.ts
+++ b/test/zone-evacuation.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import test from 'ava';
-import { inOrderOfEffect } from '../src/gateway/news-order.js';
-import type { DecodedNews } from '../src/gateway/news-order.js';
+import { sortByApplyOrder } from '../src/gateway/news-order.js';
+import type { DecodedUpdate } from '../src/gateway/news-order.js';
 import { BackendDirectory } from '../src/gateway/dispatch/backend-directory.js';
 import { SlotSupply } from '../src/gateway/dispatch/slot-supply.js';
 import { GatewayEvacuations } from '../src/gateway/gateway-evacuations.js';
@@ -116,10 +116,10 @@
   ];
   const numbered = kinds.map((kind, index) => ({
     index,
-    decoded: { kind } as DecodedNews['decoded'],
+    decoded: { kind } as DecodedUpdate['decoded'],
   }));
   t.deepEqual(
-    inOrderOfEffect(numbered).map(({ index }) => index),
+    sortByApplyOrder(numbered).map(({ index }) => index),
     [2, 5, 1, 3, 0, 4],
   );
 });
@@ -383,9 +383,9 @@
   const world = new GatewayHarness(backendOf('a', { zone: 'za' }));
   const { evacuations, lines } = evacuationsOf(world);
   world.request();
-  evacuations.take({ zone: 'za', isOrdered: true, ...at(5) });
-  evacuations.take({ zone: 'za', isOrdered: true, ...at(5) });
-  evacuations.take({ zone: 'za', isOrdered: false, ...at(4) });
+  evacuations.apply({ zone: 'za', isOrdered: true, ...at(5) });
+  evacuations.apply({ zone: 'za', isOrdered: true, ...at(5) });
+  evacuations.apply({ zone: 'za', isOrdered: false, ...at(4) });
   t.is(lines.length, 1);
   t.like(lines[0], {
     event: 'zone-evacuation',
@@ -412,7 +412,7 @@
       isKnownZone: true,
     },
   ]);
-  evacuations.take({ zone: 'za', isOrdered: false, ...at(6) });
+  evacuations.apply({ zone: 'za', isOrdered: false, ...at(6) });
   t.like(lines[2], { event: 'zone-evacuation', isOrdered: false, revision: 6, stoodForMs: 30 });
   world.request();
   t.is(world.attempts.length, 2);
@@ -421,9 +421,9 @@
 test('an order renewed after a removal stays in force if the removal arrives last', (t) => {
   const world = new GatewayHarness(backendOf('a', { zone: 'za' }));
   const { evacuations } = evacuationsOf(world);
-  evacuations.take({ zone: 'za', isOrdered: true, ...at(5) });
-  evacuations.take({ zone: 'za', isOrdered: true, ...at(7) });
-  evacuations.take({ zone: 'za', isOrdered: false, ...at(6) });
+  evacuations.apply({ zone: 'za', isOrdered: true, ...at(5) });
+  evacuations.apply({ zone: 'za', isOrdered: true, ...at(7) });
+  evacuations.apply({ zone: 'za', isOrdered: false, ...at(6) });
   world.request();
   t.is(world.attempts.length, 0);
 });
@@ -431,9 +431,9 @@
 test('an order for an unknown zone is logged once as such and has no effect', (t) => {
   const world = new GatewayHarness(backendOf('a', { zone: 'za' }));
   const { evacuations, lines } = evacuationsOf(world);
-  evacuations.take({ zone: 'nowhere', isOrdered: true, ...at(5) });
+  evacuations.apply({ zone: 'nowhere', isOrdered: true, ...at(5) });
   evacuations.tick();
-  evacuations.take({ zone: 'nowhere', isOrdered: true, ...at(5) });
+  evacuations.apply({ zone: 'nowhere', isOrdered: true, ...at(5) });
   t.deepEqual(
     lines.map(({ event, isKnownZone }) => [event, isKnownZone]),
     [
@@ -448,7 +448,7 @@
 test('a zone counts as known if its order is listed before its back ends', (t) => {
   const world = new GatewayHarness();
   const { evacuations, lines } = evacuationsOf(world);
-  evacuations.take({ zone: 'zb', isOrdered: true, ...at(5) });
+  evacuations.apply({ zone: 'zb', isOrdered: true, ...at(5) });
   world.dispatcher.updateBackend('b', backendOf('b', { zone: 'zb' }), 0);
   evacuations.tick();
   t.like(lines[1], { event: 'zone-cleared', isKnownZone: true });
