--- a/src/cluster/peer-messages.ts
+++ b/src/cluster/peer-messages.ts
@@ -2,8 +2,8 @@
 import type { RequestCrashes } from '../gateway/crashes/crash-tally.js';
 import type { ToldCondition } from '../gateway/statements/backend-condition.js';
 import type { SendRightAsk } from '../gateway/statements/send-rights.js';
-import type { QuotaAsk } from '../gateway/quotas/quota-charges.js';
-import type { QuotaGrant } from '../gateway/quotas/quota-pools.js';
+import type { QuotaRequest } from '../gateway/quotas/quota-charges.js';
+import type { QuotaDecision } from '../gateway/quotas/quota-pools.js';
 import type { PeerRolloutReports } from '../rollout/rollouts.js';
 import type { ReplicaReach } from './replicated-records.js';
 import type { StorePosition } from './store-position.js';
@@ -93,7 +93,7 @@
 }
 
 /** Requests that the holder of a tenant's quota pool charge a request to the pool. */
-export interface PeerQuotaAsk extends QuotaAsk {
+export interface PeerQuotaAsk extends QuotaRequest {
   readonly kind: 'quota-ask';
 }
 
@@ -101,7 +101,7 @@
 export interface PeerQuotaAnswer {
   readonly kind: 'quota-answer';
   readonly id: number;
-  readonly grant: QuotaGrant;
+  readonly grant: QuotaDecision;
 }
 
 /** Returns an unused quota charge, or withdraws a request that may still be granted. */
--- a/src/gateway/gateway-cluster.ts
+++ b/src/gateway/gateway-cluster.ts
@@ -25,7 +25,7 @@
 import type { ToldCondition } from './statements/backend-condition.js';
 import type { RequestCrashes } from './crashes/crash-tally.js';
 import { GatewayPeers } from './links/gateway-peers.js';
-import type { PeerCrashTallies, PeerStatements } from './links/gateway-peers.js';
+import type { CrashReportExchange, ConditionExchange } from './links/gateway-peers.js';
 import type { GatewayMetrics } from './metrics/gateway-metrics.js';
 
 /** Replication lag behind peers above which a gateway reads the store itself, in milliseconds. */
@@ -46,8 +46,8 @@
   readonly store: ClusterStore;
   readonly quotas: GatewayQuotas;
   readonly rollouts: Rollouts;
-  readonly crashes: PeerCrashTallies;
-  readonly statements: PeerStatements;
+  readonly crashes: CrashReportExchange;
+  readonly statements: ConditionExchange;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly log: DecisionLog;
@@ -106,7 +106,7 @@
 
   /** Longest interval between two heartbeats of a healthy peer, in milliseconds. */
   get heartbeatMs(): number {
-    return this.peers.beatMs;
+    return this.peers.maxHeartbeatIntervalMs;
   }
 
   /**
@@ -161,12 +161,12 @@
 
   /** Sends new tallies of requests that crash backends to all peers immediately. */
   broadcastCrashes(requests: readonly RequestCrashes[]): void {
-    this.peers.tellCrashes(requests);
+    this.peers.broadcastCrashes(requests);
   }
 
   /** Sends conditions that backends reported to all peers. */
   broadcastConditions(conditions: readonly ToldCondition[]): void {
-    this.peers.tellConditions(conditions);
+    this.peers.broadcastConditions(conditions);
   }
 
   /** Stops following the store and closes the connections to peers. */
@@ -194,11 +194,11 @@
       statements,
       isReading: () => this.follower.isFollowing,
       knowledgeAgeMs: () => this.storeAgeMs,
-      onKnowledge: (reach, ageMs) => this.applyPeerViewAge(reach, ageMs),
+      onReplicaAge: (reach, ageMs) => this.applyPeerViewAge(reach, ageMs),
       clock,
       random,
       network: this.dependencies.network,
-      onPeer: (peer, isPresent) =>
+      onPeerChange: (peer, isPresent) =>
         log.write(isPresent ? 'peer-heard' : 'peer-gone', 'state', { peer }),
     });
   }
--- a/src/gateway/gateway-paths.ts
+++ b/src/gateway/gateway-paths.ts
@@ -6,7 +6,7 @@
 import type { BackendDirectory } from './dispatch/backend-directory.js';
 import type { SuspicionCause } from './dispatch/path-state.js';
 import { PathMonitor } from './dispatch/path-watch.js';
-import { onceArrivalsRead } from './links/arrivals-read.js';
+import { afterPendingReads } from './links/arrivals-read.js';
 import type { SlotAgentLinks } from './links/slot-agent-links.js';
 
 /** Dependencies of `GatewayPaths`. */
@@ -45,7 +45,7 @@
 
   /** Checks the paths for silence and opens missing links; called on each tick. */
   tick(): void {
-    onceArrivalsRead(this.dependencies.clock, (readUpToMs) => this.checkSilence(readUpToMs));
+    afterPendingReads(this.dependencies.clock, (readUpToMs) => this.checkSilence(readUpToMs));
   }
 
   /** Opens or closes links immediately after backends were added or removed. */
--- a/src/gateway/gateway-quotas.ts
+++ b/src/gateway/gateway-quotas.ts
@@ -17,15 +17,15 @@
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { GatewayAdapter } from './gateway-adapter.js';
 import type { GatewaySettings } from './gateway-settings.js';
-import { grantName, QuotaCharges } from './quotas/quota-charges.js';
+import { grantKey, QuotaCharges } from './quotas/quota-charges.js';
 import type { Charge, ChargeResult } from './quotas/open-charge.js';
 import type { QuotaMember, QuotaMembersRecord } from './quotas/quota-members.js';
 import { encodeQuotaMembers } from './quotas/quota-members-format.js';
 import { QuotaMembersWriter } from './quotas/quota-members-writer.js';
-import type { HeardMember } from './quotas/quota-members-writer.js';
+import type { MemberStatus } from './quotas/quota-members-writer.js';
 import { QuotaPools } from './quotas/quota-pools.js';
 import { QuotaRights } from './quotas/quota-rights.js';
-import type { BucketTerms } from './quotas/quota-terms.js';
+import type { BucketConfig } from './quotas/quota-terms.js';
 
 /** Dependencies of `GatewayQuotas`. */
 export interface GatewayQuotasDependencies {
@@ -65,7 +65,7 @@
   private readonly pools: QuotaPools;
   private readonly charges: QuotaCharges;
   private readonly writer: QuotaMembersWriter;
-  private readonly peersByName = new Map<string, HeardMember>();
+  private readonly peersByName = new Map<string, MemberStatus>();
   private hadRights = false;
   private ticks = 0;
 
@@ -87,7 +87,8 @@
       quotaOf: (tenant) => dependencies.quotaOf(tenant),
       heldSinceMs: (tenant) => this.rights.heldSinceMs(tenant, clock.now()),
       countPools: () => this.rights.pools,
-      onDry: (tenant, isDry, level, terms) => this.logPoolState(tenant, isDry, level, terms),
+      onExhaustedChange: (tenant, isDry, level, terms) =>
+        this.logPoolState(tenant, isDry, level, terms),
     });
     this.charges = new QuotaCharges(
       name,
@@ -96,8 +97,8 @@
       this.pools,
       {
         quotaOf: (tenant) => dependencies.quotaOf(tenant),
-        sendAsk: (holder, ask) => this.sendTo(holder, { kind: 'quota-ask', ...ask }),
-        sendBack: (holder, { id, tenant }) =>
+        sendRequest: (holder, ask) => this.sendTo(holder, { kind: 'quota-ask', ...ask }),
+        sendRefund: (holder, { id, tenant }) =>
           void this.sendTo(holder, { kind: 'quota-return', id, tenant }),
         distanceOf: (holder) => this.distanceOf(holder),
       },
@@ -114,7 +115,7 @@
             expected,
           ),
         onWritten: (record, failure) => this.handleWritten(record, failure),
-        heard: () => [...this.peersByName.values()],
+        knownPeers: () => [...this.peersByName.values()],
         record: () => this.rights.record,
         storeAgeMs: () => dependencies.storeAgeMs(),
         timeOfDayMs: () => dependencies.timeOfDayMs(),
@@ -135,7 +136,7 @@
 
   /** Tokens (or requests) that this gateway has charged since its start, by tenant. */
   get usageByTenant(): ReadonlyMap<string, number> {
-    return this.charges.use;
+    return this.charges.usage;
   }
 
   /** Fill levels of the quota pools that this gateway holds, by tenant. */
@@ -192,7 +193,7 @@
   /** Answers a peer's request for a grant from a pool of this gateway. */
   answerPeer({ incarnation }: PeerHello, ask: PeerQuotaAsk): PeerQuotaAnswer {
     const nowMs = this.dependencies.clock.now();
-    const grant = this.pools.ask(ask.tenant, ask, grantName(incarnation, ask.id), nowMs);
+    const grant = this.pools.acquire(ask.tenant, ask, grantKey(incarnation, ask.id), nowMs);
     return { kind: 'quota-answer', id: ask.id, grant };
   }
 
@@ -203,7 +204,7 @@
 
   /** Returns a peer's unused grant to its pool. */
   takeBack({ incarnation }: PeerHello, { id, tenant }: PeerQuotaReturn): void {
-    this.pools.giveBack(tenant, grantName(incarnation, id), this.dependencies.clock.now());
+    this.pools.refund(tenant, grantKey(incarnation, id), this.dependencies.clock.now());
   }
 
   /** Updates the contact state and writes the member record if due; called on each tick. */
@@ -223,8 +224,8 @@
   private refreshContact(): void {
     const nowMs = this.dependencies.clock.now();
     const storeAgeMs = this.dependencies.storeAgeMs() ?? Infinity;
-    this.rights.noteContact(Math.max(nowMs - storeAgeMs, this.majorityHeardAtMs(nowMs)), nowMs);
-    const hasRights = !this.rights.hasLapsed(nowMs);
+    this.rights.renewLease(Math.max(nowMs - storeAgeMs, this.majorityHeardAtMs(nowMs)), nowMs);
+    const hasRights = !this.rights.isLeaseExpired(nowMs);
     if (hasRights !== this.hadRights) {
       this.hadRights = hasRights;
       this.reviewRights();
@@ -257,8 +258,8 @@
   }
 
   private reviewRights(): void {
-    this.pools.review();
-    this.charges.review();
+    this.pools.dropLostPools();
+    this.charges.resetReserves();
   }
 
   /** Sends a message to the named holder; returns false if there is no connection to it. */
@@ -297,12 +298,12 @@
     }
   }
 
-  private logPoolState(tenant: string, isDry: boolean, level: number, terms: BucketTerms): void {
+  private logPoolState(tenant: string, isDry: boolean, level: number, terms: BucketConfig): void {
     this.dependencies.log.write(isDry ? 'quota-pool-dry' : 'quota-pool-refilled', 'state', {
       tenant,
       level,
       capacity: terms.capacity,
-      ratePerS: terms.perMs * MS_PER_S,
+      ratePerS: terms.refillPerMs * MS_PER_S,
     });
   }
 }
--- a/src/gateway/gateway-role.ts
+++ b/src/gateway/gateway-role.ts
@@ -215,8 +215,8 @@
       quotas: this.quotas,
       rollouts: this.rollouts.rollouts,
       crashes: {
-        tell: () => this.crashes.requests.tell(),
-        hear: (tallies) => this.crashes.mergePeerTallies(tallies),
+        snapshot: () => this.crashes.requests.tell(),
+        merge: (tallies) => this.crashes.mergePeerTallies(tallies),
       },
       statements: this.statements,
       onRecords: (records, source) => this.applyRecords(records, source),
@@ -332,14 +332,14 @@
     this.ticks += 1;
     this.paths.tick();
     this.dispatcher.tick(this.dependencies.clock.now());
-    this.links.tellAlive();
+    this.links.sendKeepalives();
     this.cluster.tick();
     this.quotas.tick();
     this.statements.tick();
     this.evacuations.tick();
     this.rollouts.rollouts.tick();
     if (this.ticks % AGENT_REACH_TICKS === 0) {
-      this.links.tellReach();
+      this.links.broadcastReach();
     }
     if (this.ticks % MAINTENANCE_TICKS === 0) {
       this.crashes.requests.forgetOld();
--- a/src/gateway/links/arrivals-read.ts
+++ b/src/gateway/links/arrivals-read.ts
@@ -6,7 +6,7 @@
  * been read. Timers run before input that arrived while the process was busy or paused: without
  * this its own delay would count as silence of its peers.
  */
-export function onceArrivalsRead(clock: Clock, callback: (readUpToMs: number) => void): void {
+export function afterPendingReads(clock: Clock, callback: (readUpToMs: number) => void): void {
   const readUpToMs = clock.now();
   setImmediate(() => callback(readUpToMs));
 }
--- a/src/gateway/links/gateway-peers.ts
+++ b/src/gateway/links/gateway-peers.ts
@@ -21,18 +21,18 @@
 import { heartbeatTicks, IDLE_HEARTBEAT_TICKS, maxHeartbeatIntervalMs } from './beat-times.js';
 
 /** Exchange of crash reports: how often requests have crashed back ends. */
-export interface PeerCrashTallies {
+export interface CrashReportExchange {
   /** Returns the reports for a gateway that connects. */
-  tell(): readonly RequestCrashes[];
+  snapshot(): readonly RequestCrashes[];
   /** Merges a peer's reports; returns those that the peer lacks. */
-  hear(reports: readonly RequestCrashes[]): readonly RequestCrashes[];
+  merge(reports: readonly RequestCrashes[]): readonly RequestCrashes[];
 }
 
 /**
  * Exchange of the conditions that back ends report, and of the rights to send to those that state a
  * limit.
  */
-export type PeerStatements = Pick<
+export type ConditionExchange = Pick<
   GatewayConditions,
   'tell' | 'hearPeer' | 'answerPeer' | 'receiveAnswer' | 'takeBack'
 >;
@@ -53,8 +53,8 @@
   readonly quotas: GatewayQuotas;
   readonly rollouts: Rollouts;
   readonly readers: StoreReaders;
-  readonly crashes: PeerCrashTallies;
-  readonly statements: PeerStatements;
+  readonly crashes: CrashReportExchange;
+  readonly statements: ConditionExchange;
   /** Whether this gateway reads the store and gets responses. */
   isReading(): boolean;
   /**
@@ -66,13 +66,13 @@
    * Called when a peer reports its replication position `reach` and the age of its replica, in
    * milliseconds.
    */
-  onKnowledge(reach: ReplicaReach, ageMs: number): void;
+  onReplicaAge(reach: ReplicaReach, ageMs: number): void;
   readonly clock: Clock;
   readonly random: RandomSource;
   /** Default: TCP. */
   readonly network?: PeerNetwork | undefined;
   /** Called when a peer process sends its first message, and when it leaves or is replaced. */
-  onPeer(peer: string, isPresent: boolean): void;
+  onPeerChange(peer: string, isPresent: boolean): void;
 }
 
 /**
@@ -116,7 +116,7 @@
           if (!isPresent) {
             readers.forget(peer);
           }
-          parts.onPeer(peer, isPresent);
+          parts.onPeerChange(peer, isPresent);
         },
       },
       parts.clock,
@@ -144,7 +144,7 @@
   }
 
   /** Longest time between two heartbeats of a healthy gateway, in milliseconds. */
-  get beatMs(): number {
+  get maxHeartbeatIntervalMs(): number {
     return maxHeartbeatIntervalMs(this.mesh.size);
   }
 
@@ -169,7 +169,9 @@
    */
   tick(): void {
     this.ticks += 1;
-    this.mesh.reopenSilent(Math.max(REOPEN_SILENCE_MS, this.beatMs * REOPEN_SILENCE_HEARTBEATS));
+    this.mesh.reopenSilent(
+      Math.max(REOPEN_SILENCE_MS, this.maxHeartbeatIntervalMs * REOPEN_SILENCE_HEARTBEATS),
+    );
     if (this.ticks % this.heartbeatTicks === 0 || this.hasReadingChanged) {
       this.sendHeartbeatIfDue();
     } else {
@@ -191,17 +193,17 @@
    * Broadcasts crash reports at once: until a peer has them, it forwards requests that crash back
    * ends.
    */
-  tellCrashes(requests: readonly RequestCrashes[]): void {
+  broadcastCrashes(requests: readonly RequestCrashes[]): void {
     this.mesh.broadcast({ kind: 'crashes', requests });
   }
 
   /** Broadcasts conditions that back ends have reported. */
-  tellConditions(conditions: readonly ToldCondition[]): void {
+  broadcastConditions(conditions: readonly ToldCondition[]): void {
     this.mesh.broadcast({ kind: 'conditions', conditions });
   }
 
   private mergeCrashes(reports: readonly RequestCrashes[], reply: SendToPeer): void {
-    const missing = this.parts.crashes.hear(reports);
+    const missing = this.parts.crashes.merge(reports);
     if (missing.length > 0) {
       reply({ kind: 'crashes', requests: missing });
     }
@@ -249,7 +251,7 @@
 
   private sendInitialState(send: SendToPeer): void {
     send(this.buildHeartbeat());
-    const requests = this.parts.crashes.tell();
+    const requests = this.parts.crashes.snapshot();
     if (requests.length > 0) {
       send({ kind: 'crashes', requests });
     }
@@ -293,7 +295,7 @@
       this.parts.rollouts.hear(peer, message.rollouts ?? {});
       exchange.hearReach(peer, message.reach, reply);
       if (message.knowledgeAgeMs !== undefined) {
-        this.parts.onKnowledge(message.reach, message.knowledgeAgeMs);
+        this.parts.onReplicaAge(message.reach, message.knowledgeAgeMs);
       }
     } else if (message.kind === 'quota-ask') {
       reply(quotas.answerPeer(hello, message));
--- a/src/gateway/links/slot-agent-links.ts
+++ b/src/gateway/links/slot-agent-links.ts
@@ -121,7 +121,7 @@
    * Sends keepalives on idle connections to agents at which this gateway has outstanding or waiting
    * requests; to be called each tick.
    */
-  tellAlive(): void {
+  sendKeepalives(): void {
     const nowMs = this.clock.now();
     for (const link of this.links.values()) {
       const isIdle = nowMs - link.lastSentAtMs >= this.options.aliveMs;
@@ -138,7 +138,7 @@
   }
 
   /** Sends every agent the replication position (`reach`), if it advanced. */
-  tellReach(): void {
+  broadcastReach(): void {
     const { reach } = this.records;
     if (!isFurther(reach, this.lastSentReach)) {
       return;
--- a/src/gateway/quotas/open-charge.ts
+++ b/src/gateway/quotas/open-charge.ts
@@ -2,7 +2,7 @@
  * One pending charge: requests grants from pool holders until all parts are granted or no holder is
  * left.
  */
-import type { RequestedCost, QuotaGrant, QuotaRefusal } from './quota-pools.js';
+import type { RequestedCost, QuotaDecision, QuotaRefusal } from './quota-pools.js';
 
 /** How a charge ended. */
 export type ChargeResult =
@@ -39,7 +39,7 @@
     holder: string,
     id: number,
     requested: RequestedCost,
-    onDecision: (decision: QuotaGrant | undefined) => void,
+    onDecision: (decision: QuotaDecision | undefined) => void,
   ): void;
   nextId(): number;
   schedule(delayMs: number, callback: () => void): void;
@@ -113,7 +113,7 @@
     });
   }
 
-  private handleDecision(holder: string, id: number, decision: QuotaGrant | undefined): void {
+  private handleDecision(holder: string, id: number, decision: QuotaDecision | undefined): void {
     if (decision === undefined || (!decision.isGranted && !decision.isHeld)) {
       this.unanswered += 1;
     } else if (!decision.isGranted) {
--- a/src/gateway/quotas/quota-bucket.ts
+++ b/src/gateway/quotas/quota-bucket.ts
@@ -1,5 +1,5 @@
 /** A token bucket with refunds of recent, unused grants. */
-import type { BucketTerms } from './quota-terms.js';
+import type { BucketConfig } from './quota-terms.js';
 
 /**
  * Time during which a grant is refundable, in milliseconds: longer than a gateway takes to try the
@@ -32,7 +32,7 @@
   }
 
   /** Returns the level under the given configuration. */
-  levelAt(config: BucketTerms, nowMs: number): number {
+  levelAt(config: BucketConfig, nowMs: number): number {
     this.refill(config, nowMs);
     return this.level;
   }
@@ -41,9 +41,9 @@
    * Takes all of `cost` under the key `grant`, or nothing. The refill of the next `aheadMs` may be
    * taken in advance; the grant must not be used before that refill has accrued.
    */
-  take(grant: string, cost: number, config: BucketTerms, nowMs: number, aheadMs = 0): boolean {
+  take(grant: string, cost: number, config: BucketConfig, nowMs: number, aheadMs = 0): boolean {
     this.refill(config, nowMs);
-    if (this.level + config.perMs * aheadMs < cost) {
+    if (this.level + config.refillPerMs * aheadMs < cost) {
       return false;
     }
     this.level -= cost;
@@ -53,7 +53,7 @@
   }
 
   /** Adds `amount` at once, up to the free capacity. */
-  add(amount: number, config: BucketTerms, nowMs: number): void {
+  add(amount: number, config: BucketConfig, nowMs: number): void {
     this.refill(config, nowMs);
     const freeCapacity = Math.max(0, config.capacity - this.refundableCost);
     this.level = Math.max(this.level, Math.min(freeCapacity, this.level + amount));
@@ -71,7 +71,7 @@
     return true;
   }
 
-  private refill({ capacity, perMs }: BucketTerms, nowMs: number): void {
+  private refill({ capacity, refillPerMs: perMs }: BucketConfig, nowMs: number): void {
     this.expireRefundable(nowMs);
     const freeCapacity = Math.max(0, capacity - this.refundableCost);
     this.level = Math.min(
--- a/src/gateway/quotas/quota-charges.ts
+++ b/src/gateway/quotas/quota-charges.ts
@@ -9,7 +9,7 @@
 import { QuotaBucket } from './quota-bucket.js';
 import { PendingCharge } from './open-charge.js';
 import type { Charge, ChargeResult } from './open-charge.js';
-import type { RequestedCost, QuotaGrant, QuotaPools, QuotaRefusal } from './quota-pools.js';
+import type { RequestedCost, QuotaDecision, QuotaPools, QuotaRefusal } from './quota-pools.js';
 import type { QuotaRights } from './quota-rights.js';
 import { poolConfig, reserveConfig } from './quota-terms.js';
 import type { QuotaTolerance } from './quota-terms.js';
@@ -19,15 +19,15 @@
   /** Returns the tenant's quota in the current configuration; undefined if it has none. */
   quotaOf(tenant: string): TenantQuota | undefined;
   /** Sends a quota request to another gateway; false if it is not connected. */
-  sendAsk(holder: string, request: QuotaAsk): boolean;
+  sendRequest(holder: string, request: QuotaRequest): boolean;
   /** Refunds a grant of another gateway. */
-  sendBack(holder: string, request: Pick<QuotaAsk, 'id' | 'tenant'>): void;
+  sendRefund(holder: string, request: Pick<QuotaRequest, 'id' | 'tenant'>): void;
   /** Returns a relative distance to a holder; the nearest are tried first. */
   distanceOf(holder: string): number;
 }
 
 /** A quota request to the holder of a tenant's pool; sent as `quota-ask`. */
-export interface QuotaAsk extends RequestedCost {
+export interface QuotaRequest extends RequestedCost {
   /** Correlates the response with the request. */
   readonly id: number;
   readonly tenant: string;
@@ -75,9 +75,9 @@
 
 interface PendingRequest {
   readonly holder: string;
-  readonly request: QuotaAsk;
+  readonly request: QuotaRequest;
   timer: TimerHandle;
-  readonly onDecision: (decision: QuotaGrant | undefined) => void;
+  readonly onDecision: (decision: QuotaDecision | undefined) => void;
 }
 
 /** Charges requests to their tenants' quotas. */
@@ -103,7 +103,7 @@
   }
 
   /** Tokens (or requests) admitted by this process since its start, by tenant. */
-  get use(): ReadonlyMap<string, number> {
+  get usage(): ReadonlyMap<string, number> {
     return this.used;
   }
 
@@ -131,7 +131,7 @@
   }
 
   /** Handles a holder's response to a quota request. */
-  receive(id: number, decision: QuotaGrant): void {
+  receive(id: number, decision: QuotaDecision): void {
     const pending = this.pending.get(id);
     if (pending !== undefined) {
       this.pending.delete(id);
@@ -145,7 +145,7 @@
    * Resets the reserves after a change of rights; each starts empty and counts its refill since the
    * change.
    */
-  review(): void {
+  resetReserves(): void {
     this.reserves.clear();
   }
 
@@ -204,13 +204,13 @@
    */
   private requestGrant(
     holder: string,
-    request: QuotaAsk,
-    onDecision: (decision: QuotaGrant | undefined) => void,
+    request: QuotaRequest,
+    onDecision: (decision: QuotaDecision | undefined) => void,
   ): void {
     const { id, tenant } = request;
     const nowMs = this.clock.now();
     if (holder === this.self) {
-      onDecision(this.pools.ask(tenant, request, grantName(this.self, id), nowMs));
+      onDecision(this.pools.acquire(tenant, request, grantKey(this.self, id), nowMs));
       return;
     }
     const cached = this.cachedRefusals.get(refusalKey(holder, request));
@@ -219,7 +219,7 @@
       return;
     }
     const isSkipped = nowMs < (this.skippedUntilMs.get(holder) ?? -Infinity);
-    if (isSkipped || !this.ports.sendAsk(holder, request)) {
+    if (isSkipped || !this.ports.sendRequest(holder, request)) {
       onDecision(undefined);
       return;
     }
@@ -241,11 +241,11 @@
     this.pending.delete(id);
     this.skippedUntilMs.set(pending.holder, this.clock.now() + UNRESPONSIVE_BACKOFF_MS);
     // The request may still arrive and be granted: refund it.
-    this.ports.sendBack(pending.holder, pending.request);
+    this.ports.sendRefund(pending.holder, pending.request);
     pending.onDecision(undefined);
   }
 
-  private updateRefusalCache(holder: string, request: QuotaAsk, decision: QuotaGrant): void {
+  private updateRefusalCache(holder: string, request: QuotaRequest, decision: QuotaDecision): void {
     const key = refusalKey(holder, request);
     if (decision.isGranted) {
       this.cachedRefusals.delete(key);
@@ -257,9 +257,9 @@
 
   private refund(holder: string, id: number, tenant: string): void {
     if (holder === this.self) {
-      this.pools.giveBack(tenant, grantName(this.self, id), this.clock.now());
+      this.pools.refund(tenant, grantKey(this.self, id), this.clock.now());
     } else {
-      this.ports.sendBack(holder, { id, tenant });
+      this.ports.sendRefund(holder, { id, tenant });
     }
   }
 
@@ -274,12 +274,12 @@
     this.reserves.set(key, bucket);
     this.lastId += 1;
     const config = reserveConfig(quota, this.tolerance, reserve.gateways);
-    return bucket.take(grantName(this.self, this.lastId), cost, config, nowMs);
+    return bucket.take(grantKey(this.self, this.lastId), cost, config, nowMs);
   }
 }
 
 /** Returns the key under which a holder stores a grant. */
-export function grantName(requester: string, id: number): string {
+export function grantKey(requester: string, id: number): string {
   return `${requester} ${id}`;
 }
 
@@ -287,6 +287,6 @@
  * Includes `mayWait`, since a pool that refuses an immediate grant may still issue an advance
  * grant.
  */
-function refusalKey(holder: string, { tenant, mayWait }: QuotaAsk): string {
+function refusalKey(holder: string, { tenant, mayWait }: QuotaRequest): string {
   return `${holder} ${tenant} ${mayWait}`;
 }
--- a/src/gateway/quotas/quota-members-writer.ts
+++ b/src/gateway/quotas/quota-members-writer.ts
@@ -15,7 +15,7 @@
 import { RIGHTS_LEASE_MS } from './quota-rights.js';
 
 /** State of another gateway as of its last heartbeat. */
-export interface HeardMember extends QuotaMember {
+export interface MemberStatus extends QuotaMember {
   readonly heardAtMs: number;
   /** When its process started, in milliseconds. */
   readonly startedAtMs: number;
@@ -33,7 +33,7 @@
   /** Called after a write, with `failure` if the store rejected it or was unavailable. */
   onWritten(record: QuotaMembersRecord, failure: WeirvaleError | undefined): void;
   /** Returns every other gateway that ever sent a heartbeat. */
-  heard(): readonly HeardMember[];
+  knownPeers(): readonly MemberStatus[];
   /** Returns the newest record that this gateway has applied. */
   record(): QuotaMembersRecord;
   /**
@@ -148,7 +148,10 @@
 
   private nextChange(nowMs: number): PendingChange | undefined {
     const record = this.ports.record();
-    const reachable = [this.self, ...this.ports.heard().filter((peer) => isReachable(peer, nowMs))];
+    const reachable = [
+      this.self,
+      ...this.ports.knownPeers().filter((peer) => isReachable(peer, nowMs)),
+    ];
     if (record.members === undefined) {
       const first = reachable.map(toMember);
       // A gateway that knows the content of an unreadable record rewrites it well before this delay
@@ -180,7 +183,10 @@
   private nextCredit(record: QuotaMembersChange, nowMs: number): PendingChange | undefined {
     const timeOfDayMs = this.ports.timeOfDayMs();
     const isAllowed = Math.abs(timeOfDayMs - record.creditedAtMs) >= MIN_CREDIT_INTERVAL_MS;
-    const all = [this.startedAtMs, ...this.ports.heard().map(({ startedAtMs }) => startedAtMs)];
+    const all = [
+      this.startedAtMs,
+      ...this.ports.knownPeers().map(({ startedAtMs }) => startedAtMs),
+    ];
     const recentlyStarted = all.filter((startedAtMs) => nowMs - startedAtMs < RECENT_START_MS);
     if (!isAllowed || recentlyStarted.length * 2 <= record.members.length) {
       return undefined;
@@ -214,7 +220,7 @@
    * timed out.
    */
   private isAppliedByAll(record: QuotaMembersRecord, nowMs: number): boolean {
-    const heard = new Map(this.ports.heard().map((peer) => [peer.name, peer]));
+    const heard = new Map(this.ports.knownPeers().map((peer) => [peer.name, peer]));
     return record.settled.every(
       ({ name }) =>
         name === this.self.name ||
@@ -231,14 +237,14 @@
     if (name === this.self.name) {
       return false;
     }
-    const heardAtMs = this.ports.heard().find((peer) => peer.name === name)?.heardAtMs;
+    const heardAtMs = this.ports.knownPeers().find((peer) => peer.name === name)?.heardAtMs;
     return nowMs - (heardAtMs ?? this.startedAtMs) > REMOVE_AFTER_MS;
   }
 
   /** Returns the number of reachable gateways that sort before this one by name. */
   private writerRank(nowMs: number): number {
     return this.ports
-      .heard()
+      .knownPeers()
       .filter((peer) => isReachable(peer, nowMs) && peer.name < this.self.name).length;
   }
 
@@ -254,7 +260,7 @@
   }
 }
 
-function isReachable({ heardAtMs }: HeardMember, nowMs: number): boolean {
+function isReachable({ heardAtMs }: MemberStatus, nowMs: number): boolean {
   return nowMs - heardAtMs <= UNREACHABLE_AFTER_MS;
 }
 
--- a/src/gateway/quotas/quota-pools.ts
+++ b/src/gateway/quotas/quota-pools.ts
@@ -3,10 +3,10 @@
 import type { TenantQuota } from '../../routing/configuration.js';
 import { QuotaBucket } from './quota-bucket.js';
 import { poolCredit, poolConfig } from './quota-terms.js';
-import type { BucketTerms, QuotaTolerance } from './quota-terms.js';
+import type { BucketConfig, QuotaTolerance } from './quota-terms.js';
 
 /** A holder's response to a quota request; sent as `grant` in `quota-answer`. */
-export type QuotaGrant =
+export type QuotaDecision =
   | {
       readonly isGranted: true;
       /** Delay before the grant may be used, in milliseconds; above 0 for an advance grant. */
@@ -25,7 +25,7 @@
     };
 
 /** A refused quota request. */
-export type QuotaRefusal = Exclude<QuotaGrant, { readonly isGranted: true }>;
+export type QuotaRefusal = Exclude<QuotaDecision, { readonly isGranted: true }>;
 
 /** Cost requested from a pool. */
 export interface RequestedCost {
@@ -52,7 +52,12 @@
   /** Returns the number of pools that each tenant's quota is divided into. */
   countPools(): number;
   /** Called when a pool becomes exhausted, and once it has recovered. */
-  onDry(tenant: string, isExhausted: boolean, level: number, config: BucketTerms): void;
+  onExhaustedChange(
+    tenant: string,
+    isExhausted: boolean,
+    level: number,
+    config: BucketConfig,
+  ): void;
 }
 
 /**
@@ -95,12 +100,12 @@
    * Whether advance grants are useful: a high recently refused cost means that demand exceeds the
    * refill rate, and queueing would then delay every grant without serving more requests.
    */
-  allowsAdvanceGrants({ perMs }: BucketTerms, nowMs: number): boolean {
+  allowsAdvanceGrants({ refillPerMs: perMs }: BucketConfig, nowMs: number): boolean {
     return this.refused.at(nowMs) <= perMs * MAX_ADVANCE_GRANT_MS;
   }
 
   /** Returns the level below which a request for `cost` is not granted at once. */
-  threshold({ cost, whole }: RequestedCost, { capacity }: BucketTerms, nowMs: number): number {
+  threshold({ cost, whole }: RequestedCost, { capacity }: BucketConfig, nowMs: number): number {
     if (whole >= this.largestCost || nowMs - this.largestCostAtMs > LARGEST_COST_TTL_MS) {
       this.largestCost = whole;
       this.largestCostAtMs = nowMs;
@@ -119,7 +124,7 @@
   ) {}
 
   /** Requests `cost` from a tenant's pool; `grant` is the key for a later refund. */
-  ask(tenant: string, requested: RequestedCost, grant: string, nowMs: number): QuotaGrant {
+  acquire(tenant: string, requested: RequestedCost, grant: string, nowMs: number): QuotaDecision {
     const { cost, mayWait } = requested;
     const quota = this.ports.quotaOf(tenant);
     const pool = quota && this.poolOf(tenant, quota, nowMs);
@@ -136,7 +141,7 @@
     const level = pool.bucket.levelAt(config, nowMs);
     const missing = pool.threshold(requested, config, nowMs) - level;
     this.updateExhausted(tenant, pool, missing > 0, level, config);
-    const afterMs = Math.max(0, missing / config.perMs);
+    const afterMs = Math.max(0, missing / config.refillPerMs);
     const isInTime =
       afterMs <= (mayWait && pool.allowsAdvanceGrants(config, nowMs) ? MAX_ADVANCE_GRANT_MS : 0);
     if (isInTime && pool.bucket.take(grant, cost, config, nowMs, afterMs)) {
@@ -156,7 +161,7 @@
   }
 
   /** Refunds an unused grant. */
-  giveBack(tenant: string, grant: string, nowMs: number): void {
+  refund(tenant: string, grant: string, nowMs: number): void {
     this.pools.get(tenant)?.bucket.refund(grant, nowMs);
   }
 
@@ -185,7 +190,7 @@
   }
 
   /** Discards pools that this gateway no longer holds, including their level. */
-  review(): void {
+  dropLostPools(): void {
     for (const tenant of this.pools.keys()) {
       if (this.ports.heldSinceMs(tenant) === undefined) {
         this.pools.delete(tenant);
@@ -193,7 +198,7 @@
     }
   }
 
-  private configOf(quota: TenantQuota): BucketTerms {
+  private configOf(quota: TenantQuota): BucketConfig {
     return poolConfig(quota, this.tolerance, this.ports.countPools());
   }
 
@@ -219,13 +224,13 @@
     pool: Pool,
     isExhausted: boolean,
     level: number,
-    config: BucketTerms,
+    config: BucketConfig,
   ): void {
     // Hysteresis: reported as recovered only at half its capacity, to avoid a log line per request
     // near empty.
     if (isExhausted ? !pool.isExhausted : pool.isExhausted && level >= config.capacity / 2) {
       pool.isExhausted = isExhausted;
-      this.ports.onDry(tenant, isExhausted, level, config);
+      this.ports.onExhaustedChange(tenant, isExhausted, level, config);
     }
   }
 }
--- a/src/gateway/quotas/quota-rights.ts
+++ b/src/gateway/quotas/quota-rights.ts
@@ -64,8 +64,8 @@
   }
 
   /** Renews the lease as of `atMs`, the last contact with the store or a majority of members. */
-  noteContact(atMs: number, nowMs: number): void {
-    const hasLapsed = this.hasLapsed(nowMs);
+  renewLease(atMs: number, nowMs: number): void {
+    const hasLapsed = this.isLeaseExpired(nowMs);
     this.renewedAtMs = Math.max(this.renewedAtMs, atMs);
     if (hasLapsed) {
       // Other gateways may have held these rights since the lease expired.
@@ -75,7 +75,7 @@
   }
 
   /** Whether the lease has expired: no contact for too long, or none yet since the start. */
-  hasLapsed(nowMs: number): boolean {
+  isLeaseExpired(nowMs: number): boolean {
     return nowMs - this.renewedAtMs > RIGHTS_LEASE_MS;
   }
 
@@ -97,7 +97,7 @@
    * is not.
    */
   soleSinceMs(key: string, nowMs: number): number | undefined {
-    const isHeld = !this.hasLapsed(nowMs) && this.soleHolderOf(key) === this.self;
+    const isHeld = !this.isLeaseExpired(nowMs) && this.soleHolderOf(key) === this.self;
     return isHeld ? this.freeSinceMs : undefined;
   }
 
@@ -111,7 +111,7 @@
    * undefined if it has none.
    */
   heldSinceMs(tenant: string, nowMs: number): number | undefined {
-    const isHeld = !this.hasLapsed(nowMs) && this.holdersOf(tenant).includes(this.self);
+    const isHeld = !this.isLeaseExpired(nowMs) && this.holdersOf(tenant).includes(this.self);
     return isHeld ? this.freeSinceMs : undefined;
   }
 
@@ -128,7 +128,9 @@
    * if it has none.
    */
   reserve(nowMs: number): { readonly gateways: number; readonly sinceMs: number } | undefined {
-    const gateways = this.hasLapsed(nowMs) ? 0 : this.assignment.countReserveHolders(this.self);
+    const gateways = this.isLeaseExpired(nowMs)
+      ? 0
+      : this.assignment.countReserveHolders(this.self);
     return gateways === 0 ? undefined : { gateways, sinceMs: this.freeSinceMs };
   }
 }
--- a/src/gateway/quotas/quota-terms.ts
+++ b/src/gateway/quotas/quota-terms.ts
@@ -19,11 +19,11 @@
 }
 
 /** Configuration of a token bucket, in tokens (or requests) and milliseconds. */
-export interface BucketTerms {
+export interface BucketConfig {
   /** Highest level. */
   readonly capacity: number;
   /** Refill rate. */
-  readonly perMs: number;
+  readonly refillPerMs: number;
 }
 
 /**
@@ -54,11 +54,11 @@
   quota: TenantQuota,
   tolerance: QuotaTolerance,
   pools: number,
-): BucketTerms {
+): BucketConfig {
   const totalCapacity = quota.burst + POOL_SHARE * surplusOf(quota, tolerance);
   return {
     capacity: totalCapacity / pools,
-    perMs: pooledRate(quota, tolerance) / MS_PER_S / pools,
+    refillPerMs: pooledRate(quota, tolerance) / MS_PER_S / pools,
   };
 }
 
@@ -75,11 +75,11 @@
   quota: TenantQuota,
   tolerance: QuotaTolerance,
   gateways: number,
-): BucketTerms {
+): BucketConfig {
   const share = (RESERVE_SHARE * surplusOf(quota, tolerance)) / gateways;
   return {
     capacity: share * RESERVE_CAPACITY_SHARE,
-    perMs: (share * (1 - RESERVE_CAPACITY_SHARE)) / tolerance.windowMs,
+    refillPerMs: (share * (1 - RESERVE_CAPACITY_SHARE)) / tolerance.windowMs,
   };
 }
 
--- a/test/quota-fleet.test.ts
+++ b/test/quota-fleet.test.ts
@@ -24,20 +24,20 @@
     () => one().pause(randomInteger(random, 50, 2_500)),
     () => {
       const cut = one();
-      cut.isCut = true;
-      fleet.clock.setTimeout(() => (cut.isCut = false), randomInteger(random, 100, 9_000));
+      cut.isPartitioned = true;
+      fleet.clock.setTimeout(() => (cut.isPartitioned = false), randomInteger(random, 100, 9_000));
     },
     () => {
       fleet.isStoreUp = false;
       fleet.clock.setTimeout(() => (fleet.isStoreUp = true), randomInteger(random, 100, 6_000));
     },
-    () => fleet.gateways.length < 30 && fleet.add(),
-    () => fleet.spoilRecord(),
+    () => fleet.gateways.length < 30 && fleet.addGateway(),
+    () => fleet.corruptRecord(),
   ];
   const chosen = kinds[randomInteger(random, 0, kinds.length - 1)]!;
   const period = randomInteger(random, 300, 2_000);
   fleet.every(period, () => (random.next() < 0.7 ? chosen : kinds[randomInteger(random, 0, 3)]!)());
-  fleet.beginDemand();
+  fleet.startLoad();
   await fleet.run(14_000);
   return fleet;
 }
@@ -57,7 +57,7 @@
 const INJECTED_FAULTS: Readonly<Record<string, QuotaFleetFault>> = {
   'full pools at the start of a process': { startsFull: true },
   'requests admitted without a grant after a timeout': { treatsTimeoutAsGrant: true },
-  'pool shares claimed while other gateways still hold them': { takesOthersShare: true },
+  'pool shares claimed while other gateways still hold them': { assumesTwoPools: true },
   'reruns that are not charged': { ignoresReruns: true },
   'credits issued at too short intervals': { creditsEachTime: true },
 };
@@ -78,7 +78,7 @@
   test(`${gateways} healthy gateways admit a tenant's full rate and refuse no request of a tenant below its rate`, async (t) => {
     const fleet = new QuotaFleet({ seed: 5, gateways });
     await fleet.run(SETTLE_MS);
-    fleet.beginDemand();
+    fleet.startLoad();
     await fleet.run(4_000);
     const fromMs = fleet.clock.now();
     await fleet.run(12_000);
@@ -92,7 +92,7 @@
 test('fewer than 5 in 100 requests of a tenant at .6 of its limit are refused while half of eight gateways pause in turn', async (t) => {
   const fleet = new QuotaFleet({ seed: 6, gateways: 8 });
   await fleet.run(SETTLE_MS);
-  fleet.beginDemand();
+  fleet.startLoad();
   let turn = 0;
   fleet.every(1_100, () => {
     turn += 1;
@@ -106,7 +106,7 @@
 test('gateways partitioned from each other since the start share one quota through the membership record', async (t) => {
   const fleet = new QuotaFleet({ seed: 7, gateways: 8 });
   fleet.lossShare = 1;
-  fleet.beginDemand();
+  fleet.startLoad();
   await fleet.run(40_000);
   t.true(fleet.worstShare() <= 1, `${fleet.worstShare()}`);
 });
@@ -114,9 +114,9 @@
 test('a gateway partitioned for minutes stops serving its pools well before it is removed from the members', async (t) => {
   const fleet = new QuotaFleet({ seed: 8, gateways: 5 });
   await fleet.run(SETTLE_MS);
-  fleet.beginDemand(1.5, 0.1);
+  fleet.startLoad(1.5, 0.1);
   const cut = fleet.gateways[2]!;
-  cut.isCut = true;
+  cut.isPartitioned = true;
   await fleet.run(90_000);
   const { process } = cut;
   const results: boolean[] = [];
@@ -126,7 +126,7 @@
   t.is(fleet.members.members!.length, 5);
   await fleet.run(80_000);
   t.false(fleet.members.members!.some(({ name }) => name === cut.name));
-  cut.isCut = false;
+  cut.isPartitioned = false;
   await fleet.run(20_000);
   t.true(fleet.members.settled.some(({ name }) => name === cut.name));
   t.true(fleet.worstShare() <= 1);
@@ -137,7 +137,7 @@
   await fleet.run(SETTLE_MS);
   fleet.isStoreUp = false;
   await fleet.run(120_000);
-  fleet.beginDemand(1, 0.5);
+  fleet.startLoad(1, 0.5);
   await fleet.run(10_000);
   t.is(fleet.refused.calm, 0);
 });
@@ -145,9 +145,9 @@
 test('added gateways hold quota rights once all members have applied the new membership', async (t) => {
   const fleet = new QuotaFleet({ seed: 10, gateways: 3 });
   await fleet.run(SETTLE_MS);
-  fleet.beginDemand();
-  fleet.add();
-  fleet.add();
+  fleet.startLoad();
+  fleet.addGateway();
+  fleet.addGateway();
   await fleet.run(12_000);
   t.is(fleet.members.settled.length, 5);
   t.true(fleet.worstShare() <= 1);
@@ -156,7 +156,7 @@
 test('a lowered limit takes effect at once', async (t) => {
   const fleet = new QuotaFleet({ seed: 11, gateways: 8 });
   await fleet.run(SETTLE_MS);
-  fleet.beginDemand();
+  fleet.startLoad();
   await fleet.run(4_000);
   const lowered = { ...fleet.quotas.get('greedy')!, ratePerS: 4_000, burst: 4_000 };
   fleet.quotas.set('greedy', lowered);
@@ -170,12 +170,12 @@
     const fleet = new QuotaFleet({ seed: 12, gateways: 10, fault });
     await fleet.run(SETTLE_MS);
     // Partitioned gateways do not learn of the added ones.
-    fleet.gateways.slice(0, 5).forEach((gateway) => (gateway.isCut = true));
+    fleet.gateways.slice(0, 5).forEach((gateway) => (gateway.isPartitioned = true));
     for (let index = 0; index < 10; index += 1) {
-      fleet.add();
+      fleet.addGateway();
     }
     await fleet.run(10_000);
-    fleet.gateways.forEach((gateway) => (gateway.isCut = false));
+    fleet.gateways.forEach((gateway) => (gateway.isPartitioned = false));
     await fleet.run(10_000);
     return fleet;
   };
@@ -193,14 +193,14 @@
   const gateways = randomInteger(random, 1, 24);
   const fleet = new QuotaFleet({ seed, gateways, ...(fault === undefined ? {} : { fault }) });
   await fleet.run(SETTLE_MS);
-  fleet.beginDemand();
+  fleet.startLoad();
   const one = () => fleet.gateways[randomInteger(random, 0, fleet.gateways.length - 1)]!;
   fleet.every(randomInteger(random, 400, 4_000), () =>
     fleet.restoreStore(randomInteger(random, 200, 20_000)),
   );
   const kinds = [
     () => one().kill(randomInteger(random, 200, 600)),
-    () => fleet.gateways.length < 30 && fleet.add(),
+    () => fleet.gateways.length < 30 && fleet.addGateway(),
     () => one().pause(randomInteger(random, 50, 2_500)),
     () => undefined,
   ];
--- a/test/quota-members-writer.test.ts
+++ b/test/quota-members-writer.test.ts
@@ -28,7 +28,7 @@
         record = next;
         written.push({ ...(next as QuotaMembersChange), atMs: clock.now() });
       },
-      heard: () => [{ ...JOINER, heardAtMs: clock.now(), startedAtMs: -1e6, follows: record }],
+      knownPeers: () => [{ ...JOINER, heardAtMs: clock.now(), startedAtMs: -1e6, follows: record }],
       record: () => record,
       storeAgeMs: () => 0,
       timeOfDayMs: () => clock.now(),
--- a/test/quota-pools.test.ts
+++ b/test/quota-pools.test.ts
@@ -24,7 +24,7 @@
     quotaOf: () => quota,
     heldSinceMs: () => sinceMs,
     countPools: () => 1,
-    onDry: () => undefined,
+    onExhaustedChange: () => undefined,
   });
 }
 
@@ -44,7 +44,7 @@
         const pools = Math.min(gateways, MAX_POOLS);
         const pool = poolConfig(quota, tolerance, pools);
         const reserve = reserveConfig(quota, tolerance, gateways);
-        const inWindow = ({ capacity, perMs }: typeof pool) =>
+        const inWindow = ({ capacity, refillPerMs: perMs }: typeof pool) =>
           capacity + perMs * tolerance.windowMs;
         const sum =
           pools * (inWindow(pool) + poolCredit(quota, tolerance, pools)) +
@@ -57,43 +57,46 @@
 
 test('a new pool is empty', (t) => {
   const pools = poolsSince(1_000);
-  t.false(pools.ask('t', requested(10), 'a', 1_000).isGranted);
-  t.true(pools.ask('t', requested(10), 'b', 1_500).isGranted);
+  t.false(pools.acquire('t', requested(10), 'a', 1_000).isGranted);
+  t.true(pools.acquire('t', requested(10), 'b', 1_500).isGranted);
 });
 
 test('a grant can be refunded once, and only inside the refund window', (t) => {
   const pools = poolsSince(0);
   const cost = Math.floor(CONFIG.capacity);
-  t.true(pools.ask('t', requested(cost), 'a', 60_000).isGranted);
-  t.false(pools.ask('t', requested(cost), 'b', 60_001).isGranted);
-  pools.giveBack('t', 'a', 60_002);
-  pools.giveBack('t', 'a', 60_002);
-  t.true(pools.ask('t', requested(cost), 'c', 60_003).isGranted);
-  pools.giveBack('t', 'c', 61_000);
-  t.false(pools.ask('t', requested(cost), 'd', 61_000).isGranted);
+  t.true(pools.acquire('t', requested(cost), 'a', 60_000).isGranted);
+  t.false(pools.acquire('t', requested(cost), 'b', 60_001).isGranted);
+  pools.refund('t', 'a', 60_002);
+  pools.refund('t', 'a', 60_002);
+  t.true(pools.acquire('t', requested(cost), 'c', 60_003).isGranted);
+  pools.refund('t', 'c', 61_000);
+  t.false(pools.acquire('t', requested(cost), 'd', 61_000).isGranted);
 });
 
 test('a gateway that holds no pool of the tenant refuses with isHeld false', (t) => {
-  const grant = poolsSince(undefined).ask('t', requested(1), 'a', 60_000);
+  const grant = poolsSince(undefined).acquire('t', requested(1), 'a', 60_000);
   t.false(grant.isGranted);
   t.false(!grant.isGranted && grant.isHeld);
 });
 
 test('a request that may wait gets an advance grant with the delay until the refill', (t) => {
   const pools = poolsSince(0);
-  const grant = pools.ask('t', requested(CONFIG.perMs * 150, true), 'a', 50);
+  const grant = pools.acquire('t', requested(CONFIG.refillPerMs * 150, true), 'a', 50);
   t.true(grant.isGranted);
   t.true(grant.isGranted && Math.abs(grant.afterMs - 100) < 1);
-  t.false(pools.ask('t', requested(CONFIG.perMs * MAX_ADVANCE_GRANT_MS, true), 'b', 50).isGranted);
+  t.false(
+    pools.acquire('t', requested(CONFIG.refillPerMs * MAX_ADVANCE_GRANT_MS, true), 'b', 50)
+      .isGranted,
+  );
 });
 
 test('small requests do not starve large ones of the same tenant', (t) => {
   const pools = poolsSince(0);
   const large = Math.floor(CONFIG.capacity / 2);
-  t.true(pools.ask('t', requested(large), 'large', 60_000).isGranted);
+  t.true(pools.acquire('t', requested(large), 'large', 60_000).isGranted);
   let granted = 0;
   for (let index = 0; index < 1_000; index += 1) {
-    granted += pools.ask('t', requested(1), `${index}`, 60_000).isGranted ? 1 : 0;
+    granted += pools.acquire('t', requested(1), `${index}`, 60_000).isGranted ? 1 : 0;
   }
   t.true(granted <= CONFIG.capacity - 2 * large + 1, `${granted}`);
 });
--- a/test/region-cut.test.ts
+++ b/test/region-cut.test.ts
@@ -19,13 +19,13 @@
   const random = new SeededRandom(seed);
   const fleet = new QuotaFleet({ seed, gateways: 9, fault });
   await fleet.run(SETTLE_MS);
-  fleet.beginDemand(2.8, 0.2);
+  fleet.startLoad(2.8, 0.2);
   const region = Math.floor(random.next() * REGIONS);
   await fleet.run(Math.floor(random.next() * 4_000));
   const cut = fleet.gateways.filter((_gateway, index) => index % REGIONS === region);
-  cut.forEach((gateway) => (gateway.side = 1));
+  cut.forEach((gateway) => (gateway.partitionSide = 1));
   await fleet.run(200 + Math.floor(random.next() * 10_000));
-  cut.forEach((gateway) => (gateway.side = 0));
+  cut.forEach((gateway) => (gateway.partitionSide = 0));
   await fleet.run(2_000);
   return fleet.worstShare();
 }
@@ -40,7 +40,7 @@
 test('the check detects pools that take over the share of unreachable holders', async (t) => {
   let worst = 0;
   for (let seed = 0; seed < SEEDS && worst <= 1; seed += 1) {
-    worst = await worstShare(seed, { takesOthersShare: true });
+    worst = await worstShare(seed, { assumesTwoPools: true });
   }
   t.true(worst > 1);
 });
@@ -48,8 +48,8 @@
 test('regions that are all partitioned from each other stay within the quota in total', async (t) => {
   const fleet = new QuotaFleet({ seed: 3, gateways: 9 });
   await fleet.run(SETTLE_MS);
-  fleet.gateways.forEach((gateway, index) => (gateway.side = index % REGIONS));
-  fleet.beginDemand();
+  fleet.gateways.forEach((gateway, index) => (gateway.partitionSide = index % REGIONS));
+  fleet.startLoad();
   await fleet.run(12_000);
   t.true(fleet.worstShare() <= 1);
 });
--- a/test/send-rights-fleet.test.ts
+++ b/test/send-rights-fleet.test.ts
@@ -43,14 +43,17 @@
     pickGateway().pause(randomInteger(random, 50, 2_500));
   } else if (disturbance === 'cut') {
     const gateway = pickGateway();
-    gateway.isCut = true;
-    fleet.clock.setTimeout(() => (gateway.isCut = false), randomInteger(random, 100, 9_000));
+    gateway.isPartitioned = true;
+    fleet.clock.setTimeout(
+      () => (gateway.isPartitioned = false),
+      randomInteger(random, 100, 9_000),
+    );
   } else if (disturbance === 'cut-all') {
-    fleet.gateways.forEach((gateway) => (gateway.isCut = true));
+    fleet.gateways.forEach((gateway) => (gateway.isPartitioned = true));
   } else if (disturbance === 'join' && fleet.gateways.length < MAX_GATEWAYS * 2) {
-    fleet.add();
+    fleet.addGateway();
   } else if (disturbance === 'spoil') {
-    fleet.spoilRecord();
+    fleet.corruptRecord();
   }
 }
 
--- a/test/slot-agent-links.test.ts
+++ b/test/slot-agent-links.test.ts
@@ -8,7 +8,7 @@
   DEFAULT_SLOT_AGENT_LINK_OPTIONS,
   SlotAgentLinks,
 } from '../src/gateway/links/slot-agent-links.js';
-import { onceArrivalsRead } from '../src/gateway/links/arrivals-read.js';
+import { afterPendingReads } from '../src/gateway/links/arrivals-read.js';
 import { MessageChannel } from '../src/protocol/message-channel.js';
 import type { AgentToGateway, GatewayToAgent } from '../src/slot-agent/slot-messages.js';
 import { LoopbackProxy } from '../bench/soak/loopback-proxy.js';
@@ -100,9 +100,9 @@
   );
   const maintain = (readUpToMs: number) => {
     links.maintain(readUpToMs);
-    links.tellAlive();
+    links.sendKeepalives();
   };
-  const ticks = setInterval(() => onceArrivalsRead(SYSTEM_CLOCK, maintain), 10);
+  const ticks = setInterval(() => afterPendingReads(SYSTEM_CLOCK, maintain), 10);
   const stop = () => {
     clearInterval(ticks);
     links.stop();
--- a/test/support/limited-backend.ts
+++ b/test/support/limited-backend.ts
@@ -55,7 +55,7 @@
     private readonly fleet: QuotaFleet,
     private readonly fault: RightsFault = {},
   ) {
-    fleet.onCondition = (process) => process.act(() => this.drainQueue(process));
+    fleet.onConditionChange = (process) => process.runWhenActive(() => this.drainQueue(process));
   }
 
   /** Starts callers that send `perS` requests per second over all gateways. */
@@ -64,7 +64,7 @@
       if (this.fleet.random.next() < (perS * STEP_MS) / 1_000) {
         const { gateways, random } = this.fleet;
         const { process } = gateways[randomInteger(random, 0, gateways.length - 1)]!;
-        process?.act(() => this.enqueue(process));
+        process?.runWhenActive(() => this.enqueue(process));
       }
     });
   }
@@ -136,7 +136,7 @@
     const isInformed = nowMs - (this.informedAtMs.get(process) ?? Infinity) >= PROPAGATION_MS;
     this.arrivals.push({ atMs: nowMs, isInformed });
     clock.setTimeout(
-      () => process.act(() => this.answer(process, sentAtMs)),
+      () => process.runWhenActive(() => this.answer(process, sentAtMs)),
       randomInteger(random, ...SERVICE_TIME_MS),
     );
   }
--- a/test/support/quota-fleet.ts
+++ b/test/support/quota-fleet.ts
@@ -33,7 +33,7 @@
   /** A quota request that times out counts as granted. */
   readonly treatsTimeoutAsGrant?: boolean;
   /** Each pool is sized as one of two, whatever the number of pools. */
-  readonly takesOthersShare?: boolean;
+  readonly assumesTwoPools?: boolean;
   /** A gateway uses the rights of a new record before the other gateways have applied it. */
   readonly ignoresSettled?: boolean;
   /** Every restart of the fleet is credited, whatever the time since the last credit. */
@@ -127,12 +127,15 @@
       holders: () => this.quotas,
       countGateways: () => fleet.gateways.length,
       broadcastToPeers: (conditions) => this.broadcast({ kind: 'conditions', conditions }),
-      onChange: () => fleet.onCondition?.(this),
+      onChange: () => fleet.onConditionChange?.(this),
       isKnown: () => true,
     });
     this.injectFault(fleet.fault);
     // Peers send their known conditions on each new connection.
-    fleet.clock.setTimeout(() => this.act(() => this.receiveInitialState()), CONNECT_DELAY_MS);
+    fleet.clock.setTimeout(
+      () => this.runWhenActive(() => this.receiveInitialState()),
+      CONNECT_DELAY_MS,
+    );
   }
 
   get storeAgeMs(): number | undefined {
@@ -141,10 +144,10 @@
   }
 
   /** Runs `action` once the process is not paused, if it is still alive. */
-  act(action: () => void): void {
+  runWhenActive(action: () => void): void {
     const waitMs = this.pausedUntilMs - this.fleet.clock.now();
     if (waitMs > 0) {
-      this.fleet.clock.setTimeout(() => this.act(action), waitMs);
+      this.fleet.clock.setTimeout(() => this.runWhenActive(action), waitMs);
     } else if (this.isAlive) {
       action();
     }
@@ -152,7 +155,7 @@
 
   private receiveInitialState(): void {
     for (const { process } of this.fleet.gateways) {
-      process?.act(() => {
+      process?.runWhenActive(() => {
         const conditions = process.statements.tell();
         process.send(this.gateway.name, { kind: 'conditions', conditions });
       });
@@ -205,7 +208,7 @@
       now: () => clock.now(),
       setTimeout: (callback, delayMs) => {
         const handle = { isCleared: false };
-        clock.setTimeout(() => this.act(() => handle.isCleared || callback()), delayMs);
+        clock.setTimeout(() => this.runWhenActive(() => handle.isCleared || callback()), delayMs);
         return handle;
       },
       clearTimeout: (handle) => {
@@ -218,7 +221,12 @@
 
   /** Patches private members of the quotas to inject `fault`. */
   private injectFault(fault: QuotaFleetFault): void {
-    const { startsFull, treatsTimeoutAsGrant, takesOthersShare, ignoresSettled } = fault;
+    const {
+      startsFull,
+      treatsTimeoutAsGrant,
+      assumesTwoPools: takesOthersShare,
+      ignoresSettled,
+    } = fault;
     const inside = this.quotas as unknown as {
       rights: { freeSinceMs: number; pools: number; take(...args: TakeRecord): boolean };
       charges: { timeOut(id: number): void; receive(id: number, grant: object): void };
@@ -244,9 +252,9 @@
 export class FleetGateway {
   process: FleetProcess | undefined;
   /** Whether it is partitioned from other gateways and the store. */
-  isCut = false;
+  isPartitioned = false;
   /** Partition side: gateways of different sides cannot exchange messages; all reach the store. */
-  side = 0;
+  partitionSide = 0;
   storeContactAtMs: number | undefined;
   private starts = 0;
 
@@ -290,7 +298,7 @@
   ]);
   isStoreUp = true;
   /** Called when a process changes its view of what may be sent to a back end. */
-  onCondition: ((process: FleetProcess) => void) | undefined;
+  onConditionChange: ((process: FleetProcess) => void) | undefined;
   /** Wall-clock time at the start of the virtual clock, in milliseconds. */
   timeOfDayMs = 1e12;
   /** Share of runs that are repeated once. */
@@ -337,7 +345,7 @@
     return this.record;
   }
 
-  /** Calls `act` periodically. */
+  /** Calls `runWhenActive` periodically. */
   every(periodMs: number, act: () => void): void {
     this.clock.setTimeout(() => {
       act();
@@ -346,7 +354,7 @@
   }
 
   /** Adds and starts a gateway. */
-  add(): void {
+  addGateway(): void {
     const index = this.gateways.length;
     const added = new FleetGateway(`g${index}`, `z${index % 3}`, this);
     this.gateways.push(added);
@@ -354,7 +362,7 @@
   }
 
   /** Starts the load of both tenants, in multiples of their rates. */
-  beginDemand(greedy = 5, calm = 0.6): void {
+  startLoad(greedy = 5, calm = 0.6): void {
     const mean = SIZES.reduce((sum, size) => sum + size, 0) / SIZES.length;
     const perStep = (times: number) => (FLEET_QUOTA.ratePerS * times * STEP_MS) / 1_000 / mean;
     this.every(STEP_MS, () => {
@@ -405,11 +413,14 @@
     }
     const delayMs = 1 + Math.floor(this.random.next() * MAX_DELAY_MS);
     this.clock.setTimeout(() => {
-      const isSeparated = from.gateway.isCut || to.isCut || from.gateway.side !== to.side;
+      const isSeparated =
+        from.gateway.isPartitioned ||
+        to.isPartitioned ||
+        from.gateway.partitionSide !== to.partitionSide;
       const isBlocked = from.gateway !== to && isSeparated;
       const target = to.process;
       if (!isBlocked && target !== undefined) {
-        target.act(() => handle(target));
+        target.runWhenActive(() => handle(target));
       }
     }, delayMs);
   }
@@ -417,7 +428,7 @@
   /** Writes the membership record by compare-and-swap on its position. */
   write(writer: FleetProcess, text: string, expected: StorePosition) {
     this.hasPromises = true;
-    if (!this.isStoreUp || writer.gateway.isCut) {
+    if (!this.isStoreUp || writer.gateway.isPartitioned) {
       return Promise.resolve(err(new StoreUnavailableError('down')));
     }
     const isFirst = isNoPosition(expected) && isNoPosition(this.record);
@@ -452,7 +463,7 @@
   }
 
   /** Replaces the record by an unreadable one. */
-  spoilRecord(): void {
+  corruptRecord(): void {
     this.revision += 1;
     this.setRecord({ ...NO_QUOTA_MEMBERS, ...at(this.revision, this.epoch) });
   }
@@ -474,16 +485,16 @@
       if (process === undefined) {
         continue;
       }
-      if (this.isStoreUp && !gateway.isCut) {
+      if (this.isStoreUp && !gateway.isPartitioned) {
         gateway.storeContactAtMs = this.clock.now();
-        process.act(
+        process.runWhenActive(
           () => this.recordHistory.length > 0 && process.quotas.applyRecord(this.visibleRecord),
         );
       }
-      process.act(() => process.quotas.tick());
-      process.act(() => process.statements.tick());
+      process.runWhenActive(() => process.quotas.tick());
+      process.runWhenActive(() => process.statements.tick());
       if (isHeartbeatDue) {
-        process.act(() => this.sendHeartbeat(process));
+        process.runWhenActive(() => this.sendHeartbeat(process));
       }
     }
   }
@@ -513,7 +524,7 @@
 
   private issueRequest(tenant: 'greedy' | 'calm', cost: number, process: FleetProcess): void {
     this.asked[tenant] += 1;
-    process.act(() => {
+    process.runWhenActive(() => {
       process.quotas.charge(tenant, cost, (result) => {
         this.refused[tenant] += result.isGranted ? 0 : 1;
         if (result.isGranted && process.isAlive && tenant === 'greedy') {
