--- a/src/cluster/peer-messages.ts
+++ b/src/cluster/peer-messages.ts
@@ -1,7 +1,7 @@
 /** Messages between gateways. */
 import type { RequestCrashes } from '../gateway/crashes/crash-tally.js';
-import type { ToldCondition } from '../gateway/statements/backend-condition.js';
-import type { SendRightAsk } from '../gateway/statements/send-rights.js';
+import type { ConditionSnapshot } from '../gateway/statements/backend-condition.js';
+import type { SendRightRequest } from '../gateway/statements/send-rights.js';
 import type { QuotaRequest } from '../gateway/quotas/quota-charges.js';
 import type { QuotaDecision } from '../gateway/quotas/quota-pools.js';
 import type { PeerRolloutReports } from '../rollout/rollouts.js';
@@ -68,14 +68,14 @@
 /** Conditions that back ends reported of themselves, sent when the sender has newer ones. */
 export interface PeerBackendConditions {
   readonly kind: 'conditions';
-  readonly conditions: readonly ToldCondition[];
+  readonly conditions: readonly ConditionSnapshot[];
 }
 
 /** Requests the right to send one request to a back end that reported a limit. */
-export interface PeerSendRightAsk extends SendRightAsk {
+export interface PeerSendRightAsk extends SendRightRequest {
   readonly kind: 'send-right-ask';
   /** Condition of the back end as the requesting gateway knows it. */
-  readonly condition?: ToldCondition | undefined;
+  readonly condition?: ConditionSnapshot | undefined;
 }
 
 /** Response to a `send-right-ask`, sent on the connection on which the request arrived. */
--- a/src/gateway/attempt/proxied-request.ts
+++ b/src/gateway/attempt/proxied-request.ts
@@ -8,7 +8,7 @@
 import type { ResponseHead, AttemptFailure, AttemptHandle, CallerReply } from './attempt.js';
 import type { AttemptOutcome } from '../dispatch/backend-health.js';
 import { AttemptProgress } from './attempt-progress.js';
-import type { EndingEvidence } from '../crashes/broken-runs.js';
+import type { ExitEvidence } from '../crashes/broken-runs.js';
 import type { RequestRun } from '../crashes/crashing-requests.js';
 import type { BackendResponseInfo } from '../admission/caller-protocol.js';
 import type { GatewayRefusal } from '../admission/gateway-refusal.js';
@@ -148,7 +148,7 @@
    * network partition they are not, and the request would wait until its deadline for a response
    * that cannot arrive.
    */
-  handleBackendEnded(backendId: string, evidence: EndingEvidence): void {
+  handleBackendEnded(backendId: string, evidence: ExitEvidence): void {
     const isAssigned = this.attempt !== undefined && this.backend?.id === backendId;
     // A draining backend closes its port first and completes its requests; its connections show
     // when it ends.
@@ -228,7 +228,7 @@
     this.record.addAttempt(backend, estimate, request.body.length, nowMs);
     this.attemptStartedAtMs = nowMs;
     this.lastReceiptAtMs = -Infinity;
-    this.currentRun = ports.crashes.begin(request, backend, this.currentRun);
+    this.currentRun = ports.crashes.beginRun(request, backend, this.currentRun);
     this.stopWatchingPath = entry?.path.subscribeLost(() => this.leaveLostPath());
     this.relay.beginAttempt();
     this.progress = new AttemptProgress(
@@ -418,7 +418,7 @@
     if (!isServerError) {
       this.reportSpeed(backendId);
       this.progress!.recordCompletion(this.ports.clock.now());
-      this.ports.crashes.noteServed(this.request);
+      this.ports.crashes.recordServed(this.request);
     }
     this.endAttempt(isServerError ? 'failed' : 'answered', `status ${status}`);
     if (isServerError && this.canRetryElsewhere() && this.takeRetry()) {
@@ -476,9 +476,9 @@
   private reportBrokenRun({ isPortClosed, mayHaveRun, isSilent }: AttemptFailure): void {
     const { crashes } = this.ports;
     if (isPortClosed) {
-      crashes.noteEnded(this.backend!.id, 'port-closed');
+      crashes.recordBackendExit(this.backend!.id, 'port-closed');
     } else if (mayHaveRun && isSilent !== true) {
-      crashes.noteBroken(this.currentRun!, false);
+      crashes.recordInterrupted(this.currentRun!, false);
     }
   }
 
@@ -588,7 +588,7 @@
   private abortAttempt(outcome: AttemptOutcome, detail: string): void {
     if (this.attempt !== undefined && outcome !== 'refused') {
       // A cancelled request may still run for a moment and crash the backend.
-      this.ports.crashes.noteBroken(this.currentRun!, true);
+      this.ports.crashes.recordInterrupted(this.currentRun!, true);
     }
     this.attempt?.cancel();
     const isUnanswered = outcome === 'failed' || outcome === 'silent';
--- a/src/gateway/attempt/request-model.ts
+++ b/src/gateway/attempt/request-model.ts
@@ -5,13 +5,13 @@
 import type { Distance } from '../../routing/places.js';
 import type { Route } from '../../routing/configuration.js';
 import type { BackendDirectory } from '../dispatch/backend-directory.js';
-import type { RunCrashes } from '../crashes/crashing-requests.js';
+import type { RunCrashTracker } from '../crashes/crashing-requests.js';
 import type { AcceptedRequest } from './accepted-request.js';
 import type { BackendSender } from './attempt.js';
 import type { AttemptOutcome } from '../dispatch/backend-health.js';
 import type { CallerProtocol } from '../admission/caller-protocol.js';
 import type { Dispatcher } from '../dispatch/dispatcher.js';
-import type { HeardStatement } from '../statements/backend-condition.js';
+import type { ReceivedStatement } from '../statements/backend-condition.js';
 import type { BackendStatement } from '../statements/backend-statement.js';
 
 /** Log record of one attempt; the field names are part of the log format. */
@@ -65,7 +65,7 @@
 }
 
 /** The status report in a response head received from a backend. */
-export interface ResponseStatement extends HeardStatement {
+export interface ResponseStatement extends ReceivedStatement {
   readonly backend: Backend;
   readonly requestId: string;
 }
@@ -78,7 +78,7 @@
   readonly sender: BackendSender;
   readonly protocol: CallerProtocol;
   readonly random: RandomSource;
-  readonly crashes: RunCrashes;
+  readonly crashes: RunCrashTracker;
   /** Takes one retry from the budget of a service; returns false if none is left. */
   takeRetry(service: string): boolean;
   /**
--- a/src/gateway/crashes/broken-runs.ts
+++ b/src/gateway/crashes/broken-runs.ts
@@ -8,7 +8,7 @@
  */
 
 /** Evidence that the process at a backend's address has exited. */
-export type EndingEvidence =
+export type ExitEvidence =
   /** Connections to its address are refused. */
   | 'port-closed'
   /** The agent on the backend's host reported that nothing listens on its port. */
@@ -49,7 +49,7 @@
 /** A detected exit of a backend process. */
 interface BackendExit {
   readonly detectedAtMs: number;
-  readonly evidence: EndingEvidence;
+  readonly evidence: ExitEvidence;
 }
 
 interface InterruptedRun<Run> {
@@ -71,7 +71,7 @@
    * Records an interrupted run; returns the evidence if its backend is already known to have
    * exited.
    */
-  add(run: Run, isAbortedLocally: boolean, nowMs: number): EndingEvidence | undefined {
+  add(run: Run, isAbortedLocally: boolean, nowMs: number): ExitEvidence | undefined {
     const exit = this.exits.get(run.backendId);
     if (exit !== undefined && exit.detectedAtMs >= run.sentAtMs) {
       return exit.evidence;
@@ -87,7 +87,7 @@
   }
 
   /** Records that a backend exited; removes and returns the runs that ended with it. */
-  takeExited(backendId: string, evidence: EndingEvidence, nowMs: number): Run[] {
+  takeExited(backendId: string, evidence: ExitEvidence, nowMs: number): Run[] {
     this.evictExpired(nowMs);
     this.exits.set(backendId, { detectedAtMs: nowMs, evidence });
     const endedRuns = [...this.runs].filter(({ run }) => run.backendId === backendId);
--- a/src/gateway/crashes/crash-looks.ts
+++ b/src/gateway/crashes/crash-looks.ts
@@ -14,9 +14,9 @@
 export interface ExitProberPorts {
   /** Whether an agent on the backend's host monitors it. */
   hasAgent(backendId: string): boolean;
-  look(address: string): Promise<PortState>;
+  probe(address: string): Promise<PortState>;
   /** Called when connections to the backend's address are refused. */
-  onClosed(backendId: string): void;
+  onPortClosed(backendId: string): void;
 }
 
 /**
@@ -27,7 +27,7 @@
 const PROBE_DELAYS_MS = [0, 100];
 
 /** Probes backends that cut off a response. */
-export class CrashLooks {
+export class ExitProber {
   /** Backends with a probe in progress; many responses may be cut off at once. */
   private readonly inProgress = new Set<string>();
 
@@ -37,7 +37,7 @@
   ) {}
 
   /** Starts probing a backend that cut off a response. */
-  begin({ id, address }: Backend): void {
+  start({ id, address }: Backend): void {
     if (this.ports.hasAgent(id) || this.inProgress.has(id)) {
       return;
     }
@@ -55,10 +55,10 @@
       return;
     }
     this.clock.setTimeout(() => {
-      void this.ports.look(address).then((state) => {
+      void this.ports.probe(address).then((state) => {
         if (state === 'closed') {
           this.inProgress.delete(id);
-          this.ports.onClosed(id);
+          this.ports.onPortClosed(id);
         } else {
           this.scheduleProbe(remainingDelaysMs, id, address);
         }
--- a/src/gateway/crashes/crash-record.ts
+++ b/src/gateway/crashes/crash-record.ts
@@ -94,7 +94,7 @@
   }
 
   /** Applies the newest stored record; returns the requests that have not expired. */
-  take({ requests, epoch, revision }: CrashRecord): readonly StoredCrashes[] {
+  applyRecord({ requests, epoch, revision }: CrashRecord): readonly StoredCrashes[] {
     const position = { epoch, revision };
     if (isLater(this.lastSeenPosition, position)) {
       return [];
@@ -112,7 +112,7 @@
   }
 
   /** Adds tallies and writes those that qualify for storage and supersede the stored ones. */
-  add(news: readonly RequestCrashes[]): void {
+  addTallies(news: readonly RequestCrashes[]): void {
     const changedAtMs = this.ports.timeOfDayMs();
     for (const request of news) {
       const qualifies =
@@ -154,7 +154,7 @@
     this.ports.onWritten(requests.length, result.ok ? undefined : result.val);
     if (result.ok) {
       this.retryMs = this.options.retryMinMs;
-      this.take({ requests, ...result.val });
+      this.applyRecord({ requests, ...result.val });
       this.isWriting = false;
       this.writeIfNeeded();
       return;
--- a/src/gateway/crashes/crashing-requests.ts
+++ b/src/gateway/crashes/crashing-requests.ts
@@ -10,7 +10,7 @@
 import type { GatewayRefusal } from '../admission/gateway-refusal.js';
 import type { AcceptedRequest } from '../attempt/accepted-request.js';
 import { InterruptedRuns } from './broken-runs.js';
-import type { BackendRun, EndingEvidence } from './broken-runs.js';
+import type { BackendRun, ExitEvidence } from './broken-runs.js';
 import { CrashTable } from './crash-table.js';
 import { NO_CRASHES } from './crash-tally.js';
 import type { CrashTally, RequestCrashes, RequestFingerprint } from './crash-tally.js';
@@ -23,7 +23,7 @@
   readonly request: AcceptedRequest;
   readonly backend: Backend;
   /** Tally of the request when it was sent. */
-  readonly known: CrashTally;
+  readonly tallyAtStart: CrashTally;
   /** The preceding, interrupted run of the same request. */
   readonly previous: RequestRun | undefined;
   /**
@@ -37,9 +37,9 @@
 export type TallySource = 'own' | 'peer' | 'store';
 
 /** A crash observed by this gateway. */
-export interface CountedCrash extends RequestCrashes {
+export interface ObservedCrash extends RequestCrashes {
   readonly run: RequestRun;
-  readonly evidence: EndingEvidence;
+  readonly evidence: ExitEvidence;
 }
 
 /** Dependencies and callbacks of the crash tracking. */
@@ -47,11 +47,11 @@
   /** Whether the backend had announced that it is draining. */
   isLeaving(backendId: string): boolean;
   /** Called when a response was cut off, to find out whether the backend exited. */
-  look(backend: Backend): void;
+  probe(backend: Backend): void;
   /** Called when a run of this gateway was in flight on a backend that exited. */
-  onCrash(crash: CountedCrash): void;
+  onCrash(crash: ObservedCrash): void;
   /** Called when tallies changed, so that they can be shared. */
-  onNews(changed: readonly RequestCrashes[], source: TallySource): void;
+  onTalliesChanged(changed: readonly RequestCrashes[], source: TallySource): void;
   /**
    * Called when a request becomes refused for all backends; its queued attempts must be answered.
    */
@@ -59,29 +59,29 @@
 }
 
 /** Crash tracking as used by requests. */
-export interface RunCrashes {
+export interface RunCrashTracker {
   /** Returns the refusal if the request must not be sent to any backend. */
   refusalOf(request: FingerprintedRequest): GatewayRefusal | undefined;
   /** Starts tracking a run of a request; `previous` is its preceding, interrupted run, if any. */
-  begin(request: AcceptedRequest, backend: Backend, previous?: RequestRun): RequestRun;
+  beginRun(request: AcceptedRequest, backend: Backend, previous?: RequestRun): RequestRun;
   /**
    * Records that the response of a run was cut off; `isAbortedLocally` if this gateway aborted it.
    */
-  noteBroken(run: RequestRun, isAbortedLocally: boolean): void;
+  recordInterrupted(run: RequestRun, isAbortedLocally: boolean): void;
   /**
    * Records that a backend completed the request with a response that is not one of the backend's
    * own failures.
    */
-  noteServed(request: AcceptedRequest): void;
+  recordServed(request: AcceptedRequest): void;
   /** Records that the process at a backend's address has exited. */
-  noteEnded(backendId: string, evidence: EndingEvidence): void;
+  recordBackendExit(backendId: string, evidence: ExitEvidence): void;
 }
 
 /** Maximum number of tallies sent to a newly connected gateway, about 16 kB. */
 const MAX_TALLIES_ON_CONNECT = 256;
 
 /** Tracks requests that crash backends and refuses them. */
-export class CrashingRequests implements RunCrashes {
+export class CrashingRequests implements RunCrashTracker {
   private readonly interruptedRuns = new InterruptedRuns<RequestRun>();
   private readonly servedRequests = new ServedRequests();
   private readonly fingerprints = new WeakMap<FingerprintedRequest, RequestFingerprint>();
@@ -122,13 +122,21 @@
     return isRefused;
   }
 
-  begin(request: AcceptedRequest, backend: Backend, previous?: RequestRun): RequestRun {
+  beginRun(request: AcceptedRequest, backend: Backend, previous?: RequestRun): RequestRun {
     const known = this.table.isEmpty ? NO_CRASHES : this.table.tallyOf(this.fingerprintOf(request));
     const sentAtMs = this.clock.now();
-    return { request, backend, backendId: backend.id, sentAtMs, known, previous, crashes: 0 };
+    return {
+      request,
+      backend,
+      backendId: backend.id,
+      sentAtMs,
+      tallyAtStart: known,
+      previous,
+      crashes: 0,
+    };
   }
 
-  noteBroken(run: RequestRun, isAbortedLocally: boolean): void {
+  recordInterrupted(run: RequestRun, isAbortedLocally: boolean): void {
     if (this.ports.isLeaving(run.backendId)) {
       // A planned shutdown is not caused by a request.
       return;
@@ -137,11 +145,11 @@
     if (evidence !== undefined) {
       this.countCrashes([run], evidence);
     } else if (!isAbortedLocally) {
-      this.ports.look(run.backend);
+      this.ports.probe(run.backend);
     }
   }
 
-  noteServed(request: AcceptedRequest): void {
+  recordServed(request: AcceptedRequest): void {
     const fingerprint = this.fingerprintOf(request);
     if (this.table.tallyOf(fingerprint).crashes > 0) {
       this.recordClearances([fingerprint]);
@@ -150,7 +158,7 @@
     }
   }
 
-  noteEnded(backendId: string, evidence: EndingEvidence): void {
+  recordBackendExit(backendId: string, evidence: ExitEvidence): void {
     this.countCrashes(
       this.interruptedRuns.takeExited(backendId, evidence, this.clock.now()),
       evidence,
@@ -158,7 +166,7 @@
   }
 
   /** Merges tallies from a peer or the store; returns the tallies in which the sender is behind. */
-  hear(incoming: readonly RequestCrashes[], source: TallySource): RequestCrashes[] {
+  mergeTallies(incoming: readonly RequestCrashes[], source: TallySource): RequestCrashes[] {
     this.mergeAll(incoming, source);
     return incoming.flatMap(({ fingerprint, crashes, clearances }) => {
       const known = this.table.tallyOf(fingerprint);
@@ -168,19 +176,19 @@
   }
 
   /** Returns the tallies to send to a newly connected gateway. */
-  tell(): RequestCrashes[] {
+  newestTallies(): RequestCrashes[] {
     return this.table.newest(MAX_TALLIES_ON_CONNECT);
   }
 
   /**
    * Removes all tallies after operators removed the stored record; nothing is refused afterwards.
    */
-  forgetAll(): void {
+  clear(): void {
     this.table.clear();
   }
 
   /** Removes expired tallies; call periodically. */
-  forgetOld(): void {
+  evictExpired(): void {
     this.table.evictExpired(this.clock.now());
   }
 
@@ -191,7 +199,7 @@
     return known;
   }
 
-  private countCrashes(runs: readonly RequestRun[], evidence: EndingEvidence): void {
+  private countCrashes(runs: readonly RequestRun[], evidence: ExitEvidence): void {
     const tallies = runs.map((run): RequestCrashes => {
       const fingerprint = this.fingerprintOf(run.request);
       const { clearances } = this.table.tallyOf(fingerprint);
@@ -207,7 +215,7 @@
     const nowMs = this.clock.now();
     const changed = incoming.filter((each) => this.mergeOne(each, nowMs));
     if (changed.length > 0) {
-      this.ports.onNews(changed, source);
+      this.ports.onTalliesChanged(changed, source);
     }
     const suspected = changed.filter(({ crashes }) => crashes > 0);
     this.recordClearances(
@@ -245,7 +253,7 @@
  * request. Only a run that began after a crash was known adds to the count, see
  * `CrashTally.crashes`.
  */
-function priorCrashes({ known, previous }: RequestRun, clearances: number): number {
+function priorCrashes({ tallyAtStart: known, previous }: RequestRun, clearances: number): number {
   const isSameVersion = known.clearances === clearances;
   return isSameVersion ? Math.max(known.crashes, previous?.crashes ?? 0) : 0;
 }
--- a/src/gateway/crashes/port-look.ts
+++ b/src/gateway/crashes/port-look.ts
@@ -12,7 +12,7 @@
 const PROBE_TIMEOUT_MS = 300;
 
 /** Probes `address` (IP:PORT); never rejects. */
-export function lookAtPort(address: string): Promise<PortState> {
+export function probePort(address: string): Promise<PortState> {
   const { host, port } = splitAddress(address);
   return new Promise((resolve) => {
     const socket = connect({ host, port, timeout: PROBE_TIMEOUT_MS });
--- a/src/gateway/dispatch/backend-chooser.ts
+++ b/src/gateway/dispatch/backend-chooser.ts
@@ -178,7 +178,7 @@
    */
   mayUseGrants(known: KnownBackend, nowMs: number): boolean {
     return (
-      this.isUnrestricted(known) && this.isUnlimited(known) && !known.condition.isResting(nowMs)
+      this.isUnrestricted(known) && this.isUnlimited(known) && !known.condition.isInBackoff(nowMs)
     );
   }
 
@@ -326,7 +326,7 @@
    */
   mayBegin(known: KnownBackend, nowMs: number): boolean {
     const hasRight = this.ports.sendRights?.mayBegin(known.backend.id) ?? true;
-    return hasRight && !known.condition.isResting(nowMs);
+    return hasRight && !known.condition.isInBackoff(nowMs);
   }
 
   /** Whether the backend announces no rate limit, so that its agent may grant slots. */
@@ -337,7 +337,7 @@
   /** Requests send rights for waiting requests at rate-limited backends with a free slot. */
   requestSendRights(service: string, queue: readonly DispatchRequest[], nowMs: number): void {
     for (const known of this.directory.ofService(service)) {
-      const isUsable = known.isReady && !known.condition.isResting(nowMs);
+      const isUsable = known.isReady && !known.condition.isInBackoff(nowMs);
       if (this.isUnlimited(known) || !isUsable || !this.hasFreeSlot(known, nowMs)) {
         continue;
       }
--- a/src/gateway/dispatch/backend-directory.ts
+++ b/src/gateway/dispatch/backend-directory.ts
@@ -154,7 +154,7 @@
    */
   restLeftMs(service: string, allowedRegions: AllowedRegions, nowMs: number): number {
     const restsLeftMs = this.permitted(service, allowedRegions).map(({ condition }) =>
-      Math.max(0, condition.restUntilMs - nowMs),
+      Math.max(0, condition.backoffUntilMs - nowMs),
     );
     return restsLeftMs.length === 0 ? 0 : Math.min(...restsLeftMs);
   }
--- a/src/gateway/dispatch/dispatcher.ts
+++ b/src/gateway/dispatch/dispatcher.ts
@@ -133,7 +133,7 @@
   ): boolean {
     const resting = this.directory
       .ofService(request.service)
-      .filter(({ condition }) => condition.isResting(nowMs))
+      .filter(({ condition }) => condition.isInBackoff(nowMs))
       .map(({ backend }) => backend.id);
     return this.hasReady(
       request,
--- a/src/gateway/gateway-cluster.ts
+++ b/src/gateway/gateway-cluster.ts
@@ -22,7 +22,7 @@
 import type { GatewayQuotas } from './gateway-quotas.js';
 import type { GatewaySettings } from './gateway-settings.js';
 import type { PeerView } from './dispatch/cold-share.js';
-import type { ToldCondition } from './statements/backend-condition.js';
+import type { ConditionSnapshot } from './statements/backend-condition.js';
 import type { RequestCrashes } from './crashes/crash-tally.js';
 import { GatewayPeers } from './links/gateway-peers.js';
 import type { CrashReportExchange, ConditionExchange } from './links/gateway-peers.js';
@@ -165,7 +165,7 @@
   }
 
   /** Sends conditions that backends reported to all peers. */
-  broadcastConditions(conditions: readonly ToldCondition[]): void {
+  broadcastConditions(conditions: readonly ConditionSnapshot[]): void {
     this.peers.broadcastConditions(conditions);
   }
 
--- a/src/gateway/gateway-crashes.ts
+++ b/src/gateway/gateway-crashes.ts
@@ -5,14 +5,14 @@
 import type { Clock } from '../clock.js';
 import type { WeirvaleError } from '../request/errors.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
-import { CrashLooks } from './crashes/crash-looks.js';
+import { ExitProber } from './crashes/crash-looks.js';
 import { CrashRecordWriter } from './crashes/crash-record.js';
 import type { CrashRecord } from './crashes/crash-record.js';
 import { encodeCrashRecord } from './crashes/crash-record-format.js';
 import type { RequestCrashes } from './crashes/crash-tally.js';
 import { CrashingRequests } from './crashes/crashing-requests.js';
-import type { CountedCrash, TallySource } from './crashes/crashing-requests.js';
-import { lookAtPort } from './crashes/port-look.js';
+import type { ObservedCrash, TallySource } from './crashes/crashing-requests.js';
+import { probePort } from './crashes/port-look.js';
 import type { BackendDirectory } from './dispatch/backend-directory.js';
 import type { GatewayAdapter } from './gateway-adapter.js';
 import type { GatewayMetrics } from './metrics/gateway-metrics.js';
@@ -33,7 +33,7 @@
 /** Tracks requests that crash backends. */
 export class GatewayCrashes {
   readonly requests: CrashingRequests;
-  private readonly portProbes: CrashLooks;
+  private readonly portProbes: ExitProber;
   private readonly recordWriter: CrashRecordWriter;
 
   constructor(private readonly dependencies: GatewayCrashesDependencies) {
@@ -41,18 +41,18 @@
     this.requests = new CrashingRequests(
       {
         isLeaving: (backendId) => directory.find(backendId)?.isLeaving === true,
-        look: (backend) => this.portProbes.begin(backend),
+        probe: (backend) => this.portProbes.start(backend),
         onCrash: (crash) => this.reportCrash(crash),
-        onNews: (tallies, source) => this.publishTallies(tallies, source),
+        onTalliesChanged: (tallies, source) => this.publishTallies(tallies, source),
         onRefused: () => dependencies.refuseWaiting(),
       },
       clock,
     );
-    this.portProbes = new CrashLooks(
+    this.portProbes = new ExitProber(
       {
         hasAgent: (backendId) => directory.find(backendId)?.agent !== undefined,
-        look: lookAtPort,
-        onClosed: (backendId) => this.requests.noteEnded(backendId, 'port-closed'),
+        probe: probePort,
+        onPortClosed: (backendId) => this.requests.recordBackendExit(backendId, 'port-closed'),
       },
       clock,
     );
@@ -69,13 +69,13 @@
 
   /** Merges a peer's tallies; returns those that the peer lacks. */
   mergePeerTallies(tallies: readonly RequestCrashes[]): readonly RequestCrashes[] {
-    return this.requests.hear(tallies, 'peer');
+    return this.requests.mergeTallies(tallies, 'peer');
   }
 
   /** Applies the crash record of the store. */
   applyRecord(record: CrashRecord): void {
     const { requests, epoch, revision } = record;
-    const recent = this.recordWriter.take(record);
+    const recent = this.recordWriter.applyRecord(record);
     this.dependencies.log.write('crash-record', 'state', {
       requests: requests?.length,
       epoch,
@@ -83,9 +83,9 @@
     });
     if (requests === undefined) {
       // An operator removed the record to clear all tallies.
-      this.requests.forgetAll();
+      this.requests.clear();
     }
-    this.recordWriter.add(this.requests.hear(recent, 'store'));
+    this.recordWriter.addTallies(this.requests.mergeTallies(recent, 'store'));
   }
 
   /** Stops writing to the store. */
@@ -93,7 +93,7 @@
     this.recordWriter.stop();
   }
 
-  private reportCrash({ fingerprint, crashes, run, evidence }: CountedCrash): void {
+  private reportCrash({ fingerprint, crashes, run, evidence }: ObservedCrash): void {
     const { request, backendId, sentAtMs } = run;
     this.dependencies.metrics.record(({ crashes: counted }) => counted.inc({ evidence }));
     this.dependencies.log.write('backend-crashed', 'failure', {
@@ -118,7 +118,7 @@
     }
     if (source === 'own') {
       this.dependencies.broadcastToPeers(tallies);
-      this.recordWriter.add(tallies);
+      this.recordWriter.addTallies(tallies);
     }
   }
 
--- a/src/gateway/gateway-requests.ts
+++ b/src/gateway/gateway-requests.ts
@@ -22,7 +22,7 @@
 import type { BackendDirectory } from './dispatch/backend-directory.js';
 import type { Dispatcher } from './dispatch/dispatcher.js';
 import type { GatewayAdapter } from './gateway-adapter.js';
-import type { EndingEvidence } from './crashes/broken-runs.js';
+import type { ExitEvidence } from './crashes/broken-runs.js';
 import type { CrashingRequests } from './crashes/crashing-requests.js';
 import type { GatewayCluster } from './gateway-cluster.js';
 import { reportRegions, reportExcluded } from './homes/home-report.js';
@@ -139,7 +139,7 @@
   }
 
   /** Treats the attempts that run on a backend as lost once its process has ended. */
-  handleBackendEnded(backendId: string, evidence: EndingEvidence): void {
+  handleBackendEnded(backendId: string, evidence: ExitEvidence): void {
     for (const { proxied } of [...this.active.values()]) {
       proxied.handleBackendEnded(backendId, evidence);
     }
--- a/src/gateway/gateway-role.ts
+++ b/src/gateway/gateway-role.ts
@@ -17,7 +17,7 @@
 import { ActiveConfiguration } from './configuration-in-force.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import { CallerListener } from './admission/caller-listener.js';
-import type { EndingEvidence } from './crashes/broken-runs.js';
+import type { ExitEvidence } from './crashes/broken-runs.js';
 import { BackendDirectory } from './dispatch/backend-directory.js';
 import { Dispatcher } from './dispatch/dispatcher.js';
 import type { GatewayAdapter } from './gateway-adapter.js';
@@ -131,7 +131,7 @@
         onLocalAvailability: (service, hasNear) => this.logRegionReach(service, hasNear),
         isServiceConfigured: (service) => this.configuration.isServiceConfigured(service),
         conditionOf: (backendId) => this.statements.conditionOf(backendId),
-        onReplaced: (backendId) => this.crashes.requests.noteEnded(backendId, 'replaced'),
+        onReplaced: (backendId) => this.crashes.requests.recordBackendExit(backendId, 'replaced'),
       },
     );
     this.dispatcher = new Dispatcher(this.directory, {
@@ -215,7 +215,7 @@
       quotas: this.quotas,
       rollouts: this.rollouts.rollouts,
       crashes: {
-        snapshot: () => this.crashes.requests.tell(),
+        snapshot: () => this.crashes.requests.newestTallies(),
         merge: (tallies) => this.crashes.mergePeerTallies(tallies),
       },
       statements: this.statements,
@@ -342,7 +342,7 @@
       this.links.broadcastReach();
     }
     if (this.ticks % MAINTENANCE_TICKS === 0) {
-      this.crashes.requests.forgetOld();
+      this.crashes.requests.evictExpired();
       this.statements.removeStale();
       const dropped = this.dependencies.log.reportDropped();
       this.dependencies.metrics.record(({ linesDropped }) => linesDropped.inc(dropped));
@@ -395,8 +395,8 @@
     }
   }
 
-  private handleBackendEnded(backendId: string, evidence: EndingEvidence): void {
-    this.crashes.requests.noteEnded(backendId, evidence);
+  private handleBackendEnded(backendId: string, evidence: ExitEvidence): void {
+    this.crashes.requests.recordBackendExit(backendId, evidence);
     this.requests.handleBackendEnded(backendId, evidence);
   }
 
--- a/src/gateway/gateway-statements.ts
+++ b/src/gateway/gateway-statements.ts
@@ -16,12 +16,12 @@
 import type { GatewayQuotas } from './gateway-quotas.js';
 import type { GatewaySettings } from './gateway-settings.js';
 import type { GatewayMetrics } from './metrics/gateway-metrics.js';
-import type { BackendCondition, ToldCondition } from './statements/backend-condition.js';
+import type { BackendCondition, ConditionSnapshot } from './statements/backend-condition.js';
 import { BackendConditions } from './statements/backend-conditions.js';
 import type { ConditionSource } from './statements/backend-conditions.js';
 import { sendLimitPerS } from './statements/send-limit.js';
 import { SendRightPools } from './statements/send-right-pools.js';
-import { rightName, SendRights } from './statements/send-rights.js';
+import { rightRequestName, SendRights } from './statements/send-rights.js';
 
 /** Finds the holder of a resource that is not divided among gateways, and sends messages to it. */
 export type SoleHolderDirectory = Pick<GatewayQuotas, 'soleHolderOf' | 'soleSinceMs' | 'sendTo'>;
@@ -37,7 +37,7 @@
   /** Number of known gateways, including this one. */
   countGateways(): number;
   /** Sends conditions to every other gateway. */
-  broadcastToPeers(conditions: readonly ToldCondition[]): void;
+  broadcastToPeers(conditions: readonly ConditionSnapshot[]): void;
   /** Called when a backend's condition, or a send permit for it, changes what may be sent there. */
   onChange(backendId: string): void;
   /** Whether the backend is still in the directory. */
@@ -84,18 +84,18 @@
       {
         limitOf,
         dealerOf: (backendId) => dependencies.holders().soleHolderOf(holderKeyOf(backendId)),
-        askSelf: (backendId, ask) => this.pools.ask(backendId, ask),
-        sendAsk: (holder, { id, backendId, place: { tier, rankInTier } }) =>
+        acquireLocally: (backendId, ask) => this.pools.acquire(backendId, ask),
+        sendRightRequest: (holder, { id, backendId, place: { tier, rankInTier } }) =>
           dependencies.holders().sendTo(holder, {
             kind: 'send-right-ask',
             id,
             backendId,
             place: { tier, rankInTier },
-            condition: this.conditionOf(backendId).tell(backendId, clock.now()),
+            condition: this.conditionOf(backendId).snapshot(backendId, clock.now()),
           }),
-        giveBack: (holder, { id, backendId }) => this.giveBack(holder, id, backendId),
+        returnRight: (holder, { id, backendId }) => this.giveBack(holder, id, backendId),
         countGateways: () => dependencies.countGateways(),
-        onRight: (backendId) => dependencies.onChange(backendId),
+        onRightReceived: (backendId) => dependencies.onChange(backendId),
       },
       clock,
       random,
@@ -104,7 +104,7 @@
 
   /** Condition reported by a backend incarnation. */
   conditionOf(backendId: string): BackendCondition {
-    return this.conditions.of(backendId, this.dependencies.clock.now());
+    return this.conditions.getOrCreate(backendId, this.dependencies.clock.now());
   }
 
   /** Processes the head of a response. */
@@ -118,16 +118,16 @@
       const fields = { backend: backend.id, request: requestId, restMs };
       log.write('backend-asks-rest', 'failure', fields);
     }
-    this.conditions.hear(backend.id, head, clock.now());
+    this.conditions.applyStatement(backend.id, head, clock.now());
   }
 
   /** All current conditions, as sent to a peer that connects. */
-  tell(): readonly ToldCondition[] {
-    return this.conditions.tell(this.dependencies.clock.now());
+  tell(): readonly ConditionSnapshot[] {
+    return this.conditions.snapshots(this.dependencies.clock.now());
   }
 
   /** Merges the conditions that a peer sent. */
-  hearPeer(conditions: readonly ToldCondition[]): void {
+  hearPeer(conditions: readonly ConditionSnapshot[]): void {
     this.conditions.merge(conditions, this.dependencies.clock.now());
   }
 
@@ -141,17 +141,21 @@
       this.hearPeer([condition]);
     }
     const answer = (isGranted: boolean) => reply({ kind: 'send-right-answer', id, isGranted });
-    this.pools.ask(backendId, { name: rightName(incarnation, id), place, answer });
+    this.pools.acquire(backendId, {
+      name: rightRequestName(incarnation, id),
+      place,
+      respond: answer,
+    });
   }
 
   /** Processes another gateway's answer to a permit request. */
   receiveAnswer({ id, isGranted }: PeerSendRightAnswer): void {
-    this.rights.receive(id, isGranted);
+    this.rights.receiveResponse(id, isGranted);
   }
 
   /** Returns a peer's unused permit to its pool. */
   takeBack({ incarnation }: PeerHello, { id, backendId }: PeerSendRightReturn): void {
-    this.pools.giveBack(backendId, rightName(incarnation, id));
+    this.pools.returnRight(backendId, rightRequestName(incarnation, id));
   }
 
   /**
@@ -159,13 +163,16 @@
    * each tick.
    */
   tick(): void {
-    this.pools.review();
+    this.pools.issueAll();
   }
 
   /** Removes the state of backends that are gone or no longer limited; called periodically. */
   removeStale(): void {
-    this.rights.forgetFree();
-    this.conditions.forgetOld((id) => this.dependencies.isKnown(id), this.dependencies.clock.now());
+    this.rights.evictUnlimited();
+    this.conditions.evictExpired(
+      (id) => this.dependencies.isKnown(id),
+      this.dependencies.clock.now(),
+    );
     for (const [backendId, limitPerS] of this.loggedLimits) {
       if (limitPerS === undefined) {
         this.loggedLimits.delete(backendId);
@@ -176,7 +183,7 @@
   private giveBack(holder: string, id: number, backendId: string): void {
     const { name } = this.dependencies.settings.process;
     if (holder === name) {
-      this.pools.giveBack(backendId, rightName(name, id));
+      this.pools.returnRight(backendId, rightRequestName(name, id));
       return;
     }
     const message: PeerMessage = { kind: 'send-right-return', id, backendId };
@@ -202,7 +209,7 @@
   private broadcastChanges(): void {
     const nowMs = this.dependencies.clock.now();
     const conditions = [...this.changedBackends].flatMap(
-      (id) => this.conditionOf(id).tell(id, nowMs) ?? [],
+      (id) => this.conditionOf(id).snapshot(id, nowMs) ?? [],
     );
     this.broadcastTimer = undefined;
     this.changedBackends.clear();
@@ -210,7 +217,7 @@
   }
 
   private logChange(backendId: string, condition: BackendCondition, source: ConditionSource): void {
-    const { limitPerS, isLeaving, restUntilMs } = condition;
+    const { limitPerS, isLeaving, backoffUntilMs: restUntilMs } = condition;
     const logged = this.loggedLimits.get(backendId);
     const isSameLimit =
       limitPerS !== undefined &&
--- a/src/gateway/links/gateway-peers.ts
+++ b/src/gateway/links/gateway-peers.ts
@@ -16,7 +16,7 @@
 import type { PeerView } from '../dispatch/cold-share.js';
 import type { GatewayQuotas } from '../gateway-quotas.js';
 import type { GatewayConditions } from '../gateway-statements.js';
-import type { ToldCondition } from '../statements/backend-condition.js';
+import type { ConditionSnapshot } from '../statements/backend-condition.js';
 import type { RequestCrashes } from '../crashes/crash-tally.js';
 import { heartbeatTicks, IDLE_HEARTBEAT_TICKS, maxHeartbeatIntervalMs } from './beat-times.js';
 
@@ -198,7 +198,7 @@
   }
 
   /** Broadcasts conditions that back ends have reported. */
-  broadcastConditions(conditions: readonly ToldCondition[]): void {
+  broadcastConditions(conditions: readonly ConditionSnapshot[]): void {
     this.mesh.broadcast({ kind: 'conditions', conditions });
   }
 
--- a/src/gateway/metrics/gateway-snapshot.ts
+++ b/src/gateway/metrics/gateway-snapshot.ts
@@ -78,7 +78,7 @@
   nowMs: number,
 ): ReportedCondition[] {
   return backends.flatMap(({ backend: { id: backend }, condition }): ReportedCondition[] => {
-    const { limitPerS, isLeaving, restUntilMs } = condition;
+    const { limitPerS, isLeaving, backoffUntilMs: restUntilMs } = condition;
     const restLeftS = Math.max(0, restUntilMs - nowMs) / MS_PER_S;
     return [
       ...(limitPerS === undefined
--- a/src/gateway/statements/backend-condition.ts
+++ b/src/gateway/statements/backend-condition.ts
@@ -10,7 +10,7 @@
 /**
  * A backend condition as sent to peers. Contains ages instead of timestamps, since clocks differ.
  */
-export interface ToldCondition {
+export interface ConditionSnapshot {
   /** ID of the backend instance. */
   readonly backendId: string;
   /** Stated request limit, in requests per second; missing if the newest statement names none. */
@@ -31,7 +31,7 @@
 }
 
 /** A statement received with a response, and the context of its request. */
-export interface HeardStatement {
+export interface ReceivedStatement {
   readonly statement: BackendStatement;
   /** When the request was sent, in milliseconds. */
   readonly sentAtMs: number;
@@ -85,14 +85,14 @@
   }
 
   /** End of the current or last backoff, in milliseconds; -Infinity if there was none. */
-  get restUntilMs(): number {
+  get backoffUntilMs(): number {
     return Math.max(this.sharedBackoffEndMs, this.refusalBackoffEndMs);
   }
 
   /**
    * Whether the backend must not receive requests now, because of a stated or a refusal backoff.
    */
-  isResting(nowMs: number): boolean {
+  isInBackoff(nowMs: number): boolean {
     return nowMs < Math.max(this.sharedBackoffEndMs, this.refusalBackoffEndMs);
   }
 
@@ -102,7 +102,7 @@
   }
 
   /** Applies the statement of a response; returns whether the condition changed. */
-  hear({ statement, sentAtMs, isTurnedAway }: HeardStatement, nowMs: number): boolean {
+  applyStatement({ statement, sentAtMs, isTurnedAway }: ReceivedStatement, nowMs: number): boolean {
     const hasLimitChanged = this.updateLimit(statement.limitPerS, sentAtMs, nowMs);
     const hasDrainingChanged = this.updateDraining(statement.isLeaving);
     const hasBackoffChanged = this.extendSharedBackoff(nowMs + (statement.restMs ?? -Infinity));
@@ -125,7 +125,7 @@
   }
 
   /** Merges the condition sent by a peer; returns whether the condition changed. */
-  merge(incoming: ToldCondition, nowMs: number): boolean {
+  merge(incoming: ConditionSnapshot, nowMs: number): boolean {
     const limitAtMs = nowMs - (incoming.limitAgeMs ?? Infinity);
     const isNewer = limitAtMs > this.limitAtMs;
     const hasLimitChanged = isNewer && incoming.limitPerS !== this.limit;
@@ -140,7 +140,7 @@
   }
 
   /** Returns the condition to send to peers; undefined if the backend never stated anything. */
-  tell(backendId: string, nowMs: number): ToldCondition | undefined {
+  snapshot(backendId: string, nowMs: number): ConditionSnapshot | undefined {
     const { limit, limitAtMs, sharedBackoffEndMs, lastServedAtMs, hasDrainStarted } = this;
     const hadBackoff = sharedBackoffEndMs !== -Infinity;
     if (limitAtMs === -Infinity && !hasDrainStarted && !hadBackoff) {
--- a/src/gateway/statements/backend-conditions.ts
+++ b/src/gateway/statements/backend-conditions.ts
@@ -1,6 +1,6 @@
 /** The conditions of all backends. */
 import { BackendCondition } from './backend-condition.js';
-import type { HeardStatement, ToldCondition } from './backend-condition.js';
+import type { ReceivedStatement, ConditionSnapshot } from './backend-condition.js';
 
 /** Origin of a condition change. */
 export type ConditionSource =
@@ -32,20 +32,20 @@
   constructor(private readonly ports: BackendConditionsPorts) {}
 
   /** Returns the condition of a backend instance; creates it if missing. */
-  of(backendId: string, nowMs: number): BackendCondition {
+  getOrCreate(backendId: string, nowMs: number): BackendCondition {
     return this.getOrCreateEntry(backendId, nowMs).condition;
   }
 
   /** Applies the statement of a response. */
-  hear(backendId: string, received: HeardStatement, nowMs: number): void {
+  applyStatement(backendId: string, received: ReceivedStatement, nowMs: number): void {
     const entry = this.getOrCreateEntry(backendId, nowMs);
-    if (entry.condition.hear(received, nowMs)) {
+    if (entry.condition.applyStatement(received, nowMs)) {
       this.recordChange(backendId, entry, 'answer', nowMs);
     }
   }
 
   /** Merges conditions sent by a peer. */
-  merge(incoming: readonly ToldCondition[], nowMs: number): void {
+  merge(incoming: readonly ConditionSnapshot[], nowMs: number): void {
     for (const condition of incoming) {
       const entry = this.getOrCreateEntry(condition.backendId, nowMs);
       if (entry.condition.merge(condition, nowMs)) {
@@ -55,16 +55,16 @@
   }
 
   /** Returns all conditions to send to a newly connected peer. */
-  tell(nowMs: number): ToldCondition[] {
+  snapshots(nowMs: number): ConditionSnapshot[] {
     return [...this.entries].flatMap(
-      ([backendId, { condition }]) => condition.tell(backendId, nowMs) ?? [],
+      ([backendId, { condition }]) => condition.snapshot(backendId, nowMs) ?? [],
     );
   }
 
   /**
    * Removes conditions that have not changed for a long time, except those of `known` instances.
    */
-  forgetOld(known: (backendId: string) => boolean, nowMs: number): void {
+  evictExpired(known: (backendId: string) => boolean, nowMs: number): void {
     for (const [backendId, { changedAtMs }] of this.entries) {
       if (nowMs - changedAtMs > CONDITION_TTL_MS && !known(backendId)) {
         this.entries.delete(backendId);
--- a/src/gateway/statements/read-statement.ts
+++ b/src/gateway/statements/read-statement.ts
@@ -26,7 +26,7 @@
  * Parses the headers and ignores malformed values. A repeated header arrives as one comma-separated
  * value, which is malformed as well.
  */
-export function readStatement({ limit, leaving, rest }: StatementHeaders): BackendStatement {
+export function parseStatement({ limit, leaving, rest }: StatementHeaders): BackendStatement {
   if (limit === undefined && leaving === undefined && rest === undefined) {
     return NO_STATEMENT;
   }
--- a/src/gateway/statements/send-right-pools.ts
+++ b/src/gateway/statements/send-right-pools.ts
@@ -17,8 +17,8 @@
   /** Unique ID of the right request. */
   readonly name: string;
   readonly place: RequestPriority;
-  /** Called exactly once, possibly before `ask` returns. */
-  answer(isGranted: boolean): void;
+  /** Called exactly once, possibly before `acquire` returns. */
+  respond(isGranted: boolean): void;
 }
 
 /** Dependencies of the pools. */
@@ -108,11 +108,11 @@
   ) {}
 
   /** Requests a right to send one request to the backend. */
-  ask(backendId: string, request: RightRequest): void {
+  acquire(backendId: string, request: RightRequest): void {
     const nowMs = this.clock.now();
     const pool = this.getOrCreatePool(backendId, nowMs);
     if (pool === undefined) {
-      request.answer(false);
+      request.respond(false);
       return;
     }
     pool.queue.push({ ...request, expiresAtMs: nowMs + MAX_QUEUE_WAIT_MS });
@@ -120,7 +120,7 @@
   }
 
   /** Returns an issued but unused right to its pool. */
-  giveBack(backendId: string, name: string): void {
+  returnRight(backendId: string, name: string): void {
     const pool = this.pools.get(backendId);
     if (pool !== undefined) {
       pool.returnRight(name, this.clock.now());
@@ -129,7 +129,7 @@
   }
 
   /** Re-evaluates all pools after limits or issuers may have changed; call periodically. */
-  review(): void {
+  issueAll(): void {
     for (const [backendId, pool] of this.pools) {
       const isHeld = this.ports.heldSinceMs(backendId) !== undefined;
       if (isHeld && this.ports.limitOf(backendId) !== undefined) {
@@ -162,7 +162,7 @@
   private closePool(backendId: string, pool: SendRightPool, isGranted: boolean): void {
     this.pools.delete(backendId);
     this.clock.clearTimeout(pool.timer);
-    pool.queue.splice(0).forEach((request) => request.answer(isGranted));
+    pool.queue.splice(0).forEach((request) => request.respond(isGranted));
   }
 
   private issueQueued(backendId: string, pool: SendRightPool): void {
@@ -174,7 +174,7 @@
     const nowMs = this.clock.now();
     pool.queue.sort(compareRequests);
     while (pool.queue.length > 0 && pool.tryIssue(pool.queue[0]!.name, limitPerS, nowMs)) {
-      pool.queue.shift()!.answer(true);
+      pool.queue.shift()!.respond(true);
     }
     this.denyExpired(pool, nowMs);
     this.scheduleIssue(backendId, pool, limitPerS, nowMs);
@@ -184,7 +184,7 @@
     const expired = pool.queue.filter(({ expiresAtMs }) => expiresAtMs <= nowMs);
     expired.forEach((request) => {
       pool.queue.splice(pool.queue.indexOf(request), 1);
-      request.answer(false);
+      request.respond(false);
     });
   }
 
--- a/src/gateway/statements/send-rights.ts
+++ b/src/gateway/statements/send-rights.ts
@@ -9,7 +9,7 @@
 import type { RightRequest, RequestPriority } from './send-right-pools.js';
 
 /** A request for one send right, as sent to another gateway. */
-export interface SendRightAsk {
+export interface SendRightRequest {
   /** Correlates the response. */
   readonly id: number;
   readonly backendId: string;
@@ -23,15 +23,15 @@
   /** Returns the gateway that issues the backend's rights; undefined while unknown. */
   dealerOf(backendId: string): string | undefined;
   /** Requests a right from this gateway's own pools. */
-  askSelf(backendId: string, request: RightRequest): void;
+  acquireLocally(backendId: string, request: RightRequest): void;
   /** Sends a right request to another gateway; returns false without a connection to it. */
-  sendAsk(issuer: string, request: SendRightAsk): boolean;
+  sendRightRequest(issuer: string, request: SendRightRequest): boolean;
   /** Returns a right that was, or may have been, issued and not used. */
-  giveBack(issuer: string, request: Pick<SendRightAsk, 'id' | 'backendId'>): void;
+  returnRight(issuer: string, request: Pick<SendRightRequest, 'id' | 'backendId'>): void;
   /** Returns the number of known gateways, including this one. */
   countGateways(): number;
   /** Called when a requested right arrives. */
-  onRight(backendId: string): void;
+  onRightReceived(backendId: string): void;
 }
 
 /** Time that an unused right is held, in milliseconds; other gateways may need it. */
@@ -77,7 +77,7 @@
   private readonly skipIssuerUntilMs = new Map<string, number>();
   private lastId = 0;
   /**
-   * Suppresses `onRight` during a request: the caller itself checks whether a right arrived
+   * Suppresses `onRightReceived` during a request: the caller itself checks whether a right arrived
    * synchronously.
    */
   private isRequesting = false;
@@ -125,7 +125,7 @@
   }
 
   /** Handles the response of an issuer. */
-  receive(id: number, isGranted: boolean): void {
+  receiveResponse(id: number, isGranted: boolean): void {
     const pendingRequest = this.pending.get(id);
     if (pendingRequest === undefined) {
       return;
@@ -140,7 +140,7 @@
   }
 
   /** Removes state of backends that no longer have a limit. */
-  forgetFree(): void {
+  evictUnlimited(): void {
     for (const [backendId, { held, pendingId }] of this.backends) {
       const isUnlimited = this.ports.limitOf(backendId) === undefined;
       if (isUnlimited && held.length === 0 && pendingId === undefined) {
@@ -165,10 +165,14 @@
       rights.pendingId = id;
       const right = { id, issuer, timer: undefined };
       const answer = (isGranted: boolean) => this.handleResponse(backendId, right, isGranted);
-      this.ports.askSelf(backendId, { name: rightName(this.self, id), place, answer });
+      this.ports.acquireLocally(backendId, {
+        name: rightRequestName(this.self, id),
+        place,
+        respond: answer,
+      });
       return true;
     }
-    if (!this.ports.sendAsk(issuer, { id, backendId, place })) {
+    if (!this.ports.sendRightRequest(issuer, { id, backendId, place })) {
       return false;
     }
     rights.pendingId = id;
@@ -186,7 +190,7 @@
     this.getOrCreateRights(backendId).pendingId = undefined;
     this.skipIssuerUntilMs.set(issuer, this.clock.now() + UNRESPONSIVE_SKIP_MS);
     // The right request may still arrive and be granted.
-    this.ports.giveBack(issuer, { id, backendId });
+    this.ports.returnRight(issuer, { id, backendId });
   }
 
   private handleResponse(backendId: string, right: HeldRight, isGranted: boolean): void {
@@ -198,7 +202,7 @@
     }
     this.storeRight(backendId, rights, right);
     if (!this.isRequesting) {
-      this.ports.onRight(backendId);
+      this.ports.onRightReceived(backendId);
     }
   }
 
@@ -213,7 +217,7 @@
   private releaseUnused(backendId: string, { held }: BackendRights, right: HeldRight): void {
     held.splice(held.indexOf(right), 1);
     if (right.issuer !== undefined) {
-      this.ports.giveBack(right.issuer, { id: right.id, backendId });
+      this.ports.returnRight(right.issuer, { id: right.id, backendId });
     }
   }
 
@@ -247,6 +251,6 @@
 }
 
 /** Returns the unique ID of a right request at its issuer. */
-export function rightName(requester: string, id: number): string {
+export function rightRequestName(requester: string, id: number): string {
   return `${requester} ${id}`;
 }
--- a/src/model/model-gateway.ts
+++ b/src/model/model-gateway.ts
@@ -5,7 +5,7 @@
 import type { Clock } from '../clock.js';
 import type { CallerReply } from '../gateway/attempt/attempt.js';
 import { NO_CRASHES } from '../gateway/crashes/crash-tally.js';
-import type { RunCrashes } from '../gateway/crashes/crashing-requests.js';
+import type { RunCrashTracker } from '../gateway/crashes/crashing-requests.js';
 import { ProxiedRequest } from '../gateway/attempt/proxied-request.js';
 import type { RequestOptions, RequestPorts } from '../gateway/attempt/request-model.js';
 import type { CallerProtocol } from '../gateway/admission/caller-protocol.js';
@@ -67,20 +67,20 @@
 export const RETRY_AFTER_HEADER = 'retry-after-ms';
 
 /** The requests of a model are all alike and crash nothing: engines that crash there do so by themselves. */
-const NO_CRASHING_REQUESTS: RunCrashes = {
+const NO_CRASHING_REQUESTS: RunCrashTracker = {
   refusalOf: () => undefined,
-  begin: (request, backend) => ({
+  beginRun: (request, backend) => ({
     request,
     backend,
     backendId: backend.id,
     sentAtMs: 0,
-    known: NO_CRASHES,
+    tallyAtStart: NO_CRASHES,
     previous: undefined,
     crashes: 0,
   }),
-  noteBroken: () => undefined,
-  noteServed: () => undefined,
-  noteEnded: () => undefined,
+  recordInterrupted: () => undefined,
+  recordServed: () => undefined,
+  recordBackendExit: () => undefined,
 };
 
 /** Operators order nothing in a model. */
--- a/test/crash-record.test.ts
+++ b/test/crash-record.test.ts
@@ -45,7 +45,9 @@
 
   /** Delivers the stored record to every gateway. */
   deliverRecord(): void {
-    this.writers.forEach((writer) => writer.take(decodeCrashRecord(this.text, at(this.revision))));
+    this.writers.forEach((writer) =>
+      writer.applyRecord(decodeCrashRecord(this.text, at(this.revision))),
+    );
   }
 
   stored(): StoredCrashes[] {
@@ -82,10 +84,10 @@
 
 test('a request is stored from its second crash on, not after the first', async (t) => {
   const world = new StoreHarness(1);
-  world.writers[0]!.add([tally('a', 1), tally('b', 1)]);
+  world.writers[0]!.addTallies([tally('a', 1), tally('b', 1)]);
   await world.runUntilSettled();
   t.is(world.writes, 0);
-  world.writers[0]!.add([tally('a', 2)]);
+  world.writers[0]!.addTallies([tally('a', 2)]);
   await world.runUntilSettled();
   t.like(world.stored(), [tally('a', 2)]);
   t.is(world.writes, 1);
@@ -94,7 +96,7 @@
 test('concurrent writes of several gateways are merged, with the highest tally per request', async (t) => {
   const world = new StoreHarness(3);
   world.writers.forEach((writer, index) =>
-    writer.add([tally(`own-${index}`, 3), tally('same', 2 + index)]),
+    writer.addTallies([tally(`own-${index}`, 3), tally('same', 2 + index)]),
   );
   await world.runUntilSettled();
   const stored = world.stored().map(({ fingerprint, crashes }) => `${fingerprint} ${crashes}`);
@@ -104,7 +106,7 @@
 test('after an outage or lost responses the record is written to the store, with a bounded number of calls', async (t) => {
   const world = new StoreHarness(1);
   world.isDown = true;
-  world.writers[0]!.add([tally('a', 3)]);
+  world.writers[0]!.addTallies([tally('a', 3)]);
   await world.runUntilSettled();
   t.true(world.writes <= 8);
   world.isDown = false;
@@ -118,23 +120,23 @@
 
 test('a clearance is written only for requests in the stored record', async (t) => {
   const world = new StoreHarness(2);
-  world.writers[0]!.add([tally('a', 3)]);
+  world.writers[0]!.addTallies([tally('a', 3)]);
   await world.runUntilSettled();
-  world.writers[1]!.add([tally('a', 0, 1), tally('never-stored', 0, 1)]);
+  world.writers[1]!.addTallies([tally('a', 0, 1), tally('never-stored', 0, 1)]);
   await world.runUntilSettled();
   t.like(world.stored(), [tally('a', 0, 1)]);
 });
 
 test('a starting gateway loads all unexpired requests, and the record size stays bounded', async (t) => {
   const world = new StoreHarness(1);
-  world.writers[0]!.add([tally('old', 3)]);
+  world.writers[0]!.addTallies([tally('old', 3)]);
   await world.runUntilSettled();
   world.timeOfDayMs += maxAgeMs + 1;
   const many = Array.from({ length: maxRequests + 50 }, (_unused, index) => tally(`${index}`, 3));
-  world.writers[0]!.add(many);
+  world.writers[0]!.addTallies(many);
   await world.runUntilSettled();
   const newWriter = world.createWriter();
-  const loaded = newWriter.take(decodeCrashRecord(world.text, at(world.revision)));
+  const loaded = newWriter.applyRecord(decodeCrashRecord(world.text, at(world.revision)));
   t.is(loaded.length, maxRequests);
   t.false(loaded.some(({ fingerprint }) => fingerprint === 'old'));
   t.true(world.text!.length < 40_000);
@@ -142,12 +144,12 @@
 
 test('a record that operators removed is recreated without its former requests', async (t) => {
   const world = new StoreHarness(1);
-  world.writers[0]!.add([tally('a', 3)]);
+  world.writers[0]!.addTallies([tally('a', 3)]);
   await world.runUntilSettled();
   world.text = undefined;
   world.revision += 1;
   world.deliverRecord();
-  world.writers[0]!.add([tally('b', 2)]);
+  world.writers[0]!.addTallies([tally('b', 2)]);
   await world.runUntilSettled();
   t.like(world.stored(), [tally('b', 2)]);
 });
--- a/test/crashing-requests-fleet.test.ts
+++ b/test/crashing-requests-fleet.test.ts
@@ -150,7 +150,7 @@
     }
     for (const other of this.gateways) {
       if (other.index !== index && !this.isPartitioned(index) && !this.isPartitioned(other.index)) {
-        const tallies = other.crashing.tell();
+        const tallies = other.crashing.newestTallies();
         this.clock.setTimeout(() => gateway.mergeFromPeer(tallies), 50);
       }
     }
@@ -197,7 +197,7 @@
     if (isCrashing && nowMs > this.thirdCrashAtMs + PROPAGATION_GRACE_MS) {
       this.outcome.lateSends += 1;
     }
-    const run = gateway.crashing.begin(request, backendOf(backendId));
+    const run = gateway.crashing.beginRun(request, backendOf(backendId));
     const entry = { gateway, run };
     this.runs.set(backendId, [...(this.runs.get(backendId) ?? []), entry]);
     if (isCrashing) {
@@ -215,7 +215,7 @@
         running.filter((each) => each !== entry),
       );
       if (this.variant.disablesClearance !== true) {
-        entry.gateway.crashing.noteServed(entry.run.request);
+        entry.gateway.crashing.recordServed(entry.run.request);
       }
     }
   }
@@ -242,7 +242,10 @@
       this.clock.setTimeout(() => gateway.interruptRun(run), 1 + this.randomBelow(4));
     }
     for (const gateway of this.gateways) {
-      this.clock.setTimeout(() => gateway.crashing.noteEnded(backendId, 'agent'), detectionDelayMs);
+      this.clock.setTimeout(
+        () => gateway.crashing.recordBackendExit(backendId, 'agent'),
+        detectionDelayMs,
+      );
     }
   }
 
@@ -267,12 +270,12 @@
     this.crashing = new CrashingRequests(
       {
         isLeaving: () => false,
-        look: () => undefined,
+        probe: () => undefined,
         onCrash: () => undefined,
-        onNews: (news, source) => {
+        onTalliesChanged: (news, source) => {
           if (source === 'own' && variant.disablesSharing !== true) {
             fleet.tellPeers(this, news);
-            this.record.add(news);
+            this.record.addTallies(news);
           }
         },
         onRefused: () => undefined,
@@ -290,20 +293,20 @@
   }
 
   mergeFromPeer(requests: readonly RequestCrashes[]): void {
-    this.crashing.hear(requests, 'peer');
+    this.crashing.mergeTallies(requests, 'peer');
   }
 
   applyRecord(record: CrashRecord): void {
-    this.crashing.hear(this.record.take(record), 'store');
+    this.crashing.mergeTallies(this.record.applyRecord(record), 'store');
   }
 
   interruptRun(run: RequestRun): void {
     const { countsOverlappingRuns } = this.fleet.variant;
     const counted =
       countsOverlappingRuns === true
-        ? { ...this.crashing.begin(run.request, run.backend), sentAtMs: run.sentAtMs }
+        ? { ...this.crashing.beginRun(run.request, run.backend), sentAtMs: run.sentAtMs }
         : run;
-    this.crashing.noteBroken(counted, false);
+    this.crashing.recordInterrupted(counted, false);
   }
 }
 
--- a/test/crashing-requests.test.ts
+++ b/test/crashing-requests.test.ts
@@ -2,7 +2,7 @@
 import { RequestAdmission } from '../src/gateway/admission/request-admission.js';
 import type { AcceptedRequest } from '../src/gateway/attempt/accepted-request.js';
 import { InterruptedRuns } from '../src/gateway/crashes/broken-runs.js';
-import { CrashLooks } from '../src/gateway/crashes/crash-looks.js';
+import { ExitProber } from '../src/gateway/crashes/crash-looks.js';
 import { CrashTable, DEFAULT_CRASH_TABLE_OPTIONS } from '../src/gateway/crashes/crash-table.js';
 import { SeededRandom } from '../src/random.js';
 import { DEFAULT_CALLER_LIMITS } from '../src/routing/configuration.js';
@@ -21,12 +21,12 @@
   return new GatewayHarness(...['a', 'b', 'c', 'd', 'e'].map((id) => backendOf(id, { slots: 9 })));
 }
 
-/** Sends one request and crashes its backend; `noteEnded` reports the exit as found by an agent. */
+/** Sends one request and crashes its backend; `recordBackendExit` reports the exit as found by an agent. */
 function crash(world: GatewayHarness, changes: Partial<AcceptedRequest>): void {
   world.request(changes);
   const attempt = world.attempts.at(-1)!;
   attempt.handlers.onFailure(RESET);
-  world.crashingRequests.noteEnded(attempt.backend.id, 'agent');
+  world.crashingRequests.recordBackendExit(attempt.backend.id, 'agent');
 }
 
 function lastStatus(world: GatewayHarness): number {
@@ -86,7 +86,7 @@
     const leaving = { ...backend, state: 'draining' as const, revision: 2 };
     world.dispatcher.updateBackend(backend.id, leaving, 0);
     handlers.onFailure(RESET);
-    world.crashingRequests.noteEnded(backend.id, 'agent');
+    world.crashingRequests.recordBackendExit(backend.id, 'agent');
     t.is(world.crashes.length, 0, id);
   }
 });
@@ -101,7 +101,7 @@
     const running = world.attempts.slice(before);
     running.forEach(({ handlers }) => handlers.onFailure(RESET));
     new Set(running.map(({ backend }) => backend.id)).forEach((id) =>
-      world.crashingRequests.noteEnded(id, 'agent'),
+      world.crashingRequests.recordBackendExit(id, 'agent'),
     );
   }
   t.true(world.crashes.length > 20);
@@ -130,12 +130,12 @@
   right.request(HARMLESS);
   right.answer(0, 200, 'good');
   crash(left, HARMLESS);
-  right.crashingRequests.hear(left.crashingRequests.tell(), 'peer');
+  right.crashingRequests.mergeTallies(left.crashingRequests.newestTallies(), 'peer');
   t.like(right.crashReports.at(-1)!, { crashes: 0, clearances: 1 });
-  left.crashingRequests.hear(right.crashingRequests.tell(), 'peer');
+  left.crashingRequests.mergeTallies(right.crashingRequests.newestTallies(), 'peer');
   for (let index = 0; index < 3; index += 1) {
     crash(left, HARMLESS);
-    right.crashingRequests.hear(left.crashingRequests.tell(), 'peer');
+    right.crashingRequests.mergeTallies(left.crashingRequests.newestTallies(), 'peer');
   }
   t.is(right.crashingRequests.count().refused, 1);
 });
@@ -149,7 +149,7 @@
   world.request(HARMLESS);
   world.answer(3, 200, 'good');
   slowAttempt.handlers.onFailure(RESET);
-  world.crashingRequests.noteEnded(slowAttempt.backend.id, 'agent');
+  world.crashingRequests.recordBackendExit(slowAttempt.backend.id, 'agent');
   t.like(world.crashReports.at(-1)!, { crashes: 1, clearances: 1 });
 });
 
@@ -257,7 +257,7 @@
   for (let index = 0; index < 3; index += 1) {
     const { request } = world.request(CRASHING);
     request.handleCallerDisconnect();
-    world.crashingRequests.noteEnded(world.attempts.at(-1)!.backend.id, 'agent');
+    world.crashingRequests.recordBackendExit(world.attempts.at(-1)!.backend.id, 'agent');
   }
   world.request(CRASHING);
   t.is(world.attempts.length, 3);
@@ -276,7 +276,7 @@
     method: 'GET',
     path: '/a/',
   });
-  world.crashingRequests.hear([{ fingerprint, crashes: 3, clearances: 0 }], 'peer');
+  world.crashingRequests.mergeTallies([{ fingerprint, crashes: 3, clearances: 0 }], 'peer');
   t.is(reply.status, 503);
   t.is(running.status, 0);
 });
@@ -287,7 +287,7 @@
   world.request({ route, body: CRASHING.body });
   for (let index = 0; index < 3; index += 1) {
     world.attempts[index]!.handlers.onFailure(RESET);
-    world.crashingRequests.noteEnded(world.attempts[index]!.backend.id, 'agent');
+    world.crashingRequests.recordBackendExit(world.attempts[index]!.backend.id, 'agent');
   }
   t.is(world.crashes.at(-1)!.crashes, 3);
   world.request({ route, body: CRASHING.body });
@@ -301,11 +301,16 @@
     { fingerprint: 'f', crashes: 1, clearances: 1 },
     { fingerprint: 'f', crashes: 3, clearances: 0 },
   ];
-  tallies.forEach((tally) => left.crashingRequests.hear([tally], 'peer'));
-  [...tallies].reverse().forEach((tally) => right.crashingRequests.hear([tally], 'peer'));
-  t.deepEqual(left.crashingRequests.tell(), [{ fingerprint: 'f', crashes: 1, clearances: 1 }]);
-  t.deepEqual(right.crashingRequests.tell(), left.crashingRequests.tell());
-  t.deepEqual(left.crashingRequests.hear([tallies[2]!], 'peer'), left.crashingRequests.tell());
+  tallies.forEach((tally) => left.crashingRequests.mergeTallies([tally], 'peer'));
+  [...tallies].reverse().forEach((tally) => right.crashingRequests.mergeTallies([tally], 'peer'));
+  t.deepEqual(left.crashingRequests.newestTallies(), [
+    { fingerprint: 'f', crashes: 1, clearances: 1 },
+  ]);
+  t.deepEqual(right.crashingRequests.newestTallies(), left.crashingRequests.newestTallies());
+  t.deepEqual(
+    left.crashingRequests.mergeTallies([tallies[2]!], 'peer'),
+    left.crashingRequests.newestTallies(),
+  );
 });
 
 test('a request stays refused while it keeps arriving, and its entry expires after ten minutes without arrivals', async (t) => {
@@ -315,12 +320,12 @@
   }
   for (let minute = 9; minute <= 36; minute += 9) {
     await world.clock.runUntil(minute * MINUTE_MS);
-    world.crashingRequests.forgetOld();
+    world.crashingRequests.evictExpired();
     world.request(CRASHING);
   }
   t.is(world.attempts.length, 3);
   await world.clock.runUntil(47 * MINUTE_MS);
-  world.crashingRequests.forgetOld();
+  world.crashingRequests.evictExpired();
   world.request(CRASHING);
   t.is(world.attempts.length, 4);
 });
@@ -340,25 +345,25 @@
   const probed: string[] = [];
   const closed: string[] = [];
   let state: 'open' | 'closed' = 'open';
-  const prober = new CrashLooks(
+  const prober = new ExitProber(
     {
       hasAgent: (id) => id === 'with-agent',
-      look: (address) => {
+      probe: (address) => {
         probed.push(address);
         return Promise.resolve(state);
       },
-      onClosed: (id) => void closed.push(id),
+      onPortClosed: (id) => void closed.push(id),
     },
     clock,
   );
-  prober.begin(backendOf('with-agent'));
-  prober.begin(backendOf('a'));
-  prober.begin(backendOf('a'));
+  prober.start(backendOf('with-agent'));
+  prober.start(backendOf('a'));
+  prober.start(backendOf('a'));
   await clock.runUntil(50);
   await clock.runUntil(1_000);
   t.deepEqual([probed, closed], [['a:1', 'a:1'], []]);
   state = 'closed';
-  prober.begin(backendOf('a'));
+  prober.start(backendOf('a'));
   await clock.runUntil(2_000);
   t.deepEqual([probed.length, closed], [3, ['a']]);
 });
--- a/test/send-right-pools.test.ts
+++ b/test/send-right-pools.test.ts
@@ -14,10 +14,10 @@
   );
 
   ask(name: string, tier = 1): void {
-    this.pools.ask('w', {
+    this.pools.acquire('w', {
       name,
       place: { tier, rankInTier: 0 },
-      answer: (isGranted) => this.answers.push([name, isGranted, this.clock.now()]),
+      respond: (isGranted) => this.answers.push([name, isGranted, this.clock.now()]),
     });
   }
 
@@ -54,8 +54,8 @@
   world.ask('b');
   t.deepEqual(world.granted, ['b']);
   world.ask('c');
-  world.pools.giveBack('w', 'b');
-  world.pools.giveBack('w', 'b');
+  world.pools.returnRight('w', 'b');
+  world.pools.returnRight('w', 'b');
   world.ask('d');
   t.deepEqual(world.granted, ['b', 'c']);
 });
@@ -64,7 +64,7 @@
   const world = new PoolsHarness();
   world.ask('a');
   world.heldSinceMs = undefined;
-  world.pools.review();
+  world.pools.issueAll();
   world.ask('b');
   t.deepEqual(
     world.answers.map(([name, isGranted]) => [name, isGranted]),
@@ -79,6 +79,6 @@
   const world = new PoolsHarness();
   world.ask('a');
   world.limitPerS = undefined;
-  world.pools.review();
+  world.pools.issueAll();
   t.deepEqual(world.granted, ['a']);
 });
--- a/test/support/gateway.ts
+++ b/test/support/gateway.ts
@@ -9,7 +9,7 @@
 import { BackendDirectory } from '../../src/gateway/dispatch/backend-directory.js';
 import type { RequestCrashes } from '../../src/gateway/crashes/crash-tally.js';
 import { CrashingRequests } from '../../src/gateway/crashes/crashing-requests.js';
-import type { CountedCrash } from '../../src/gateway/crashes/crashing-requests.js';
+import type { ObservedCrash } from '../../src/gateway/crashes/crashing-requests.js';
 import { ColdStartLimiter } from '../../src/gateway/dispatch/cold-starts.js';
 import { Dispatcher } from '../../src/gateway/dispatch/dispatcher.js';
 import type { DispatcherPorts } from '../../src/gateway/dispatch/dispatcher.js';
@@ -181,15 +181,15 @@
   configuredServices: ReadonlySet<string> | undefined;
   /** Backends whose probe was requested, in order. */
   readonly probedBackendIds: string[] = [];
-  readonly crashes: CountedCrash[] = [];
+  readonly crashes: ObservedCrash[] = [];
   readonly crashReports: RequestCrashes[] = [];
   private readonly proxiedRequests: ProxiedRequest[] = [];
   readonly crashingRequests = new CrashingRequests(
     {
       isLeaving: (backendId) => this.directory.find(backendId)?.backend.state === 'draining',
-      look: ({ id }) => void this.probedBackendIds.push(id),
+      probe: ({ id }) => void this.probedBackendIds.push(id),
       onCrash: (crash) => void this.crashes.push(crash),
-      onNews: (news) => void this.crashReports.push(...news),
+      onTalliesChanged: (news) => void this.crashReports.push(...news),
       onRefused: () => this.proxiedRequests.forEach((request) => request.refuseIfCrashing()),
     },
     this.clock,
@@ -219,7 +219,7 @@
 
   private recordStatement({ backend, ...heard }: ResponseStatement): void {
     const known = this.directory.find(backend.id);
-    if (known?.condition.hear(heard, this.clock.now()) === true) {
+    if (known?.condition.applyStatement(heard, this.clock.now()) === true) {
       this.dispatcher.handleConditionChange(known, this.clock.now());
     }
   }
@@ -292,11 +292,11 @@
   }
 
   onEnded(backendId: string): void {
-    this.crashingRequests.noteEnded(backendId, 'agent');
+    this.crashingRequests.recordBackendExit(backendId, 'agent');
   }
 
   onReplaced(backendId: string): void {
-    this.crashingRequests.noteEnded(backendId, 'replaced');
+    this.crashingRequests.recordBackendExit(backendId, 'replaced');
   }
 
   onAvailability(): void {
