--- a/src/cluster/epoch-watch.ts
+++ b/src/cluster/epoch-watch.ts
@@ -6,7 +6,7 @@
 import type { StorePosition } from './store-position.js';
 
 /** Newest epoch in the responses of one store. */
-export class EpochWatch {
+export class ResponseEpochTracker {
   private newestEpoch = NO_EPOCH;
 
   /**
@@ -15,7 +15,7 @@
    * @returns `NO_EPOCH` if the store has never sent an epoch; an error if the value is not an
    *   integer, or is missing although earlier responses had one
    */
-  take(value: unknown): Result<number, StoreUnavailableError> {
+  observe(value: unknown): Result<number, StoreUnavailableError> {
     const epoch = value === undefined ? NO_EPOCH : Number(value);
     const isMissing = value === undefined && this.newestEpoch !== NO_EPOCH;
     if (isMissing || !Number.isSafeInteger(epoch)) {
@@ -31,7 +31,7 @@
    * Whether `position` belongs to an epoch before the newest one, so that a conditional write must
    * not use it.
    */
-  isOver(position: StorePosition): boolean {
+  isSuperseded(position: StorePosition): boolean {
     return !isNoPosition(position) && position.epoch < this.newestEpoch;
   }
 }
--- a/src/cluster/knowledge-age.ts
+++ b/src/cluster/knowledge-age.ts
@@ -4,7 +4,7 @@
  */
 
 /** Tracks the time as of which a replica holds all records of the store. */
-export class KnowledgeAge {
+export class ReplicaAge {
   private confirmedAtMs = -Infinity;
 
   /** Confirms that the replica holds all records as the store had them at `atMs`. */
--- a/src/cluster/replicated-records.ts
+++ b/src/cluster/replicated-records.ts
@@ -12,10 +12,10 @@
  * after the owners of the records have had time to write lost records again.
  */
 import {
-  hasFallenBehind,
+  hasLowerRevision,
   haveSameRevision,
   isLater,
-  laterOf,
+  laterPosition,
   NO_POSITION,
   positionOf,
 } from './store-position.js';
@@ -163,10 +163,10 @@
   ): RecordNews[] {
     const applied = this.applyAll(changes);
     if (!isLater(since, this.complete)) {
-      this.complete = laterOf(this.complete, position);
+      this.complete = laterPosition(this.complete, position);
     }
     if (!isLater(since, this.current)) {
-      this.current = laterOf(this.current, position);
+      this.current = laterPosition(this.current, position);
     }
     return applied;
   }
@@ -178,7 +178,7 @@
    */
   addListing(listed: readonly StoreRecord[], position: StorePosition): RecordNews[] {
     this.updateEpochStart(position);
-    this.current = laterOf(this.current, position);
+    this.current = laterPosition(this.current, position);
     return this.applyAll(listed);
   }
 
@@ -202,9 +202,9 @@
       const removal = { key: known.key, epoch, revision, value: undefined };
       applied.push(...this.applyAll([removal], settledEpoch));
     }
-    this.complete = laterOf(this.complete, position);
-    this.current = laterOf(this.current, position);
-    this.historyStart = laterOf(this.historyStart, position);
+    this.complete = laterPosition(this.complete, position);
+    this.current = laterPosition(this.current, position);
+    this.historyStart = laterPosition(this.historyStart, position);
     return applied;
   }
 
@@ -220,7 +220,7 @@
       ? this.applyListing(records, completeTo)
       : this.applyChanges(records, since, completeTo);
     if (!isLater(completeTo, this.current)) {
-      this.current = laterOf(this.current, currentTo);
+      this.current = laterPosition(this.current, currentTo);
     }
     return applied;
   }
@@ -279,7 +279,7 @@
       return true;
     }
     const order = this.compareByOwner(record, known);
-    return order === undefined ? !hasFallenBehind(record, known) : order >= 0;
+    return order === undefined ? !hasLowerRevision(record, known) : order >= 0;
   }
 
   private updateEpochStart(position: StorePosition): void {
@@ -297,7 +297,7 @@
     for (const record of this.records.values()) {
       if (record.value === undefined) {
         this.records.delete(record.key);
-        this.historyStart = laterOf(this.historyStart, record);
+        this.historyStart = laterPosition(this.historyStart, record);
         return;
       }
     }
--- a/src/cluster/store-epochs.ts
+++ b/src/cluster/store-epochs.ts
@@ -34,7 +34,7 @@
 }
 
 /** Detects new epochs of the store from the position of the replica. */
-export class StoreEpochs {
+export class ReplicaEpochTracker {
   private known: KnownEpoch = { epoch: NO_EPOCH, sinceMs: -Infinity };
   private previousPosition: StorePosition;
   private wasSettled = true;
@@ -55,7 +55,7 @@
    * Compares the replica with its last known state; returns the change to log, or undefined if
    * there is none.
    */
-  look(): EpochChange | undefined {
+  detectChange(): EpochChange | undefined {
     const before = this.previousPosition;
     const { epoch, revision } = this.records.currentTo;
     this.previousPosition = this.records.currentTo;
--- a/src/cluster/store-follower.ts
+++ b/src/cluster/store-follower.ts
@@ -8,7 +8,7 @@
 import type { WeirvaleError } from '../request/errors.js';
 import { StoreHistoryGoneError } from './cluster-store.js';
 import type { ClusterStore, StoreRead } from './cluster-store.js';
-import { isLater, isNoPosition, laterOf, NO_EPOCH } from './store-position.js';
+import { isLater, isNoPosition, laterPosition, NO_EPOCH } from './store-position.js';
 import type { StorePosition } from './store-position.js';
 import { StoreCaller } from './store-calls.js';
 import type { KnownEpoch } from './store-epochs.js';
@@ -35,12 +35,12 @@
   /** The response of a watch has position `read`, but contains changes only up to `seenTo`. */
   onChangesMissing(seenTo: StorePosition, read: StorePosition): void;
   /** Discarded a response of another epoch than `asked`, the epoch of the call. */
-  onOtherEpoch(call: StoreCall, asked: number, read: StorePosition): void;
+  onEpochMismatch(call: StoreCall, asked: number, read: StorePosition): void;
   /**
    * The store became reachable or unreachable; `heldMs` is the duration of the call that showed it,
    * in milliseconds.
    */
-  onReachable(isReachable: boolean, reason: string, heldMs: number): void;
+  onReachabilityChange(isReachable: boolean, reason: string, heldMs: number): void;
   /** Number of processes that follow the store and exchange changes, including this one. */
   countFollowers(): number;
   /**
@@ -55,7 +55,7 @@
   /** The newest known epoch, from the store or from peers. */
   knownEpoch(): KnownEpoch;
   /** The replica holds all records as the store had them at `atMs`. */
-  onConfirmed(atMs: number): void;
+  onReplicaConfirmed(atMs: number): void;
   /** A call to the store ended. */
   onCall(call: StoreCall, result: StoreCallResult): void;
 }
@@ -208,7 +208,7 @@
     const nowMs = this.clock.now();
     const known = this.handlers.knownEpoch();
     if (this.isFromPastEpoch(read)) {
-      this.handlers.onOtherEpoch('list', known.epoch, read);
+      this.handlers.onEpochMismatch('list', known.epoch, read);
       return;
     }
     const wasOutage =
@@ -227,7 +227,7 @@
       this.firstRelistAtMs = undefined;
       this.handlers.onListing(read);
     }
-    this.handlers.onConfirmed(startedAtMs);
+    this.handlers.onReplicaConfirmed(startedAtMs);
   }
 
   /**
@@ -272,11 +272,11 @@
       send: () => this.store.watch(since, waitMs),
       onResponse: (read) => {
         if (read.epoch !== since.epoch || this.isFromPastEpoch(read)) {
-          this.handlers.onOtherEpoch('watch', since.epoch, read);
+          this.handlers.onEpochMismatch('watch', since.epoch, read);
           isComplete = false;
           return;
         }
-        const seenTo = read.records.reduce<StorePosition>(laterOf, since);
+        const seenTo = read.records.reduce<StorePosition>(laterPosition, since);
         hasChanges = read.records.length > 0;
         isComplete = !isLater(read, seenTo);
         this.recordSuccess(startedAtMs);
@@ -315,7 +315,7 @@
   private confirmWatch(startedAtMs: number, waitMs: number, { records }: StoreRead): void {
     const endMs = startedAtMs + waitMs;
     const hasWaited = records.length === 0 && this.clock.now() >= endMs;
-    this.handlers.onConfirmed(hasWaited ? endMs : startedAtMs);
+    this.handlers.onReplicaConfirmed(hasWaited ? endMs : startedAtMs);
   }
 
   private watchWaitMs(nowMs: number): number {
@@ -376,7 +376,7 @@
   private reportReachability(isReachable: boolean, reason: string, startedAtMs: number): void {
     if (this.reachable !== isReachable) {
       this.reachable = isReachable;
-      this.handlers.onReachable(isReachable, reason, this.clock.now() - startedAtMs);
+      this.handlers.onReachabilityChange(isReachable, reason, this.clock.now() - startedAtMs);
     }
   }
 }
--- a/src/cluster/store-position.ts
+++ b/src/cluster/store-position.ts
@@ -46,7 +46,7 @@
 }
 
 /** Returns the later of two positions. */
-export function laterOf(left: StorePosition, right: StorePosition): StorePosition {
+export function laterPosition(left: StorePosition, right: StorePosition): StorePosition {
   return positionOf(isLater(right, left) ? right : left);
 }
 
@@ -63,7 +63,7 @@
  * the backup is older than `known`; a new write has a lower revision only until the store has made
  * as many changes as the backup lacked.
  */
-export function hasFallenBehind(write: StorePosition, known: StorePosition): boolean {
+export function hasLowerRevision(write: StorePosition, known: StorePosition): boolean {
   return write.revision < known.revision;
 }
 
--- a/src/cluster/store-readers.ts
+++ b/src/cluster/store-readers.ts
@@ -37,7 +37,7 @@
 }
 
 /** Default options of the reader selection. */
-export const DEFAULT_STORE_READERS_OPTIONS: StoreReaderSelectorOptions = {
+export const DEFAULT_STORE_READER_SELECTOR_OPTIONS: StoreReaderSelectorOptions = {
   readers: 8,
   readersPerRegion: 2,
   minSilenceMs: 1_500,
@@ -53,14 +53,14 @@
 }
 
 /** Decides whether this gateway must read the store, from the heartbeats of its peers. */
-export class StoreReaders {
+export class StoreReaderSelector {
   private readonly rank: number;
   /** Peers whose last heartbeat reported that they read the store, by incarnation. */
   private readonly activeReaders = new Map<string, ActiveReader>();
 
   constructor(
     incarnation: string,
-    private readonly options: StoreReaderSelectorOptions = DEFAULT_STORE_READERS_OPTIONS,
+    private readonly options: StoreReaderSelectorOptions = DEFAULT_STORE_READER_SELECTOR_OPTIONS,
     /** Region of this gateway; undefined if no regions are configured. */
     private readonly region?: string,
   ) {
@@ -70,7 +70,7 @@
   /**
    * Records the heartbeat of a peer, which reports whether the peer reads the store successfully.
    */
-  hear(peer: string, isReading: boolean, nowMs: number, region?: string): void {
+  receiveHeartbeat(peer: string, isReading: boolean, nowMs: number, region?: string): void {
     if (isReading) {
       this.activeReaders.set(peer, { lastHeartbeatAtMs: nowMs, region });
     } else {
@@ -82,12 +82,12 @@
    * Estimated number of gateways that call the store: the known readers and this gateway, at least
    * `readers`.
    */
-  get sharing(): number {
+  get readerCount(): number {
     return Math.max(this.options.readers, this.activeReaders.size + 1);
   }
 
   /** Removes a peer that is gone. */
-  forget(peer: string): void {
+  removePeer(peer: string): void {
     this.activeReaders.delete(peer);
   }
 
--- a/src/gateway/dispatch/backend-directory.ts
+++ b/src/gateway/dispatch/backend-directory.ts
@@ -1,5 +1,5 @@
 /** The backends known to a gateway, indexed by service, and the engine subset that it uses. */
-import { isLater, laterOf, NO_POSITION } from '../../cluster/store-position.js';
+import { isLater, laterPosition, NO_POSITION } from '../../cluster/store-position.js';
 import type { StorePosition } from '../../cluster/store-position.js';
 import { restrictionOf } from '../../routing/backend-restriction.js';
 import type {
@@ -348,7 +348,10 @@
     );
     const latest = sameAddress
       .filter((known) => !known.hasEnded)
-      .reduce<StorePosition>((position, { backend }) => laterOf(position, backend), NO_POSITION);
+      .reduce<StorePosition>(
+        (position, { backend }) => laterPosition(position, backend),
+        NO_POSITION,
+      );
     for (const known of sameAddress) {
       const wasReplaced = known.isReplaced;
       known.isReplaced = known.hasEnded || isLater(latest, known.backend);
--- a/src/gateway/gateway-cluster.ts
+++ b/src/gateway/gateway-cluster.ts
@@ -3,17 +3,20 @@
  * follower, the selection of gateways that read the store, and the peers.
  */
 import { splitAddress } from '../address.js';
-import { KnowledgeAge } from '../cluster/knowledge-age.js';
+import { ReplicaAge } from '../cluster/knowledge-age.js';
 import { RecordExchange } from '../cluster/record-exchange.js';
 import { ReplicatedRecords } from '../cluster/replicated-records.js';
 import type { CompareByOwner, RecordNews, ReplicaReach } from '../cluster/replicated-records.js';
 import { isLater } from '../cluster/store-position.js';
-import { StoreEpochs } from '../cluster/store-epochs.js';
+import { ReplicaEpochTracker } from '../cluster/store-epochs.js';
 import type { StorePosition } from '../cluster/store-position.js';
 import { StoreFollower } from '../cluster/store-follower.js';
 import type { PeerNetwork } from '../cluster/peer-network.js';
 import type { ClusterStore, RecordsSource, StoreRead } from '../cluster/cluster-store.js';
-import { DEFAULT_STORE_READERS_OPTIONS, StoreReaders } from '../cluster/store-readers.js';
+import {
+  DEFAULT_STORE_READER_SELECTOR_OPTIONS,
+  StoreReaderSelector,
+} from '../cluster/store-readers.js';
 import type { Clock } from '../clock.js';
 import type { RandomSource } from '../random.js';
 import type { Rollouts } from '../rollout/rollouts.js';
@@ -65,18 +68,22 @@
   readonly records: ReplicatedRecords;
   readonly exchange: RecordExchange;
   private readonly peers: GatewayPeers;
-  private readonly readers: StoreReaders;
+  private readonly readers: StoreReaderSelector;
   private readonly follower: StoreFollower;
-  private readonly viewAge = new KnowledgeAge();
+  private readonly viewAge = new ReplicaAge();
   private isStoreReader = true;
   private wasKnowledgeOld = true;
-  private readonly epochs: StoreEpochs;
+  private readonly epochs: ReplicaEpochTracker;
 
   constructor(private readonly dependencies: GatewayClusterDependencies) {
     const { incarnation, clock, compareByOwner } = dependencies;
     this.records = new ReplicatedRecords(compareByOwner);
-    this.epochs = new StoreEpochs(this.records, clock);
-    this.readers = new StoreReaders(incarnation, DEFAULT_STORE_READERS_OPTIONS, this.region);
+    this.epochs = new ReplicaEpochTracker(this.records, clock);
+    this.readers = new StoreReaderSelector(
+      incarnation,
+      DEFAULT_STORE_READER_SELECTOR_OPTIONS,
+      this.region,
+    );
     this.exchange = new RecordExchange(
       this.records,
       {
@@ -220,23 +227,23 @@
           this.logOutdatedRead(read, 'watch');
           this.deliverRecords(this.records.applyChanges(read.records, since, read), 'watch');
         },
-        onConfirmed: (atMs) => this.viewAge.confirm(atMs),
+        onReplicaConfirmed: (atMs) => this.viewAge.confirm(atMs),
         onChangesMissing: (seenTo, { epoch, revision }) =>
           this.dependencies.log.write('store-changes-missing', 'state', {
             epoch,
             seenTo: seenTo.revision,
             revision,
           }),
-        onOtherEpoch: (call, asked, { epoch, revision }) =>
+        onEpochMismatch: (call, asked, { epoch, revision }) =>
           this.dependencies.log.write('store-answer-dropped', 'state', {
             call,
             asked,
             epoch,
             revision,
           }),
-        onReachable: (isReachable, reason, heldMs) =>
+        onReachabilityChange: (isReachable, reason, heldMs) =>
           this.reportStoreReachability(isReachable, reason, heldMs),
-        countFollowers: () => Math.min(this.size, this.readers.sharing),
+        countFollowers: () => Math.min(this.size, this.readers.readerCount),
         mustFollow: () => this.updateReaderRole(),
         completeTo: () => this.records.completeTo,
         knownEpoch: () => this.epochs.newest,
@@ -291,7 +298,7 @@
 
   private deliverRecords(records: readonly RecordNews[], source: RecordsSource): void {
     const { log, onRecords } = this.dependencies;
-    const change = this.epochs.look();
+    const change = this.epochs.detectChange();
     if (change !== undefined) {
       log.write(change.event, 'state', { source, ...change.fields });
     }
--- a/src/gateway/links/gateway-peers.ts
+++ b/src/gateway/links/gateway-peers.ts
@@ -7,7 +7,7 @@
 import type { PeerBeat, PeerHello, PeerMessage } from '../../cluster/peer-messages.js';
 import type { PeerNetwork } from '../../cluster/peer-network.js';
 import type { RecordExchange } from '../../cluster/record-exchange.js';
-import type { StoreReaders } from '../../cluster/store-readers.js';
+import type { StoreReaderSelector } from '../../cluster/store-readers.js';
 import { isFurther, NO_REACH } from '../../cluster/replicated-records.js';
 import type { ReplicaReach, ReplicatedRecords } from '../../cluster/replicated-records.js';
 import type { Clock } from '../../clock.js';
@@ -52,7 +52,7 @@
   readonly exchange: RecordExchange;
   readonly quotas: GatewayQuotas;
   readonly rollouts: Rollouts;
-  readonly readers: StoreReaders;
+  readonly readers: StoreReaderSelector;
   readonly crashes: CrashReportExchange;
   readonly statements: ConditionExchange;
   /** Whether this gateway reads the store and gets responses. */
@@ -114,7 +114,7 @@
         onOpened: (send) => this.sendInitialState(send),
         onPeer: (peer, isPresent) => {
           if (!isPresent) {
-            readers.forget(peer);
+            readers.removePeer(peer);
           }
           parts.onPeerChange(peer, isPresent);
         },
@@ -291,7 +291,7 @@
     } else if (message.kind === 'beat') {
       const peer = hello.incarnation;
       quotas.receiveHeartbeat(hello, message);
-      readers.hear(peer, message.isReading, clock.now(), message.region);
+      readers.receiveHeartbeat(peer, message.isReading, clock.now(), message.region);
       this.parts.rollouts.hear(peer, message.rollouts ?? {});
       exchange.hearReach(peer, message.reach, reply);
       if (message.knowledgeAgeMs !== undefined) {
--- a/test/backend-lives.test.ts
+++ b/test/backend-lives.test.ts
@@ -7,7 +7,7 @@
 import { ZoneTopology } from '../src/routing/places.js';
 import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
 import { SlotAllocatorHarness } from './support/played-agent.js';
-import { at } from './support/positions.js';
+import { positionAt } from './support/positions.js';
 
 const RESET = { mayHaveRun: true, isPortClosed: false, detail: 'reset' };
 const RECORD = {
@@ -34,7 +34,7 @@
 
 function decode(value: unknown, key = 'servers/w') {
   const text = typeof value === 'string' ? value : JSON.stringify(value);
-  return decodeRecord({ key, ...at(7), value: text });
+  return decodeRecord({ key, ...positionAt(7), value: text });
 }
 
 /** Applies an announcement to a gateway as it applies records of the store. */
@@ -159,7 +159,7 @@
   );
   const take = (entry: unknown, revision: number) =>
     knowledge.apply(
-      decodeRecord({ key: 'servers/w', ...at(revision), value: JSON.stringify(entry) }),
+      decodeRecord({ key: 'servers/w', ...positionAt(revision), value: JSON.stringify(entry) }),
       revision,
     );
   take(RECORD, 1);
@@ -233,7 +233,7 @@
       } catch {
         return;
       }
-      const read = decodeRecord({ key: 'servers/w', ...at(1), value: text ?? '' });
+      const read = decodeRecord({ key: 'servers/w', ...positionAt(1), value: text ?? '' });
       const announcement = read.kind === 'backend' ? read.announcement : undefined;
       update(world, incarnations, announcement);
       if (announcement !== undefined) {
--- a/test/backend-restriction.test.ts
+++ b/test/backend-restriction.test.ts
@@ -6,7 +6,7 @@
 import { ZoneEvacuations } from '../src/routing/zone-evacuations.js';
 import { EngineReplicaView } from '../src/slot-agent/engine-knowledge.js';
 import { backendOf, GatewayHarness } from './support/gateway.js';
-import { at } from './support/positions.js';
+import { positionAt } from './support/positions.js';
 
 const PLACES = new ZoneTopology(
   new Map([
@@ -56,7 +56,7 @@
     fc.property(anyChanges, (changes) => {
       const evacuations = new ZoneEvacuations();
       for (const { revision } of changes) {
-        evacuations.apply({ zone: 'z', isOrdered: revision % 2 === 1, ...at(revision) }, 0);
+        evacuations.apply({ zone: 'z', isOrdered: revision % 2 === 1, ...positionAt(revision) }, 0);
       }
       const newest = Math.max(...changes.map(({ revision }) => revision));
       return evacuations.isEvacuated('z') === (newest % 2 === 1);
@@ -67,18 +67,18 @@
 
 test('an evacuation order and its removal are decoded from store records', (t) => {
   const key = 'op/evacuate/a1';
-  t.deepEqual(decodeRecord({ key, ...at(4), value: '{}' }), {
+  t.deepEqual(decodeRecord({ key, ...positionAt(4), value: '{}' }), {
     kind: 'evacuation',
-    change: { zone: 'a1', isOrdered: true, ...at(4) },
+    change: { zone: 'a1', isOrdered: true, ...positionAt(4) },
   });
-  t.deepEqual(decodeRecord({ key, ...at(5), value: undefined }), {
+  t.deepEqual(decodeRecord({ key, ...positionAt(5), value: undefined }), {
     kind: 'evacuation',
-    change: { zone: 'a1', isOrdered: false, ...at(5) },
+    change: { zone: 'a1', isOrdered: false, ...positionAt(5) },
   });
 });
 
 test('an evacuation order with an unreadable value is in force; one without a zone is invalid', (t) => {
-  const order = { ...at(4), value: 'not { JSON' };
+  const order = { ...positionAt(4), value: 'not { JSON' };
   t.is(decodeRecord({ key: 'op/evacuate/a1', ...order }).kind, 'evacuation');
   const refused = decodeRecord({ key: 'op/evacuate/', ...order });
   t.like(refused, { kind: 'invalid', isConfiguration: false });
@@ -106,9 +106,18 @@
   const engine = new EngineReplicaView({ address: '1.2.3.4:5', zone: 'a1' }, PLACES);
   t.is(engine.restriction(undefined), undefined);
   t.is(engine.restriction(new Set(['b'])), 'outside-home');
-  engine.apply({ kind: 'evacuation', change: { zone: 'a1', isOrdered: true, ...at(3) } }, 0);
-  engine.apply({ kind: 'evacuation', change: { zone: 'a1', isOrdered: false, ...at(2) } }, 0);
+  engine.apply(
+    { kind: 'evacuation', change: { zone: 'a1', isOrdered: true, ...positionAt(3) } },
+    0,
+  );
+  engine.apply(
+    { kind: 'evacuation', change: { zone: 'a1', isOrdered: false, ...positionAt(2) } },
+    0,
+  );
   t.is(engine.restriction(undefined), 'zone-evacuated');
-  engine.apply({ kind: 'evacuation', change: { zone: 'a1', isOrdered: false, ...at(4) } }, 0);
+  engine.apply(
+    { kind: 'evacuation', change: { zone: 'a1', isOrdered: false, ...positionAt(4) } },
+    0,
+  );
   t.is(engine.restriction(undefined), undefined);
 });
--- a/test/crash-record.test.ts
+++ b/test/crash-record.test.ts
@@ -11,7 +11,7 @@
 } from '../src/gateway/crashes/crash-record-format.js';
 import { err, ok } from '../src/result.js';
 import { VirtualClock } from '../src/sim/virtual-clock.js';
-import { at } from './support/positions.js';
+import { positionAt } from './support/positions.js';
 import type { StorePosition } from '../src/cluster/store-position.js';
 
 const { maxAgeMs, maxRequests } = DEFAULT_CRASH_RECORD_OPTIONS;
@@ -46,12 +46,12 @@
   /** Delivers the stored record to every gateway. */
   deliverRecord(): void {
     this.writers.forEach((writer) =>
-      writer.applyRecord(decodeCrashRecord(this.text, at(this.revision))),
+      writer.applyRecord(decodeCrashRecord(this.text, positionAt(this.revision))),
     );
   }
 
   stored(): StoredCrashes[] {
-    return [...(decodeCrashRecord(this.text, at(this.revision)).requests ?? [])];
+    return [...(decodeCrashRecord(this.text, positionAt(this.revision)).requests ?? [])];
   }
 
   async runUntilSettled(): Promise<void> {
@@ -74,7 +74,7 @@
     this.text = encodeCrashRecord(requests);
     return this.losesResponses
       ? err(new StoreUnavailableError('no answer'))
-      : ok(at(this.revision));
+      : ok(positionAt(this.revision));
   }
 }
 
@@ -136,7 +136,7 @@
   world.writers[0]!.addTallies(many);
   await world.runUntilSettled();
   const newWriter = world.createWriter();
-  const loaded = newWriter.applyRecord(decodeCrashRecord(world.text, at(world.revision)));
+  const loaded = newWriter.applyRecord(decodeCrashRecord(world.text, positionAt(world.revision)));
   t.is(loaded.length, maxRequests);
   t.false(loaded.some(({ fingerprint }) => fingerprint === 'old'));
   t.true(world.text!.length < 40_000);
@@ -156,7 +156,7 @@
 
 test('a malformed record is rejected as a whole, a malformed entry is skipped', (t) => {
   for (const text of ['', 'x', '[]', 'null', '{"requests":7}']) {
-    t.throws(() => decodeCrashRecord(text, at(1)), undefined, text);
+    t.throws(() => decodeCrashRecord(text, positionAt(1)), undefined, text);
   }
   const good = { ...tally('a', 2), changedAtMs: 5 };
   const bad = [
@@ -167,7 +167,8 @@
     { ...good, crashes: -1 },
     { ...good, clearances: 0.5 },
   ];
-  t.deepEqual(decodeCrashRecord(JSON.stringify({ requests: [...bad, good] }), at(1)).requests, [
-    good,
-  ]);
+  t.deepEqual(
+    decodeCrashRecord(JSON.stringify({ requests: [...bad, good] }), positionAt(1)).requests,
+    [good],
+  );
 });
--- a/test/crashing-requests-fleet.test.ts
+++ b/test/crashing-requests-fleet.test.ts
@@ -15,7 +15,7 @@
 import { err, ok } from '../src/result.js';
 import { VirtualClock } from '../src/sim/virtual-clock.js';
 import { backendOf, routeOf } from './support/gateway.js';
-import { at } from './support/positions.js';
+import { positionAt } from './support/positions.js';
 import type { StorePosition } from '../src/cluster/store-position.js';
 import type { CrashRecord } from '../src/gateway/crashes/crash-record.js';
 
@@ -119,17 +119,17 @@
   write(requests: readonly StoredCrashes[], { revision }: StorePosition) {
     this.clock.notePromise();
     if (this.variant.disablesRecord === true) {
-      return Promise.resolve(ok(at(revision + 1)));
+      return Promise.resolve(ok(positionAt(revision + 1)));
     }
     if ((this.record?.revision ?? 0) !== revision) {
       return Promise.resolve(err(new StoreConflictError('changed')));
     }
-    const record = { requests, ...at(revision + 1) };
+    const record = { requests, ...positionAt(revision + 1) };
     this.record = record;
     for (const gateway of this.gateways) {
       this.clock.setTimeout(() => gateway.applyRecord(record), 20 + this.randomBelow(300));
     }
-    return Promise.resolve(ok(at(record.revision)));
+    return Promise.resolve(ok(positionAt(record.revision)));
   }
 
   private every(meanMs: number, act: () => void): void {
--- a/test/homes-agent-socket.test.ts
+++ b/test/homes-agent-socket.test.ts
@@ -9,7 +9,7 @@
 import { SlotAgentRole } from '../src/slot-agent/slot-agent-role.js';
 import type { AgentToGateway, GatewayToAgent } from '../src/slot-agent/slot-messages.js';
 import { DecisionLog } from '../src/telemetry/decision-log.js';
-import { at } from './support/positions.js';
+import { positionAt } from './support/positions.js';
 
 const HOST = '127.0.3.10';
 /** Port below the ephemeral range, on an address that only this file uses. */
@@ -58,10 +58,10 @@
     onMessage: (message) => {
       received.push(message);
       if (message.kind === 'fetch') {
-        const record = { key: 'op/config', ...at(1), value: CONFIGURATION };
+        const record = { key: 'op/config', ...positionAt(1), value: CONFIGURATION };
         const { since } = message;
-        const reach = { completeTo: at(1), currentTo: at(1) };
-        const answer = { isWhole: true, records: [record], epochStart: at(0) };
+        const reach = { completeTo: positionAt(1), currentTo: positionAt(1) };
+        const answer = { isWhole: true, records: [record], epochStart: positionAt(0) };
         gateway.send({ kind: 'records', since, ...reach, ...answer });
       }
     },
@@ -72,7 +72,7 @@
   gateway.send({ kind: 'hello', gateway: 'g', held: 0, peersAddress: '', slots: 1 });
   await waitUntil(() => states().length > 0);
   t.is(states()[0]?.homes, undefined);
-  gateway.send({ kind: 'reach', reach: { completeTo: at(1), currentTo: at(1) } });
+  gateway.send({ kind: 'reach', reach: { completeTo: positionAt(1), currentTo: positionAt(1) } });
   await waitUntil(() => states().at(-1)?.homes !== undefined);
   t.deepEqual(states().at(-1)?.homes, { region: 'b', configuration: 7 });
   const rank = { tier: 0, rankInTier: 0, waitedMs: 0, startInMs: 1_000 };
--- a/test/homes-agent.test.ts
+++ b/test/homes-agent.test.ts
@@ -16,7 +16,7 @@
 import type { GatewaySlotMessage } from '../src/slot-agent/slot-messages.js';
 import type { ForbiddenTake } from '../src/slot-agent/slot-ledger.js';
 import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
-import { at } from './support/positions.js';
+import { positionAt } from './support/positions.js';
 
 const PLACES = new ZoneTopology(
   new Map([
@@ -28,7 +28,7 @@
 function configurationOf(version: number, ...lists: string[][]): RoutingConfiguration {
   const record = {
     key: 'op/config',
-    ...at(version),
+    ...positionAt(version),
     value: JSON.stringify({
       version,
       routes: lists.map((allowedRegions, index) => ({
@@ -293,7 +293,7 @@
 
 test('a record whose allowedRegions is no list is rejected with the reason', (t) => {
   const value = JSON.stringify({ version: 2, routes: [{ name: 'r', allowedRegions: 'eu' }] });
-  const decoded = decodeRecord({ key: 'op/config', ...at(1), value });
+  const decoded = decodeRecord({ key: 'op/config', ...positionAt(1), value });
   t.is(decoded.kind, 'invalid');
   t.regex(JSON.stringify(decoded), /routes\.r\.allowedRegions is .*eu.*; allowed is a list/);
 });
--- a/test/late-configuration.test.ts
+++ b/test/late-configuration.test.ts
@@ -37,12 +37,14 @@
   breakProcess?: (cluster: GatewayCluster) => void,
 ): Promise<StoreFleet> {
   const options = { seed, gateways, needsAcknowledgement: false };
-  const fleet = new StoreFleet(breakProcess === undefined ? options : { ...options, breakProcess });
+  const fleet = new StoreFleet(
+    breakProcess === undefined ? options : { ...options, injectFault: breakProcess },
+  );
   await fleet.run(SETTLE_MS);
   fleet.isLate = (machine, change, nowMs) =>
     nowMs - change.atMs > CHANGE_BOUND_MS &&
-    nowMs - machine.disturbedUntilMs >= CONTACT_MS &&
-    !fleet.wasStoreTroubled(nowMs - CONTACT_MS);
+    nowMs - machine.disruptedUntilMs >= CONTACT_MS &&
+    !fleet.hadStoreFault(nowMs - CONTACT_MS);
   return fleet;
 }
 
@@ -57,10 +59,14 @@
       fleet.isLate = (machine, change, nowMs) =>
         isLateWhenHealthy(machine, change, nowMs) ||
         (nowMs > fromMs && nowMs - fromMs - silentMs > SILENCE_BOUND_MS);
-      fleet.at(fromMs, () => fleet.troubleStore('silent', silentMs));
-      fleet.at(fromMs + random.next() * silentMs, () => fleet.change());
+      fleet.scheduleAt(fromMs, () => fleet.setStoreFault('silent', silentMs));
+      fleet.scheduleAt(fromMs + random.next() * silentMs, () => fleet.changeConfiguration());
       await fleet.run(silentMs + 12_000);
-      t.deepEqual(fleet.late, [], `seed ${seed}, ${gateways} gateways, silent for ${silentMs} ms`);
+      t.deepEqual(
+        fleet.lateGateways,
+        [],
+        `seed ${seed}, ${gateways} gateways, silent for ${silentMs} ms`,
+      );
     }
   }
 });
@@ -70,9 +76,9 @@
     const fleet = await startFleet(seed, 9);
     const fromMs = fleet.clock.now();
     fleet.machines[seed % 9]!.cut('peers', 'in', 5_500);
-    fleet.at(fromMs + 700, () => fleet.change());
+    fleet.scheduleAt(fromMs + 700, () => fleet.changeConfiguration());
     await fleet.run(9_000);
-    t.deepEqual(fleet.late, [], `seed ${seed}`);
+    t.deepEqual(fleet.lateGateways, [], `seed ${seed}`);
   }
 });
 
@@ -87,9 +93,9 @@
   fleet.machines
     .filter((machine) => machine !== last)
     .forEach((machine) => machine.cut('peers', 'in', 6_000));
-  fleet.at(fromMs + 400, () => fleet.change());
+  fleet.scheduleAt(fromMs + 400, () => fleet.changeConfiguration());
   await fleet.run(9_000);
-  return fleet.late;
+  return fleet.lateGateways;
 }
 
 test('a gateway whose queries reach no peer reads the store itself', async (t) => {
@@ -112,20 +118,20 @@
     const random = scenarioRandom(seed);
     const fleet = await startFleet(seed, 27);
     const fromMs = fleet.clock.now() + randomInteger(random, 0, 5_000);
-    fleet.store.skipsWithheld = true;
+    fleet.store.skipsWithheldChanges = true;
     fleet.isLate = (_machine, _change, nowMs) => nowMs - fromMs > WITHHELD_MS + SILENCE_BOUND_MS;
-    fleet.at(fromMs, () => fleet.forgetHistory(WITHHELD_MS));
-    fleet.at(fromMs + random.next() * WITHHELD_MS, () => fleet.change());
+    fleet.scheduleAt(fromMs, () => fleet.dropStoreHistory(WITHHELD_MS));
+    fleet.scheduleAt(fromMs + random.next() * WITHHELD_MS, () => fleet.changeConfiguration());
     await fleet.run(15_000);
-    t.deepEqual(fleet.late, [], `seed ${seed}`);
+    t.deepEqual(fleet.lateGateways, [], `seed ${seed}`);
   }
 });
 
 test('a gateway logs when its view of the store is stale and when it is confirmed again', async (t) => {
   const fleet = await startFleet(1, 3);
   const lines: Array<readonly [string, string]> = [];
-  fleet.onLine = ({ address }, event) => lines.push([address, event]);
-  fleet.troubleStore('silent', 4_000);
+  fleet.onLogLine = ({ address }, event) => lines.push([address, event]);
+  fleet.setStoreFault('silent', 4_000);
   await fleet.run(9_000);
   for (const { address } of fleet.machines) {
     const logged = lines.filter(
--- a/test/platform-store.test.ts
+++ b/test/platform-store.test.ts
@@ -4,7 +4,7 @@
 import { PlatformStore } from '../platform/store-client.js';
 import { StoreRestoredError, StoreUnavailableError } from '../src/cluster/cluster-store.js';
 import { StandinStore } from './support/platform-standin.js';
-import { at } from './support/positions.js';
+import { positionAt } from './support/positions.js';
 
 const TIMEOUT_MS = 1_000;
 
@@ -28,7 +28,7 @@
   standin.put('a', 1);
   const listed = (await store.list()).unwrap();
   t.deepEqual([listed.epoch, listed.revision, listed.records[0]?.epoch], [3, 1, 3]);
-  const watched = store.watch(at(1, 3), 500);
+  const watched = store.watch(positionAt(1, 3), 500);
   standin.put('b', 2);
   t.like((await watched).unwrap(), { epoch: 3, revision: 2 });
 });
@@ -58,12 +58,12 @@
 test('a write that expects an earlier epoch fails without a call to the store', async (t) => {
   const { standin, store } = await startStore(t);
   standin.epoch = 1;
-  const first = (await store.put('own', 'first', at(0, 1))).unwrap();
-  t.deepEqual(first, at(1, 1));
+  const first = (await store.put('own', 'first', positionAt(0, 1))).unwrap();
+  t.deepEqual(first, positionAt(1, 1));
   standin.restore(60_000);
   standin.put('own', 'somebody else');
   await reconnect(store);
-  t.like((await store.list()).unwrap(), at(1, 2));
+  t.like((await store.list()).unwrap(), positionAt(1, 2));
   const calls = standin.calls.length;
   const refused = await store.put('own', 'second', first);
   t.true(refused.val instanceof StoreRestoredError);
@@ -74,7 +74,7 @@
 test('a write fails if the response has a later epoch than the expected position', async (t) => {
   const { standin, store } = await startStore(t);
   standin.epoch = 1;
-  const first = (await store.put('own', '"first"', at(0, 1))).unwrap();
+  const first = (await store.put('own', '"first"', positionAt(0, 1))).unwrap();
   standin.restore(60_000);
   standin.put('own', 'somebody else');
   await new Promise((resolve) => setTimeout(resolve, 20));
--- a/test/quota-pools.test.ts
+++ b/test/quota-pools.test.ts
@@ -13,7 +13,7 @@
   reserveConfig,
   maxPerWindow,
 } from '../src/gateway/quotas/quota-terms.js';
-import { at } from './support/positions.js';
+import { positionAt } from './support/positions.js';
 
 const TOLERANCE = { overShare: 0.1, slack: 1_000, windowMs: 8_000 };
 const QUOTA = { ratePerS: 1_000, burst: 500, unit: 'tokens', plainTokens: 1 } as const;
@@ -143,9 +143,16 @@
 
 test('the membership record survives encoding, and malformed text decodes to no members', (t) => {
   const change = { members: [member('a')], settled: [], sequence: 3, credits: 2, creditedAtMs: 5 };
-  t.deepEqual(decodeQuotaMembers(encodeQuotaMembers(change), at(7)), { ...change, ...at(7) });
+  t.deepEqual(decodeQuotaMembers(encodeQuotaMembers(change), positionAt(7)), {
+    ...change,
+    ...positionAt(7),
+  });
   for (const text of ['', '{', '[]', '{"members":[{"name":1}]}', '{"members":[],"settled":{}}']) {
-    t.deepEqual(decodeQuotaMembers(text, at(7)), { ...NO_QUOTA_MEMBERS, ...at(7) }, text);
+    t.deepEqual(
+      decodeQuotaMembers(text, positionAt(7)),
+      { ...NO_QUOTA_MEMBERS, ...positionAt(7) },
+      text,
+    );
   }
-  t.deepEqual(decodeQuotaMembers(undefined, at(7)), NO_QUOTA_MEMBERS);
+  t.deepEqual(decodeQuotaMembers(undefined, positionAt(7)), NO_QUOTA_MEMBERS);
 });
--- a/test/record-exchange.test.ts
+++ b/test/record-exchange.test.ts
@@ -3,7 +3,7 @@
 import type { RecordsFetch } from '../src/cluster/record-exchange.js';
 import { ReplicatedRecords } from '../src/cluster/replicated-records.js';
 import { VirtualClock } from '../src/sim/virtual-clock.js';
-import { at } from './support/positions.js';
+import { positionAt } from './support/positions.js';
 
 function startExchange(isStoreReachable: boolean) {
   const clock = new VirtualClock();
@@ -20,32 +20,36 @@
   );
   const fetchedFrom: string[] = [];
   const reportProgress = (revision: number, name = 'a') =>
-    exchange.hearReach(name, { completeTo: at(revision), currentTo: at(revision) }, (fetch) => {
-      fetches.push(fetch);
-      fetchedFrom.push(name);
-    });
+    exchange.hearReach(
+      name,
+      { completeTo: positionAt(revision), currentTo: positionAt(revision) },
+      (fetch) => {
+        fetches.push(fetch);
+        fetchedFrom.push(name);
+      },
+    );
   return { clock, records, fetches, fetchedFrom, applied, exchange, reportProgress };
 }
 
 test('a replica that cannot reach the store fetches at once, and only from a replica that is ahead', (t) => {
   const { fetches, reportProgress, records } = startExchange(false);
-  records.applyListing([], at(5));
+  records.applyListing([], positionAt(5));
   reportProgress(5);
   t.deepEqual(fetches, []);
   reportProgress(6);
-  t.deepEqual(fetches, [{ kind: 'fetch', since: at(5) }]);
+  t.deepEqual(fetches, [{ kind: 'fetch', since: positionAt(5) }]);
 });
 
 test('a replica that can reach the store waits for changes from it before it fetches', async (t) => {
   const { clock, fetches, reportProgress, records } = startExchange(true);
   reportProgress(6);
   await clock.runUntil(100);
-  records.applyListing([], at(6));
+  records.applyListing([], positionAt(6));
   await clock.runUntil(1_000);
   t.deepEqual(fetches, []);
   reportProgress(7);
   await clock.runUntil(2_000);
-  t.deepEqual(fetches, [{ kind: 'fetch', since: at(6) }]);
+  t.deepEqual(fetches, [{ kind: 'fetch', since: positionAt(6) }]);
 });
 
 test('only one fetch is pending at a time, and the next is sent after a timeout', async (t) => {
@@ -70,11 +74,11 @@
   t.is(exchange.behindMs, 900);
   exchange.receive({
     kind: 'records',
-    since: at(0),
-    completeTo: at(7),
-    currentTo: at(7),
+    since: positionAt(0),
+    completeTo: positionAt(7),
+    currentTo: positionAt(7),
     isWhole: true,
-    epochStart: at(0),
+    epochStart: positionAt(0),
     records: [],
   });
   await clock.runUntil(3_000);
@@ -84,19 +88,21 @@
 
 test('a replica fetches values from a replica that is ahead in `currentTo` only', (t) => {
   const { fetches, exchange, records } = startExchange(false);
-  records.applyListing([], at(5));
-  exchange.hearReach('a', { completeTo: at(5), currentTo: at(7) }, (fetch) => fetches.push(fetch));
-  t.deepEqual(fetches, [{ kind: 'fetch', since: at(5) }]);
-  const added = { key: 'a', ...at(7), value: 'v' };
+  records.applyListing([], positionAt(5));
+  exchange.hearReach('a', { completeTo: positionAt(5), currentTo: positionAt(7) }, (fetch) =>
+    fetches.push(fetch),
+  );
+  t.deepEqual(fetches, [{ kind: 'fetch', since: positionAt(5) }]);
+  const added = { key: 'a', ...positionAt(7), value: 'v' };
   const answer = {
     kind: 'records',
-    since: at(5),
+    since: positionAt(5),
     isWhole: false,
     records: [added],
-    epochStart: at(0),
+    epochStart: positionAt(0),
   } as const;
-  exchange.receive({ ...answer, completeTo: at(5), currentTo: at(7) });
-  t.deepEqual(records.reach, { completeTo: at(5), currentTo: at(7) });
+  exchange.receive({ ...answer, completeTo: positionAt(5), currentTo: positionAt(7) });
+  t.deepEqual(records.reach, { completeTo: positionAt(5), currentTo: positionAt(7) });
   t.is(exchange.behindMs, 0);
 });
 
@@ -105,11 +111,11 @@
   reportProgress(6);
   exchange.receive({
     kind: 'records',
-    since: at(0),
-    completeTo: at(5),
-    currentTo: at(5),
+    since: positionAt(0),
+    completeTo: positionAt(5),
+    currentTo: positionAt(5),
     isWhole: true,
-    epochStart: at(0),
+    epochStart: positionAt(0),
     records: [],
   });
   await clock.runUntil(2_000);
@@ -128,18 +134,18 @@
 
 test('fetched records are applied and served to other replicas', (t) => {
   const { exchange, applied, records } = startExchange(false);
-  const record = { key: 'a', ...at(4), value: 'v' };
+  const record = { key: 'a', ...positionAt(4), value: 'v' };
   exchange.receive({
     kind: 'records',
-    since: at(0),
-    completeTo: at(4),
-    currentTo: at(4),
+    since: positionAt(0),
+    completeTo: positionAt(4),
+    currentTo: positionAt(4),
     isWhole: false,
-    epochStart: at(0),
+    epochStart: positionAt(0),
     records: [record],
   });
   t.deepEqual(applied, ['a']);
-  t.deepEqual(records.completeTo, at(4));
-  t.deepEqual(exchange.answer({ kind: 'fetch', since: at(3) }).records, [record]);
-  t.deepEqual(exchange.answer({ kind: 'fetch', since: at(4) }).records, []);
+  t.deepEqual(records.completeTo, positionAt(4));
+  t.deepEqual(exchange.answer({ kind: 'fetch', since: positionAt(3) }).records, [record]);
+  t.deepEqual(exchange.answer({ kind: 'fetch', since: positionAt(4) }).records, []);
 });
--- a/test/replica.test.ts
+++ b/test/replica.test.ts
@@ -14,8 +14,8 @@
 import { SlotAgentRole } from '../src/slot-agent/slot-agent-role.js';
 import { DecisionLog } from '../src/telemetry/decision-log.js';
 import type { AgentToGateway, GatewayToAgent } from '../src/slot-agent/slot-messages.js';
-import { at } from './support/positions.js';
-import { laterOf, NO_POSITION } from '../src/cluster/store-position.js';
+import { positionAt } from './support/positions.js';
+import { laterPosition, NO_POSITION } from '../src/cluster/store-position.js';
 import type { StorePosition } from '../src/cluster/store-position.js';
 
 const HOST = '127.0.4.1';
@@ -24,7 +24,7 @@
  * free.
  */
 let lastPort = 28_500;
-const RECORD: StoreRecord = { key: 'k', ...at(3), value: 'v' };
+const RECORD: StoreRecord = { key: 'k', ...positionAt(3), value: 'v' };
 
 function nextPort(): number {
   lastPort += 1;
@@ -53,7 +53,7 @@
   const peers: string[] = [];
   const kinds = new Set<string>();
   const records = new ReplicatedRecords();
-  records.applyListing(known, known.reduce<StorePosition>(laterOf, NO_POSITION));
+  records.applyListing(known, known.reduce<StorePosition>(laterPosition, NO_POSITION));
   let mesh: PeerMesh | undefined;
   const received = new Promise<readonly StoreRecord[]>((resolve) => {
     const exchange = new RecordExchange(
@@ -164,8 +164,8 @@
       onMessage: (message) => {
         if (message.kind === 'fetch') {
           const { since } = message;
-          const reach = { completeTo: at(3), currentTo: at(3) };
-          const answer = { since, isWhole: false, records: [RECORD], epochStart: at(0) };
+          const reach = { completeTo: positionAt(3), currentTo: positionAt(3) };
+          const answer = { since, isWhole: false, records: [RECORD], epochStart: positionAt(0) };
           channel.send({ kind: 'records', ...reach, ...answer });
           // Messages are processed in order: the response to this one shows that the records
           // arrived.
@@ -176,7 +176,7 @@
       },
       onClose: resolve,
     });
-    channel.send({ kind: 'reach', reach: { completeTo: at(3), currentTo: at(3) } });
+    channel.send({ kind: 'reach', reach: { completeTo: positionAt(3), currentTo: positionAt(3) } });
   });
 }
 
--- a/test/replicated-records.test.ts
+++ b/test/replicated-records.test.ts
@@ -3,10 +3,10 @@
 import { isLater } from '../src/cluster/store-position.js';
 import { ReplicatedRecords } from '../src/cluster/replicated-records.js';
 import type { StoreRecord } from '../src/cluster/replicated-records.js';
-import { at } from './support/positions.js';
+import { positionAt } from './support/positions.js';
 
 function recordOf(key: string, revision: number, value: string | undefined = 'v'): StoreRecord {
-  return { key, ...at(revision), value };
+  return { key, ...positionAt(revision), value };
 }
 
 test('an older revision never replaces a newer one', (t) => {
@@ -20,7 +20,7 @@
   const records = new ReplicatedRecords();
   records.apply(recordOf('gone', 3));
   records.apply(recordOf('later', 9));
-  const applied = records.applyListing([recordOf('here', 4)], at(7));
+  const applied = records.applyListing([recordOf('here', 4)], positionAt(7));
   t.deepEqual(
     applied.map(({ key, value }) => [key, value]),
     [
@@ -33,7 +33,7 @@
 test('a removal is not undone by an older record that a peer still sends', (t) => {
   const records = new ReplicatedRecords();
   records.apply(recordOf('a', 3));
-  records.apply({ key: 'a', ...at(6), value: undefined });
+  records.apply({ key: 'a', ...positionAt(6), value: undefined });
   t.is(records.apply(recordOf('a', 3)), undefined);
   t.is(records.snapshot()[0]?.value, undefined);
 });
@@ -61,37 +61,41 @@
 
 test('a replica that is behind applies the records of another beyond its revision', (t) => {
   const newer = new ReplicatedRecords();
-  newer.applyListing([recordOf('a', 3), recordOf('b', 4)], at(5));
-  newer.applyChanges([recordOf('c', 7), { key: 'a', ...at(8), value: undefined }], at(5), at(8));
+  newer.applyListing([recordOf('a', 3), recordOf('b', 4)], positionAt(5));
+  newer.applyChanges(
+    [recordOf('c', 7), { key: 'a', ...positionAt(8), value: undefined }],
+    positionAt(5),
+    positionAt(8),
+  );
   const older = new ReplicatedRecords();
-  older.applyListing([recordOf('a', 3), recordOf('b', 4)], at(5));
+  older.applyListing([recordOf('a', 3), recordOf('b', 4)], positionAt(5));
   const update = newer.updateSince(older.completeTo);
   t.deepEqual(
     update.records.map(({ key }) => key),
     ['c', 'a'],
   );
   t.is(older.applyUpdate(update).length, 2);
-  t.deepEqual(older.completeTo, at(8));
+  t.deepEqual(older.completeTo, positionAt(8));
 });
 
 test('changes after a gap do not advance `completeTo`', (t) => {
   const records = new ReplicatedRecords();
-  records.applyListing([recordOf('a', 3)], at(5));
-  records.applyChanges([recordOf('b', 9)], at(8), at(9));
-  t.deepEqual(records.completeTo, at(5));
+  records.applyListing([recordOf('a', 3)], positionAt(5));
+  records.applyChanges([recordOf('b', 9)], positionAt(8), positionAt(9));
+  t.deepEqual(records.completeTo, positionAt(5));
 });
 
 test('a replica behind pruned tombstones gets a complete update', (t) => {
   const newer = new ReplicatedRecords();
-  newer.applyListing([recordOf('kept', 1), recordOf('removed', 2)], at(2));
+  newer.applyListing([recordOf('kept', 1), recordOf('removed', 2)], positionAt(2));
   const removals = Array.from({ length: 2_100 }, (_unused, index) => ({
     key: index === 0 ? 'removed' : `k${index}`,
-    ...at(3 + index),
+    ...positionAt(3 + index),
     value: undefined,
   }));
-  newer.applyChanges(removals, at(2), at(2_102));
+  newer.applyChanges(removals, positionAt(2), positionAt(2_102));
   const older = new ReplicatedRecords();
-  older.applyListing([recordOf('kept', 1), recordOf('removed', 2)], at(2));
+  older.applyListing([recordOf('kept', 1), recordOf('removed', 2)], positionAt(2));
   const update = newer.updateSince(older.completeTo);
   t.true(update.isWhole);
   t.deepEqual(
@@ -102,14 +106,14 @@
 
 test('a replica that started with a listing passes on removals that it never received', (t) => {
   const older = new ReplicatedRecords();
-  older.applyListing([recordOf('kept', 1), recordOf('removed', 2)], at(5));
+  older.applyListing([recordOf('kept', 1), recordOf('removed', 2)], positionAt(5));
   const started = new ReplicatedRecords();
-  started.applyListing([recordOf('kept', 1)], at(9));
+  started.applyListing([recordOf('kept', 1)], positionAt(9));
   t.deepEqual(
     older.applyUpdate(started.updateSince(older.completeTo)).map(({ key, value }) => [key, value]),
     [['removed', undefined]],
   );
-  t.deepEqual(older.completeTo, at(9));
+  t.deepEqual(older.completeTo, positionAt(9));
 });
 
 test('replicas complete to the same revision agree, whatever mix of listings, watches and fetches they applied', (t) => {
@@ -132,12 +136,12 @@
         const revision = history.length;
         if (act === 'put' || act === 'remove') {
           const value = act === 'put' ? `${revision}` : undefined;
-          history.push({ key, ...at(revision + 1), value });
+          history.push({ key, ...positionAt(revision + 1), value });
         } else if (act === 'list') {
-          records.applyListing(existing(revision), at(revision));
+          records.applyListing(existing(revision), positionAt(revision));
         } else if (act === 'watch') {
           const since = records.completeTo;
-          records.applyChanges(history.slice(since.revision), since, at(revision));
+          records.applyChanges(history.slice(since.revision), since, positionAt(revision));
         } else if (isLater(replicas[other]!.completeTo, records.completeTo)) {
           records.applyUpdate(replicas[other]!.updateSince(records.completeTo));
         }
@@ -160,34 +164,34 @@
 
 test('a merged listing is passed on without removals; only a complete listing removes missing keys', (t) => {
   const holder = new ReplicatedRecords();
-  holder.applyListing([{ key: 'gone', ...at(1), value: 'v' }], at(4));
+  holder.applyListing([{ key: 'gone', ...positionAt(1), value: 'v' }], positionAt(4));
   const receiver = new ReplicatedRecords();
-  receiver.applyUpdate(holder.updateSince(at(0)));
-  const listed = [{ key: 'new', ...at(7), value: 'v' }];
-  t.deepEqual(holder.addListing(listed, at(8)), listed);
-  t.deepEqual(holder.reach, { completeTo: at(4), currentTo: at(8) });
+  receiver.applyUpdate(holder.updateSince(positionAt(0)));
+  const listed = [{ key: 'new', ...positionAt(7), value: 'v' }];
+  t.deepEqual(holder.addListing(listed, positionAt(8)), listed);
+  t.deepEqual(holder.reach, { completeTo: positionAt(4), currentTo: positionAt(8) });
   t.true(receiver.isBehind(holder.reach));
   t.deepEqual(receiver.applyUpdate(holder.updateSince(receiver.completeTo)), listed);
-  t.deepEqual(receiver.reach, { completeTo: at(4), currentTo: at(8) });
+  t.deepEqual(receiver.reach, { completeTo: positionAt(4), currentTo: positionAt(8) });
   t.false(receiver.isBehind(holder.reach));
   t.true(receiver.snapshot().some(({ key, value }) => key === 'gone' && value !== undefined));
-  holder.applyListing(listed, at(9));
-  t.deepEqual(holder.reach, { completeTo: at(9), currentTo: at(9) });
+  holder.applyListing(listed, positionAt(9));
+  t.deepEqual(holder.reach, { completeTo: positionAt(9), currentTo: positionAt(9) });
   receiver.applyUpdate(holder.updateSince(receiver.completeTo));
   t.false(receiver.snapshot().some(({ key, value }) => key === 'gone' && value !== undefined));
 });
 
 test('an update that starts after the position of a replica does not advance `currentTo`', (t) => {
   const records = new ReplicatedRecords();
-  records.applyListing([], at(3));
+  records.applyListing([], positionAt(3));
   const update = {
-    since: at(6),
-    completeTo: at(6),
-    currentTo: at(9),
+    since: positionAt(6),
+    completeTo: positionAt(6),
+    currentTo: positionAt(9),
     isWhole: false,
     records: [],
-    epochStart: at(0),
+    epochStart: positionAt(0),
   };
   records.applyUpdate(update);
-  t.deepEqual(records.reach, { completeTo: at(3), currentTo: at(3) });
+  t.deepEqual(records.reach, { completeTo: positionAt(3), currentTo: positionAt(3) });
 });
--- a/test/restored-replica.test.ts
+++ b/test/restored-replica.test.ts
@@ -4,7 +4,7 @@
 import { ReplicatedRecords } from '../src/cluster/replicated-records.js';
 import type { CompareByOwner, StoreRecord } from '../src/cluster/replicated-records.js';
 import { isLater } from '../src/cluster/store-position.js';
-import { at } from './support/positions.js';
+import { positionAt } from './support/positions.js';
 
 /** Values of versioned keys begin with the version number that their owner wrote. */
 const compareLeadingNumber: CompareByOwner = (left, right) => {
@@ -16,13 +16,13 @@
 };
 
 function recordOf(key: string, revision: number, epoch: number, value: string): StoreRecord {
-  return { key, ...at(revision, epoch), value };
+  return { key, ...positionAt(revision, epoch), value };
 }
 
 /** Returns a replica that is complete through revision 10 of the first epoch. */
 function replicaOf(...records: StoreRecord[]): ReplicatedRecords {
   const replica = new ReplicatedRecords(compareLeadingNumber);
-  replica.applyListing(records, at(10, 1));
+  replica.applyListing(records, positionAt(10, 1));
   return replica;
 }
 
@@ -32,52 +32,60 @@
 
 test('a change written after the restore is applied, though its revision is below the known 10', (t) => {
   const replica = replicaOf(recordOf('config', 10, 1, '5 five'));
-  replica.addListing([recordOf('config', 4, 2, '3 three')], at(6, 2));
-  const [applied] = replica.applyChanges([recordOf('config', 7, 2, '6 six')], at(6, 2), at(7, 2));
+  replica.addListing([recordOf('config', 4, 2, '3 three')], positionAt(6, 2));
+  const [applied] = replica.applyChanges(
+    [recordOf('config', 7, 2, '6 six')],
+    positionAt(6, 2),
+    positionAt(7, 2),
+  );
   t.is(applied?.value, '6 six');
-  t.deepEqual(replica.reach, { completeTo: at(10, 1), currentTo: at(7, 2) });
+  t.deepEqual(replica.reach, { completeTo: positionAt(10, 1), currentTo: positionAt(7, 2) });
 });
 
 test('records of the backup that are older, by owner version or by revision, replace nothing before settling', (t) => {
   const replica = replicaOf(recordOf('config', 8, 1, '5 five'), recordOf('order', 9, 1, 'newer'));
   const backup = [recordOf('config', 4, 2, '3 three'), recordOf('order', 5, 2, 'older')];
-  t.deepEqual(replica.addListing(backup, at(6, 2)), []);
+  t.deepEqual(replica.addListing(backup, positionAt(6, 2)), []);
   t.is(replica.countKept(), 2);
   t.false(replica.isSettled);
-  replica.applyListing(backup, at(6, 2));
+  replica.applyListing(backup, positionAt(6, 2));
   t.deepEqual([valueOf(replica, 'config'), valueOf(replica, 'order')], ['3 three', 'older']);
   t.true(replica.isSettled);
 });
 
 test('a record that its owner wrote again before the first listing is applied, though its revision is lower', (t) => {
   const replica = replicaOf(recordOf('backend', 9, 1, '7 ready'));
-  const [applied] = replica.addListing([recordOf('backend', 6, 2, '8 draining')], at(6, 2));
+  const [applied] = replica.addListing([recordOf('backend', 6, 2, '8 draining')], positionAt(6, 2));
   t.is(applied?.value, '8 draining');
 });
 
 test('a record that the backup lacks is retained until the replica has settled', (t) => {
   const replica = replicaOf(recordOf('a', 3, 1, 'v'), recordOf('lost', 9, 1, 'v'));
-  t.deepEqual(replica.addListing([recordOf('a', 3, 2, 'v')], at(6, 2)), [
+  t.deepEqual(replica.addListing([recordOf('a', 3, 2, 'v')], positionAt(6, 2)), [
     { ...recordOf('a', 3, 2, 'v'), isUnchanged: true },
   ]);
   t.is(valueOf(replica, 'lost'), 'v');
-  replica.applyListing([recordOf('a', 3, 2, 'v')], at(6, 2));
+  replica.applyListing([recordOf('a', 3, 2, 'v')], positionAt(6, 2));
   t.is(valueOf(replica, 'lost'), undefined);
 });
 
 test('a removed back end stays removed, though the backup holds it', (t) => {
   const replica = replicaOf(recordOf('backend', 5, 1, '7 ready'));
-  replica.applyChanges([{ key: 'backend', ...at(11, 1), value: undefined }], at(10, 1), at(11, 1));
-  replica.addListing([recordOf('backend', 5, 2, '7 ready')], at(6, 2));
+  replica.applyChanges(
+    [{ key: 'backend', ...positionAt(11, 1), value: undefined }],
+    positionAt(10, 1),
+    positionAt(11, 1),
+  );
+  replica.addListing([recordOf('backend', 5, 2, '7 ready')], positionAt(6, 2));
   t.is(valueOf(replica, 'backend'), undefined);
 });
 
 test('a replica that knows only the backup fetches newer records and does not spread the older ones', (t) => {
   const old = replicaOf(recordOf('backend', 9, 1, '8 draining'), recordOf('lost', 10, 1, 'v'));
   const backup = [recordOf('backend', 4, 2, '7 ready')];
-  old.addListing(backup, at(6, 2));
+  old.addListing(backup, positionAt(6, 2));
   const started = new ReplicatedRecords(compareLeadingNumber);
-  started.addListing(backup, at(6, 2));
+  started.addListing(backup, positionAt(6, 2));
   t.true(started.isBehind(old.reach));
   old.applyUpdate(started.updateSince(old.completeTo));
   t.is(valueOf(old, 'backend'), '8 draining');
@@ -88,10 +96,10 @@
 
 test('a settled replica does not apply records that an unsettled one still retains', (t) => {
   const unsettled = replicaOf(recordOf('lost', 9, 1, 'v'), recordOf('config', 8, 1, '5 five'));
-  unsettled.addListing([recordOf('config', 4, 2, '3 three')], at(6, 2));
+  unsettled.addListing([recordOf('config', 4, 2, '3 three')], positionAt(6, 2));
   const settled = replicaOf();
-  settled.applyListing([recordOf('config', 4, 2, '3 three')], at(6, 2));
-  settled.applyUpdate(unsettled.updateSince(at(0)));
+  settled.applyListing([recordOf('config', 4, 2, '3 three')], positionAt(6, 2));
+  settled.applyUpdate(unsettled.updateSince(positionAt(0)));
   t.deepEqual([valueOf(settled, 'lost'), valueOf(settled, 'config')], [undefined, '3 three']);
   unsettled.applyUpdate(settled.updateSince(unsettled.completeTo));
   t.deepEqual([valueOf(unsettled, 'lost'), valueOf(unsettled, 'config')], [undefined, '3 three']);
@@ -105,7 +113,7 @@
   private writes = 0;
 
   get position() {
-    return at(this.changes.length, this.epoch);
+    return positionAt(this.changes.length, this.epoch);
   }
 
   put(key: string): void {
@@ -124,7 +132,7 @@
 
   changesAfter(revision: number): StoreRecord[] {
     return this.changes
-      .map((change, index) => ({ ...change, ...at(index + 1, this.epoch) }))
+      .map((change, index) => ({ ...change, ...positionAt(index + 1, this.epoch) }))
       .slice(revision);
   }
 
@@ -220,8 +228,8 @@
 });
 
 test('positions are ordered by their epoch first', (t) => {
-  t.true(isLater(at(1, 2), at(9, 1)));
-  t.false(isLater(at(9, 1), at(1, 2)));
-  t.true(isLater(at(2, 1), at(1, 1)));
-  t.false(isLater(at(1, 1), at(1, 1)));
+  t.true(isLater(positionAt(1, 2), positionAt(9, 1)));
+  t.false(isLater(positionAt(9, 1), positionAt(1, 2)));
+  t.true(isLater(positionAt(2, 1), positionAt(1, 1)));
+  t.false(isLater(positionAt(1, 1), positionAt(1, 1)));
 });
--- a/test/restored-store-troubles.test.ts
+++ b/test/restored-store-troubles.test.ts
@@ -20,7 +20,7 @@
   options: Omit<TroubledRunOptions, 'seed' | 'lengthMs' | 'countsEpochs'>,
 ) {
   for (let seed = seeds.from; seed <= seeds.to; seed += 1) {
-    const run = await runTroubled({ seed, lengthMs: LENGTH_MS, countsEpochs: true, ...options });
+    const run = await runTroubled({ seed, lengthMs: LENGTH_MS, reportsEpochs: true, ...options });
     const violations = [run.late, run.lateForOrders, run.lateForLeaves, run.readyAgain].flat();
     if (violations.length > 0) {
       return { seed, ...run };
@@ -94,7 +94,10 @@
   test(`the check detects a gateway in which ${name}`, async (t) => {
     const breakProcess = (cluster: GatewayCluster) =>
       injectFault(cluster as unknown as ClusterInternals);
-    const found = await findFailingRun({ from: seed, to: seed }, { gateways: 12, breakProcess });
+    const found = await findFailingRun(
+      { from: seed, to: seed },
+      { gateways: 12, injectFault: breakProcess },
+    );
     t.not(found, undefined);
   });
 }
--- a/test/restored-store.test.ts
+++ b/test/restored-store.test.ts
@@ -38,27 +38,27 @@
   const fleet = new StoreFleet({
     seed,
     gateways,
-    countsEpochs: true,
-    ...(injectFault === undefined ? {} : { breakProcess: injectFault }),
+    reportsEpochs: true,
+    ...(injectFault === undefined ? {} : { injectFault: injectFault }),
   });
-  fleet.announce('b1');
-  fleet.announce('b2');
+  fleet.announceBackend('b1');
+  fleet.announceBackend('b2');
   await fleet.run(SETTLE_MS);
   for (let change = 0; change < 10; change += 1) {
-    fleet.change();
+    fleet.changeConfiguration();
     await fleet.run(CHANGE_PERIOD_MS);
   }
   fleet.isLate = (_machine, change, nowMs) => nowMs - change.atMs > CHANGE_BOUND_MS;
-  fleet.isLateForLeave = (_machine, leave, nowMs) => nowMs - leave.atMs > CHANGE_BOUND_MS;
+  fleet.isLateForDeparture = (_machine, leave, nowMs) => nowMs - leave.atMs > CHANGE_BOUND_MS;
   const downMs = randomInteger(random, 100, 3_000);
   const backupAgeMs = randomInteger(random, 200, 20_000);
   fleet.restoreStore(downMs, backupAgeMs);
   await fleet.run(downMs + AFTER_RESTORE_MS);
-  fleet.change();
-  fleet.leave('b1');
+  fleet.changeConfiguration();
+  fleet.drainBackend('b1');
   await fleet.run(CHANGE_PERIOD_MS);
-  fleet.change();
-  fleet.leave('b2');
+  fleet.changeConfiguration();
+  fleet.drainBackend('b2');
   await fleet.run(CHANGE_BOUND_MS * 2);
   return fleet;
 }
@@ -67,7 +67,7 @@
   for (const gateways of [1, 4, 31]) {
     for (let seed = 0; seed < SEEDS; seed += 1) {
       const fleet = await runRestoreScenario({ gateways, seed });
-      t.deepEqual(fleet.late, [], `seed ${seed}, ${gateways} gateways`);
+      t.deepEqual(fleet.lateGateways, [], `seed ${seed}, ${gateways} gateways`);
     }
   }
 });
@@ -76,7 +76,7 @@
   for (const gateways of [1, 4, 31]) {
     for (let seed = 0; seed < SEEDS; seed += 1) {
       const fleet = await runRestoreScenario({ gateways, seed });
-      t.deepEqual(fleet.lateForLeaves, [], `seed ${seed}, ${gateways} gateways`);
+      t.deepEqual(fleet.lateForDepartures, [], `seed ${seed}, ${gateways} gateways`);
     }
   }
 });
@@ -107,6 +107,6 @@
 for (const [name, injectFault] of Object.entries(INJECTED_FAULTS)) {
   test(`the check detects a fleet in which ${name}`, async (t) => {
     const fleet = await runRestoreScenario({ seed: 2, gateways: 31, injectFault });
-    t.not(fleet.lateForLeaves.length, 0);
+    t.not(fleet.lateForDepartures.length, 0);
   });
 }
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -11,11 +11,11 @@
 import { backendOf, GatewayHarness } from './support/gateway.js';
 import { RolloutFleet } from './support/rollout-fleet.js';
 import type { FleetFaults, RolloutRun, VersionBehaviour } from './support/rollout-fleet.js';
-import { at } from './support/positions.js';
+import { positionAt } from './support/positions.js';
 import type { StorePosition } from '../src/cluster/store-position.js';
 import type { RolloutState } from '../src/rollout/rollout-order.js';
 
-const ORDER = { service: 's', targetVersion: 'v2', durationMs: 20_000, ...at(5) };
+const ORDER = { service: 's', targetVersion: 'v2', durationMs: 20_000, ...positionAt(5) };
 const SEEDS = Array.from({ length: 50 }, (_unused, index) => index + 1);
 const MAX_TARGET_SHARE = 0.1;
 const TARGET_SLACK = 50;
@@ -108,18 +108,18 @@
 
 test('a rolled-back version is closed, and a completed one closes the others', (t) => {
   const rollout = new ServiceRollout(ORDER, 'g', 0);
-  rollout.applyStatus({ ...ORDER, state: 'rolled-back', ...at(6) });
+  rollout.applyStatus({ ...ORDER, state: 'rolled-back', ...positionAt(6) });
   t.deepEqual([rollout.versionUse('v1'), rollout.versionUse('v2')], ['open', 'closed']);
   const other = new ServiceRollout(ORDER, 'g', 0);
-  other.applyStatus({ ...ORDER, state: 'completed', ...at(6) });
+  other.applyStatus({ ...ORDER, state: 'completed', ...positionAt(6) });
   t.deepEqual([other.versionUse('v1'), other.versionUse('v2')], ['closed', 'open']);
 });
 
 test('the state of an earlier order does not apply to a later one', (t) => {
   const rollout = new ServiceRollout(ORDER, 'g', 0);
-  rollout.applyStatus({ ...ORDER, state: 'completed', ...at(4) });
+  rollout.applyStatus({ ...ORDER, state: 'completed', ...positionAt(4) });
   t.is(rollout.state, undefined);
-  rollout.applyStatus({ ...ORDER, targetVersion: 'v9', state: 'completed', ...at(8) });
+  rollout.applyStatus({ ...ORDER, targetVersion: 'v9', state: 'completed', ...positionAt(8) });
   t.is(rollout.state, undefined);
 });
 
@@ -162,7 +162,7 @@
       countGateways: () => 1,
       write: (_order, state, follows) => {
         onWrite(state, follows);
-        return Promise.resolve(ok(at(1)));
+        return Promise.resolve(ok(positionAt(1)));
       },
       onWritten: () => undefined,
     },
@@ -182,8 +182,8 @@
     rollouts.noteSent(OLD_BACKEND);
   }
   t.is(rollouts.versionUse(NEW_BACKEND), 'limited');
-  t.false(rollouts.applyOrderRemoval('s', at(ORDER.revision - 1)));
-  t.true(rollouts.applyOrderRemoval('s', at(ORDER.revision + 1)));
+  t.false(rollouts.applyOrderRemoval('s', positionAt(ORDER.revision - 1)));
+  t.true(rollouts.applyOrderRemoval('s', positionAt(ORDER.revision + 1)));
   t.deepEqual(
     [rollouts.versionUse(OLD_BACKEND), rollouts.versionUse(NEW_BACKEND)],
     ['open', 'closed'],
@@ -191,18 +191,18 @@
   t.is(rollouts.tell(), undefined);
   ready.others = 0;
   t.is(rollouts.versionUse(NEW_BACKEND), 'open');
-  rollouts.applyOrder({ ...ORDER, ...at(ORDER.revision + 2) });
+  rollouts.applyOrder({ ...ORDER, ...positionAt(ORDER.revision + 2) });
   t.not(rollouts.tell(), undefined);
 });
 
 test('removing the order of a completed roll-out opens every version', (t) => {
   const rollouts = rolloutsWith({ target: 1, others: 1 });
-  rollouts.applyStatus({ ...ORDER, state: 'completed', ...at(6) });
+  rollouts.applyStatus({ ...ORDER, state: 'completed', ...positionAt(6) });
   t.deepEqual(
     [rollouts.versionUse(OLD_BACKEND), rollouts.versionUse(NEW_BACKEND)],
     ['closed', 'open'],
   );
-  rollouts.applyOrderRemoval('s', at(7));
+  rollouts.applyOrderRemoval('s', positionAt(7));
   t.deepEqual(
     [rollouts.versionUse(OLD_BACKEND), rollouts.versionUse(NEW_BACKEND)],
     ['open', 'open'],
@@ -212,7 +212,7 @@
 test('the old version is used if all back ends of the new one are in evacuated zones', (t) => {
   const ready = { target: 0, others: 1 };
   const rollouts = rolloutsWith(ready);
-  rollouts.applyStatus({ ...ORDER, state: 'completed', ...at(6) });
+  rollouts.applyStatus({ ...ORDER, state: 'completed', ...positionAt(6) });
   t.is(rollouts.versionUse(OLD_BACKEND), 'open');
   ready.target = 1;
   t.is(rollouts.versionUse(OLD_BACKEND), 'closed');
@@ -228,14 +228,14 @@
   const { rollouts } = new GatewayRollouts({
     incarnation: 'g',
     directory: world.directory,
-    adapter: { writeRolloutState: () => Promise.resolve(ok(at(1))) },
+    adapter: { writeRolloutState: () => Promise.resolve(ok(positionAt(1))) },
     clock: world.clock,
     log,
     countGateways: () => 1,
     isEvacuated: (zone) => world.isEvacuated(zone),
   });
   rollouts.applyOrder(ORDER);
-  rollouts.applyStatus({ ...ORDER, state: 'completed', ...at(6) });
+  rollouts.applyStatus({ ...ORDER, state: 'completed', ...positionAt(6) });
   t.is(rollouts.versionUse(OLD_BACKEND), 'closed');
   world.order('zb', true);
   t.is(rollouts.versionUse(OLD_BACKEND), 'closed');
@@ -245,54 +245,56 @@
 
 test('roll-out orders and states are decoded and encoded in the platform’s format', (t) => {
   const value = JSON.stringify({ service: 's', targetVersion: 'v2', durationS: 12 });
-  t.deepEqual(decodeRollout({ key: 'op/rollout/s', ...at(7), value }), {
+  t.deepEqual(decodeRollout({ key: 'op/rollout/s', ...positionAt(7), value }), {
     kind: 'rollout-order',
-    order: { service: 's', targetVersion: 'v2', durationMs: 12_000, ...at(7) },
+    order: { service: 's', targetVersion: 'v2', durationMs: 12_000, ...positionAt(7) },
   });
   const { key, text } = encodeRolloutState(ORDER, 'rolled-back');
   t.is(key, 'status/rollout/s');
-  t.deepEqual(decodeRollout({ key, ...at(9), value: text }), {
+  t.deepEqual(decodeRollout({ key, ...positionAt(9), value: text }), {
     kind: 'rollout-status',
-    status: { service: 's', targetVersion: 'v2', state: 'rolled-back', ...at(9) },
+    status: { service: 's', targetVersion: 'v2', state: 'rolled-back', ...positionAt(9) },
   });
-  t.deepEqual(decodeRollout({ key: 'op/rollout/s', ...at(8), value: undefined }), {
+  t.deepEqual(decodeRollout({ key: 'op/rollout/s', ...positionAt(8), value: undefined }), {
     kind: 'rollout-removed',
     service: 's',
-    position: at(8),
+    position: positionAt(8),
   });
-  t.throws(() => decodeRollout({ key: 'op/rollout/s', ...at(7), value: '{"durationS":-1}' }));
+  t.throws(() =>
+    decodeRollout({ key: 'op/rollout/s', ...positionAt(7), value: '{"durationS":-1}' }),
+  );
 });
 
 test('a roll-out continues if its order is rewritten after the store was restored from a copy', (t) => {
-  const order = { ...ORDER, ...at(5, 1) };
+  const order = { ...ORDER, ...positionAt(5, 1) };
   const rollouts = rolloutsWith({ target: 1, others: 1 }, order);
-  rollouts.applyStatus({ ...order, state: 'rolled-back', ...at(7, 1) });
-  t.false(rollouts.applyOrder({ ...order, ...at(4, 2) }));
+  rollouts.applyStatus({ ...order, state: 'rolled-back', ...positionAt(7, 1) });
+  t.false(rollouts.applyOrder({ ...order, ...positionAt(4, 2) }));
   t.is(rollouts.versionUse(NEW_BACKEND), 'closed');
-  t.true(rollouts.applyOrder({ ...order, targetVersion: 'v3', ...at(6, 2) }));
+  t.true(rollouts.applyOrder({ ...order, targetVersion: 'v3', ...positionAt(6, 2) }));
 });
 
 test('a state lost by the store is rewritten, conditional on the position the store holds', async (t) => {
-  const order = { ...ORDER, ...at(5, 1) };
+  const order = { ...ORDER, ...positionAt(5, 1) };
   const written: Array<readonly [RolloutState, StorePosition]> = [];
   const clock = new VirtualClock();
   const write = (state: RolloutState, follows: StorePosition) => written.push([state, follows]);
   const rollouts = rolloutsWith({ target: 1, others: 1 }, order, write, clock);
-  rollouts.applyStatus({ ...order, state: 'completed', ...at(9, 1) });
+  rollouts.applyStatus({ ...order, state: 'completed', ...positionAt(9, 1) });
   rollouts.tick();
   t.deepEqual(written, []);
-  rollouts.applyOrder({ ...order, ...at(5, 2) });
-  rollouts.applyStatus({ ...order, state: 'in-progress', ...at(6, 2) });
+  rollouts.applyOrder({ ...order, ...positionAt(5, 2) });
+  rollouts.applyStatus({ ...order, state: 'in-progress', ...positionAt(6, 2) });
   rollouts.tick();
-  t.deepEqual(written, [['completed', at(6, 2)]]);
+  t.deepEqual(written, [['completed', positionAt(6, 2)]]);
   await new Promise((resolve) => setImmediate(resolve));
   t.is(rollouts.versionUse(OLD_BACKEND), 'closed');
-  rollouts.applyStatus({ ...order, state: 'completed', ...at(8, 2) });
-  rollouts.applyStatusRemoval('s', at(8, 2));
+  rollouts.applyStatus({ ...order, state: 'completed', ...positionAt(8, 2) });
+  rollouts.applyStatusRemoval('s', positionAt(8, 2));
   await clock.runUntil(2_000);
   rollouts.tick();
   t.is(written.length, 1);
-  rollouts.applyStatusRemoval('s', at(4, 3));
+  rollouts.applyStatusRemoval('s', positionAt(4, 3));
   rollouts.tick();
-  t.deepEqual(written.at(-1), ['completed', at(0, 2)]);
+  t.deepEqual(written.at(-1), ['completed', positionAt(0, 2)]);
 });
--- a/test/slot-agent-role.test.ts
+++ b/test/slot-agent-role.test.ts
@@ -10,7 +10,7 @@
 import type { AgentToGateway, GatewayToAgent } from '../src/slot-agent/slot-messages.js';
 import { DecisionLog } from '../src/telemetry/decision-log.js';
 import type { StorePosition } from '../src/cluster/store-position.js';
-import { at } from './support/positions.js';
+import { positionAt } from './support/positions.js';
 
 const HOST = '127.0.3.4';
 /** Ports below the ephemeral range, on an address that only this file uses. */
@@ -136,12 +136,12 @@
   const { port, stop } = startAgent(() => 0);
   const recordsMessage = (revision: number, value: string | undefined) => ({
     kind: 'records' as const,
-    since: at(0),
-    completeTo: at(revision),
-    currentTo: at(revision),
+    since: positionAt(0),
+    completeTo: positionAt(revision),
+    currentTo: positionAt(revision),
     isWhole: false,
-    records: [{ key: 'z', ...at(revision), value }],
-    epochStart: at(0),
+    records: [{ key: 'z', ...positionAt(revision), value }],
+    epochStart: positionAt(0),
   });
   const [informed, uninformed] = [new FakeGateway(port), new FakeGateway(port)];
   informed.sendHello('informed');
@@ -161,21 +161,21 @@
   const { port, stop } = startAgent(() => 0);
   const recordsMessage = (position: StorePosition, value: string | undefined) => ({
     kind: 'records' as const,
-    since: at(0),
+    since: positionAt(0),
     completeTo: position,
     currentTo: position,
     isWhole: false,
     records: [{ key: 'z', ...position, value }],
-    epochStart: at(1, position.epoch),
+    epochStart: positionAt(1, position.epoch),
   });
   const gateway = new FakeGateway(port);
   gateway.sendHello('g');
-  gateway.send(recordsMessage(at(9, 1), undefined), recordsMessage(at(4, 2), ''));
+  gateway.send(recordsMessage(positionAt(9, 1), undefined), recordsMessage(positionAt(4, 2), ''));
   await gateway.waitFor('state');
   gateway.requestSlot();
   await new Promise((resolve) => setTimeout(resolve, 400));
   t.false(gateway.received.some(({ kind }) => kind === 'granted'));
-  gateway.send(recordsMessage(at(5, 2), undefined));
+  gateway.send(recordsMessage(positionAt(5, 2), undefined));
   t.is((await gateway.waitFor('granted')).kind, 'granted');
   gateway.close();
   stop();
--- a/test/store-follower.test.ts
+++ b/test/store-follower.test.ts
@@ -8,7 +8,7 @@
 import { err, ok } from '../src/result.js';
 import type { Result } from '../src/result.js';
 import { VirtualClock } from '../src/sim/virtual-clock.js';
-import { at } from './support/positions.js';
+import { positionAt } from './support/positions.js';
 import { NO_EPOCH, NO_POSITION } from '../src/cluster/store-position.js';
 import type { StorePosition } from '../src/cluster/store-position.js';
 
@@ -47,8 +47,8 @@
   }
 }
 
-const READ_AT_4 = ok({ records: [{ key: 'k', ...at(4), value: 'v' }], ...at(4) });
-const NO_CHANGE_AT_4 = ok({ records: [], ...at(4) });
+const READ_AT_4 = ok({ records: [{ key: 'k', ...positionAt(4), value: 'v' }], ...positionAt(4) });
+const NO_CHANGE_AT_4 = ok({ records: [], ...positionAt(4) });
 const FAILED = err(new StoreUnavailableError('cut'));
 const HISTORY_GONE = err(new StoreHistoryGoneError('gone'));
 
@@ -58,9 +58,9 @@
   onListingAfterOutage: () => undefined,
   onChanges: () => undefined,
   onChangesMissing: () => undefined,
-  onOtherEpoch: () => undefined,
-  onConfirmed: () => undefined,
-  onReachable: () => undefined,
+  onEpochMismatch: () => undefined,
+  onReplicaConfirmed: () => undefined,
+  onReachabilityChange: () => undefined,
   countFollowers: () => 1,
   mustFollow: () => true,
   completeTo: () => NO_POSITION,
@@ -80,7 +80,7 @@
     ...HANDLERS,
     onListing: () => void listings.push('whole'),
     onListingAfterOutage: () => void listings.push('after an outage'),
-    onReachable: (isReachable: boolean) => {
+    onReachabilityChange: (isReachable: boolean) => {
       if (!store.hasEnded) {
         reachable.push(isReachable);
       }
@@ -107,7 +107,7 @@
 });
 
 test('the follower lists again after a watch that returned a revision without its changes', async (t) => {
-  const withoutChanges = ok({ records: [], ...at(7) });
+  const withoutChanges = ok({ records: [], ...positionAt(7) });
   const { calls } = await runFollower([READ_AT_4, withoutChanges, READ_AT_4]);
   t.deepEqual(calls, ['list', 'watch 4', 'list', 'watch 4']);
 });
@@ -126,7 +126,7 @@
 /** Returns when the follower received changes, with `followers` processes following the store. */
 async function changeTimesMs(followers: number): Promise<{ calls: string[]; seenAtMs: number[] }> {
   const change = (revision: number) =>
-    ok({ records: [{ key: 'k', ...at(revision), value: 'v' }], ...at(revision) });
+    ok({ records: [{ key: 'k', ...positionAt(revision), value: 'v' }], ...positionAt(revision) });
   const clock = new VirtualClock();
   const store = new ScriptedStore(clock, [READ_AT_4, change(5), change(9)]);
   const seenAtMs: number[] = [];
@@ -195,7 +195,7 @@
     onListing: () => void listings.push('whole'),
     onListingAfterOutage: () => void listings.push('after an outage'),
     mustFollow: () => clock.now() >= untilMs,
-    completeTo: () => at(completeTo),
+    completeTo: () => positionAt(completeTo),
   };
   void new StoreFollower(store, handlers, clock, new SeededRandom(1)).run();
   for (let turn = 1; turn <= 80; turn += 1) {
@@ -211,7 +211,7 @@
   const reachable: boolean[] = [];
   const handlers: StoreFollowerHandlers = {
     ...HANDLERS,
-    onReachable: (isReachable: boolean) => void reachable.push(isReachable),
+    onReachabilityChange: (isReachable: boolean) => void reachable.push(isReachable),
   };
   const follower = new StoreFollower(store, handlers, clock, new SeededRandom(1));
   void follower.run();
@@ -246,8 +246,8 @@
     ...HANDLERS,
     onListing: () => void (seen.listed += 1),
     onListingAfterOutage: () => void (seen.listed += 1),
-    onReachable: (isReachable: boolean) => void (seen.lost += isReachable ? 0 : 1),
-    completeTo: () => at(4),
+    onReachabilityChange: (isReachable: boolean) => void (seen.lost += isReachable ? 0 : 1),
+    completeTo: () => positionAt(4),
   };
   void new StoreFollower(store, handlers, clock, new SeededRandom(1)).run();
   for (let turn = 1; turn <= 200; turn += 1) {
@@ -306,7 +306,7 @@
     onListingAfterOutage: record('listing'),
     onChanges: record('changes'),
     knownEpoch: () => known,
-    onOtherEpoch: (call: string, asked: number, read: StorePosition) =>
+    onEpochMismatch: (call: string, asked: number, read: StorePosition) =>
       void events.push(`${call} of ${asked} dropped ${read.epoch}/${read.revision}`),
   };
   void new StoreFollower(store, handlers, clock, new SeededRandom(1)).run();
@@ -321,7 +321,10 @@
 }
 
 const readAt = (revision: number, epoch: number) =>
-  ok({ records: [{ key: 'k', ...at(revision, epoch), value: 'v' }], ...at(revision, epoch) });
+  ok({
+    records: [{ key: 'k', ...positionAt(revision, epoch), value: 'v' }],
+    ...positionAt(revision, epoch),
+  });
 
 test('the follower drops a watch response of another epoch and lists again', async (t) => {
   const { calls, events } = await runWithEpochs([readAt(9, 1), readAt(4, 2), readAt(4, 2)]);
@@ -341,7 +344,7 @@
 });
 
 test('a follower that learns a new epoch from a peer lists, and drops the watch of the former epoch', async (t) => {
-  const nothing = ok({ records: [], ...at(9, 1) });
+  const nothing = ok({ records: [], ...positionAt(9, 1) });
   const script = [readAt(9, 1), nothing, ...Array.from({ length: 9 }, () => readAt(4, 2))];
   const clock = new VirtualClock();
   const waiting = sleep(clock, 1_000);
--- a/test/store-readers.test.ts
+++ b/test/store-readers.test.ts
@@ -1,11 +1,14 @@
 import test from 'ava';
-import { DEFAULT_STORE_READERS_OPTIONS, StoreReaders } from '../src/cluster/store-readers.js';
+import {
+  DEFAULT_STORE_READER_SELECTOR_OPTIONS,
+  StoreReaderSelector,
+} from '../src/cluster/store-readers.js';
 
 const HEARTBEAT_MS = 500;
 
 /** Gateways that report to each other in each heartbeat whether they read the store. */
 class ReaderFleet {
-  private readonly readers = new Map<string, StoreReaders>();
+  private readonly readers = new Map<string, StoreReaderSelector>();
   private nowMs = 0;
   /** Gateways whose calls the store refuses. */
   readonly refused = new Set<string>();
@@ -19,7 +22,11 @@
   ) {
     for (let index = 0; index < count; index += 1) {
       const name = `g${index}`;
-      const readers = new StoreReaders(name, DEFAULT_STORE_READERS_OPTIONS, regionOf(name));
+      const readers = new StoreReaderSelector(
+        name,
+        DEFAULT_STORE_READER_SELECTOR_OPTIONS,
+        regionOf(name),
+      );
       this.readers.set(name, readers);
     }
   }
@@ -39,7 +46,9 @@
       this.nowMs += HEARTBEAT_MS;
       for (const from of this.alive) {
         for (const to of this.alive.filter((name) => name !== from && this.canReach(from, name))) {
-          this.readers.get(to)!.hear(from, reading.has(from), this.nowMs, this.regionOf(from));
+          this.readers
+            .get(to)!
+            .receiveHeartbeat(from, reading.has(from), this.nowMs, this.regionOf(from));
         }
       }
     }
--- a/test/store-troubles.test.ts
+++ b/test/store-troubles.test.ts
@@ -88,7 +88,10 @@
 for (const { name, seed, breakInside } of VARIANTS) {
   test(`the check detects the fault: ${name}`, async (t) => {
     const breakProcess = (cluster: GatewayCluster) => breakInside(cluster as unknown as Inside);
-    const found = await findLate({ from: seed, to: seed }, { gateways: 27, breakProcess });
+    const found = await findLate(
+      { from: seed, to: seed },
+      { gateways: 27, injectFault: breakProcess },
+    );
     t.not(found, undefined);
   });
 }
--- a/test/support/fleet-troubles.ts
+++ b/test/support/fleet-troubles.ts
@@ -49,13 +49,13 @@
   change: Pick<FleetChange, 'atMs'>,
   nowMs: number,
 ): boolean {
-  const hadFaults = fleet.wasTroubled(change.atMs - FAULT_BOUND_MS);
+  const hadFaults = fleet.hadFault(change.atMs - FAULT_BOUND_MS);
   const dueMs = Math.max(
     change.atMs + (hadFaults ? FAULT_BOUND_MS : HEALTHY_BOUND_MS),
-    fleet.storeTroubledUntilMs(true) + STORE_RECOVERY_MS,
+    fleet.storeFaultUntilMs(true) + STORE_RECOVERY_MS,
     // No gateway can learn of the change before the store is reachable again.
     fleet.storePathSinceMs + GATEWAY_RECOVERY_MS,
-    machine.disturbedUntilMs + GATEWAY_RECOVERY_MS,
+    machine.disruptedUntilMs + GATEWAY_RECOVERY_MS,
     machine.isolatedUntilMs + GATEWAY_RECOVERY_MS,
   );
   return nowMs > dueMs;
@@ -70,37 +70,42 @@
   const logEvent = (text: string) => events.push(`${Math.round(fleet.clock.now())} ${text}`);
   await fleet.run(SETTLE_MS);
   fleet.isLate = (machine, change, nowMs) => isTooLate(fleet, machine, change, nowMs);
-  fleet.isLateForOrder = (machine, order, nowMs) => {
-    const hadFaults = fleet.wasTroubled(order.atMs - REMOVAL_GRACE_MS);
+  fleet.isLateForEvacuation = (machine, order, nowMs) => {
+    const hadFaults = fleet.hadFault(order.atMs - REMOVAL_GRACE_MS);
     const extraMs = !order.isOrdered && hadFaults ? REMOVAL_GRACE_MS : 0;
     return isTooLate(fleet, machine, order, nowMs - extraMs);
   };
-  fleet.isLateForLeave = (machine, leave, nowMs) => isTooLate(fleet, machine, leave, nowMs);
-  const faults = options.countsEpochs === true ? FAULTS_AND_RESTORES : FAULTS;
+  fleet.isLateForDeparture = (machine, leave, nowMs) => isTooLate(fleet, machine, leave, nowMs);
+  const faults = options.reportsEpochs === true ? FAULTS_AND_RESTORES : FAULTS;
   const endMs = fleet.clock.now() + options.lengthMs;
   for (let atMs = fleet.clock.now(); atMs < endMs; atMs += randomInteger(random, 300, 5_000)) {
     const injectFault = pick(random, faults);
-    fleet.at(atMs, () => logEvent(injectFault(fleet, random)));
+    fleet.scheduleAt(atMs, () => logEvent(injectFault(fleet, random)));
   }
   for (let atMs = fleet.clock.now(); atMs < endMs; atMs += randomInteger(random, 100, 6_000)) {
-    fleet.at(atMs, () => logEvent(`change ${fleet.change().version}`));
+    fleet.scheduleAt(atMs, () => logEvent(`change ${fleet.changeConfiguration().version}`));
   }
   for (
     let atMs = fleet.clock.now();
     atMs < endMs;
     atMs += randomInteger(orderRandom, 1_000, 12_000)
   ) {
-    fleet.at(atMs, () => {
-      const isOrdered = fleet.orders.at(-1)?.isOrdered !== true;
-      fleet.order(isOrdered);
+    fleet.scheduleAt(atMs, () => {
+      const isOrdered = fleet.evacuationOrders.at(-1)?.isOrdered !== true;
+      fleet.orderEvacuation(isOrdered);
       logEvent(isOrdered ? 'the zone is evacuated' : 'the evacuation is revoked');
     });
   }
-  if (options.countsEpochs === true) {
+  if (options.reportsEpochs === true) {
     scheduleBackends(fleet, scenarioRandom(options.seed + 3), endMs, logEvent);
   }
   await fleet.run(options.lengthMs + FAULT_BOUND_MS);
-  const { late, lateForOrders, lateForLeaves, readyAgain } = fleet;
+  const {
+    lateGateways: late,
+    lateForEvacuations: lateForOrders,
+    lateForDepartures: lateForLeaves,
+    revertedToReady: readyAgain,
+  } = fleet;
   return { late, lateForOrders, lateForLeaves, readyAgain, story: events };
 }
 
@@ -115,9 +120,9 @@
   for (let atMs = fleet.clock.now(); atMs < endMs; atMs += randomInteger(random, 500, 4_000)) {
     number += 1;
     const backend = `b${number}`;
-    fleet.at(atMs, () => fleet.announce(backend));
-    fleet.at(atMs + randomInteger(random, 200, 12_000), () => {
-      fleet.leave(backend);
+    fleet.scheduleAt(atMs, () => fleet.announceBackend(backend));
+    fleet.scheduleAt(atMs + randomInteger(random, 200, 12_000), () => {
+      fleet.drainBackend(backend);
       logEvent(`${backend} is leaving`);
     });
   }
@@ -130,14 +135,14 @@
   function failStore(fleet, random) {
     const mode = pick(random, STORE_FAULT_MODES);
     const forMs = logUniformMs(random, 200, 8_000);
-    fleet.troubleStore(mode, forMs);
+    fleet.setStoreFault(mode, forMs);
     return `store fault '${mode}' for ${forMs} ms`;
   },
   function failStoreRepeatedly(fleet, random) {
     const mode = pick(random, STORE_FAULT_MODES);
     const times = randomInteger(random, 2, 5);
     for (let time = 0; time < times; time += 1) {
-      fleet.at(fleet.clock.now() + time * 2_000, () => fleet.troubleStore(mode, 600));
+      fleet.scheduleAt(fleet.clock.now() + time * 2_000, () => fleet.setStoreFault(mode, 600));
     }
     return `store fault '${mode}' for 600 ms, ${times} times`;
   },
@@ -149,7 +154,7 @@
       ({ cluster }) =>
         cluster !== undefined && (hitsReaders ? cluster.isReadingStore : random.next() < 0.4),
     );
-    fleet.turnAway(machines, mode, forMs);
+    fleet.setStoreFaultFor(machines, mode, forMs);
     return `store fault '${mode}' for ${machines.length} gateways for ${forMs} ms`;
   },
   function slowStore(fleet, random) {
@@ -161,12 +166,12 @@
   function dropResponses(fleet, random) {
     const forMs = logUniformMs(random, 500, 6_000);
     const share = random.next();
-    fleet.loseAnswers(share, forMs);
+    fleet.loseResponses(share, forMs);
     return `store drops a share of ${share.toFixed(2)} of its responses for ${forMs} ms`;
   },
   function dropHistory(fleet, random) {
     const afterMs = randomInteger(random, 200, 1_200);
-    fleet.forgetHistory(afterMs);
+    fleet.dropStoreHistory(afterMs);
     return `store withholds changes for ${afterMs} ms and drops its history`;
   },
   function partition(fleet, random) {
@@ -211,7 +216,7 @@
     const backupAgeMs = logUniformMs(random, 200, 20_000);
     const mode = pick(random, STORE_FAULT_MODES);
     const atMs = fleet.clock.now() + time * randomInteger(random, 300, 4_000);
-    fleet.at(atMs, () => fleet.restoreStore(downtimeMs, backupAgeMs, mode));
+    fleet.scheduleAt(atMs, () => fleet.restoreStore(downtimeMs, backupAgeMs, mode));
     descriptions.push(
       `at ${Math.round(atMs)} store fault '${mode}' for ${downtimeMs} ms, then a restore from ${backupAgeMs} ms before`,
     );
--- a/test/support/gateway.ts
+++ b/test/support/gateway.ts
@@ -36,7 +36,7 @@
 import { ZoneTopology } from '../../src/routing/places.js';
 import { VirtualClock } from '../../src/sim/virtual-clock.js';
 import type { GatewaySlotMessage } from '../../src/slot-agent/slot-messages.js';
-import { at } from './positions.js';
+import { positionAt } from './positions.js';
 
 /** Returns a backend with default values. */
 export function backendOf(id: string, changes: Partial<Backend> = {}): Backend {
@@ -52,7 +52,7 @@
     state: 'ready',
     sequence: 1,
     remainingColdMs: 0,
-    ...at(1),
+    ...positionAt(1),
     ...changes,
   };
 }
--- a/test/support/positions.ts
+++ b/test/support/positions.ts
@@ -3,6 +3,6 @@
 import type { StorePosition } from '../../src/cluster/store-position.js';
 
 /** Returns the position of a revision, by default in a store that reports no epochs. */
-export function at(revision: number, epoch: number = NO_EPOCH): StorePosition {
+export function positionAt(revision: number, epoch: number = NO_EPOCH): StorePosition {
   return { epoch, revision };
 }
--- a/test/support/quota-fleet.ts
+++ b/test/support/quota-fleet.ts
@@ -22,7 +22,7 @@
 import { ZoneTopology } from '../../src/routing/places.js';
 import type { DecisionLog } from '../../src/telemetry/decision-log.js';
 import { HeapClock } from './heap-clock.js';
-import { at } from './positions.js';
+import { positionAt } from './positions.js';
 import { isNoPosition, isSamePosition } from '../../src/cluster/store-position.js';
 import type { StorePosition } from '../../src/cluster/store-position.js';
 
@@ -436,7 +436,7 @@
       return Promise.resolve(err(new StoreConflictError('changed')));
     }
     this.revision += 1;
-    const position = at(this.revision, this.epoch);
+    const position = positionAt(this.revision, this.epoch);
     this.setRecord(decodeQuotaMembers(text, position));
     return Promise.resolve(ok(position));
   }
@@ -465,7 +465,7 @@
   /** Replaces the record by an unreadable one. */
   corruptRecord(): void {
     this.revision += 1;
-    this.setRecord({ ...NO_QUOTA_MEMBERS, ...at(this.revision, this.epoch) });
+    this.setRecord({ ...NO_QUOTA_MEMBERS, ...positionAt(this.revision, this.epoch) });
   }
 
   private sampleHeldPools(): void {
--- a/test/support/rollout-fleet.ts
+++ b/test/support/rollout-fleet.ts
@@ -6,7 +6,7 @@
 import type { RolloutOrder, RolloutState, RolloutStatus } from '../../src/rollout/rollout-order.js';
 import { VirtualClock } from '../../src/sim/virtual-clock.js';
 import { backendOf } from './gateway.js';
-import { at } from './positions.js';
+import { positionAt } from './positions.js';
 import type { StorePosition } from '../../src/cluster/store-position.js';
 
 /** Failure behaviour of the target version. */
@@ -146,7 +146,7 @@
       return Promise.resolve(err(new StoreConflictError('changed')));
     }
     this.revision += 1;
-    this.status = { ...this.order, state, ...at(this.revision) };
+    this.status = { ...this.order, state, ...positionAt(this.revision) };
     this.written.push(state);
     this.endedAtMs = this.clock.now();
     if (state === 'completed') {
@@ -156,7 +156,7 @@
     this.clock.setTimeout(() => {
       this.gateways.forEach((gateway) => gateway.applyStatus(status));
     }, STORE_DELAY_MS);
-    return Promise.resolve(ok(at(this.revision)));
+    return Promise.resolve(ok(positionAt(this.revision)));
   }
 
   private tick(): void {
--- a/test/support/store-fleet.ts
+++ b/test/support/store-fleet.ts
@@ -23,11 +23,11 @@
   readonly seed: number;
   readonly gateways: number;
   /** Whether the store reports epochs. Default false. */
-  readonly countsEpochs?: boolean;
+  readonly reportsEpochs?: boolean;
   /** See `VirtualNetwork`. Default true. */
   readonly needsAcknowledgement?: boolean;
   /** Injects a fault into each process when it starts. */
-  readonly breakProcess?: (cluster: GatewayCluster) => void;
+  readonly injectFault?: (cluster: GatewayCluster) => void;
 }
 
 /** Which peers a machine is cut off from. */
@@ -117,7 +117,7 @@
   /** Whether each known back end is leaving, by id. */
   readonly leaving = new Map<string, boolean>();
   /** End of the last kill, pause or complete partition of the machine, in milliseconds. */
-  disturbedUntilMs = 0;
+  disruptedUntilMs = 0;
   /**
    * Until when the machine has no path to the store, or is refused by it; likewise for paths to
    * other gateways.
@@ -176,7 +176,7 @@
     const cluster = new GatewayCluster(this.fleet.dependenciesOf(this, host, start));
     this.cluster = cluster;
     this.host = host;
-    this.fleet.breakProcess?.(cluster);
+    this.fleet.injectFault?.(cluster);
     cluster.start();
     const tick = () => {
       cluster.tick();
@@ -248,7 +248,7 @@
     } else {
       const isLeaving = (JSON.parse(value) as BackendRecord).state === 'draining';
       if (!isLeaving && this.leaving.get(id) === true) {
-        this.fleet.readyAgain.push(
+        this.fleet.revertedToReady.push(
           `${this.address}: ${id} ready again at ${this.fleet.clock.now()} ms`,
         );
       }
@@ -258,7 +258,7 @@
 
   private recordDisruption(untilMs: number): void {
     this.fleet.recordFault(untilMs);
-    this.disturbedUntilMs = Math.max(this.disturbedUntilMs, untilMs);
+    this.disruptedUntilMs = Math.max(this.disruptedUntilMs, untilMs);
   }
 }
 
@@ -270,46 +270,46 @@
   readonly store: VirtualStore;
   readonly machines: readonly FleetMachine[];
   readonly changes: FleetChange[] = [];
-  readonly orders: EvacuationOrder[] = [];
-  readonly leaves: BackendDeparture[] = [];
+  readonly evacuationOrders: EvacuationOrder[] = [];
+  readonly departures: BackendDeparture[] = [];
   private readonly backends = new Map<string, BackendRecord>();
   /**
    * Gateways that treated a leaving back end as ready for too long, once per gateway and back end.
    */
-  readonly lateForLeaves: string[] = [];
+  readonly lateForDepartures: string[] = [];
   /** Gateways that treated a back end as ready again after they knew that it leaves. */
-  readonly readyAgain: string[] = [];
+  readonly revertedToReady: string[] = [];
   /** Whether a gateway that does not know yet that a back end leaves is late. */
-  isLateForLeave: (machine: FleetMachine, leave: BackendDeparture, nowMs: number) => boolean = () =>
-    false;
+  isLateForDeparture: (machine: FleetMachine, leave: BackendDeparture, nowMs: number) => boolean =
+    () => false;
   /** Gateways that applied an evacuation order, or its end, too late. */
-  readonly lateForOrders: string[] = [];
+  readonly lateForEvacuations: string[] = [];
   /** Whether a gateway that has not applied an evacuation order, or its end, is late. */
-  isLateForOrder: (machine: FleetMachine, order: EvacuationOrder, nowMs: number) => boolean = () =>
-    false;
+  isLateForEvacuation: (machine: FleetMachine, order: EvacuationOrder, nowMs: number) => boolean =
+    () => false;
   /** Gateways that applied a change too late, once per gateway and change. */
-  readonly late: LateGateway[] = [];
-  readonly breakProcess: StoreFleetOptions['breakProcess'];
+  readonly lateGateways: LateGateway[] = [];
+  readonly injectFault: StoreFleetOptions['injectFault'];
   /** Whether a gateway that has not applied a change is late. By default none is. */
   isLate: (machine: FleetMachine, change: FleetChange, nowMs: number) => boolean = () => false;
   /** Called for each log line of a gateway. */
-  onLine: ((machine: FleetMachine, event: string, fields: object) => void) | undefined;
+  onLogLine: ((machine: FleetMachine, event: string, fields: object) => void) | undefined;
   private readonly storeFaults: StoreFault[] = [];
   private readonly reported = new Set<string>();
   private faultUntilMs = -Infinity;
 
   constructor(options: StoreFleetOptions) {
     this.random = scenarioRandom(options.seed);
-    this.breakProcess = options.breakProcess;
+    this.injectFault = options.injectFault;
     this.network.needsAcknowledgement = options.needsAcknowledgement ?? true;
     this.store = new VirtualStore(this.clock, this.network, this.random);
-    this.store.epoch = options.countsEpochs === true ? 1 : NO_EPOCH;
+    this.store.epoch = options.reportsEpochs === true ? 1 : NO_EPOCH;
     this.machines = Array.from(
       { length: options.gateways },
       (_none, index) => new FleetMachine(index, this),
     );
     this.network.isOpen = (from, to) => !this.isCut(from, to);
-    this.change();
+    this.changeConfiguration();
     this.machines.forEach((machine) => machine.start());
     this.scheduleEvery(CHECK_INTERVAL_MS, () => this.checkMachines());
   }
@@ -331,12 +331,12 @@
   }
 
   /** Calls `act` at `atMs`. */
-  at(atMs: number, act: () => void): void {
+  scheduleAt(atMs: number, act: () => void): void {
     this.clock.setTimeout(act, atMs - this.clock.now());
   }
 
   /** Writes a new configuration version to the store. */
-  change(): FleetChange {
+  changeConfiguration(): FleetChange {
     const change = { version: this.changes.length + 1, atMs: this.clock.now() };
     this.store.put(CONFIGURATION_KEY, String(change.version));
     this.changes.push(change);
@@ -344,9 +344,9 @@
   }
 
   /** Writes the order of operators to evacuate the zone, or removes it. */
-  order(isOrdered: boolean): void {
-    const number = this.orders.length + 1;
-    this.orders.push({ number, isOrdered, atMs: this.clock.now() });
+  orderEvacuation(isOrdered: boolean): void {
+    const number = this.evacuationOrders.length + 1;
+    this.evacuationOrders.push({ number, isOrdered, atMs: this.clock.now() });
     this.writeEvacuation(isOrdered);
   }
 
@@ -359,15 +359,15 @@
   }
 
   /** Registers a back end as ready. */
-  announce(backend: string): void {
+  announceBackend(backend: string): void {
     this.writeBackend(backend, { sequence: 1, state: 'ready' });
   }
 
   /** Marks a back end as leaving. */
-  leave(backend: string): void {
+  drainBackend(backend: string): void {
     const sequence = (this.backends.get(backend)?.sequence ?? 0) + 1;
     this.writeBackend(backend, { sequence, state: 'draining' });
-    this.leaves.push({ backend, atMs: this.clock.now() });
+    this.departures.push({ backend, atMs: this.clock.now() });
   }
 
   private writeBackend(backend: string, record: BackendRecord): void {
@@ -381,10 +381,10 @@
    */
   restoreStore(downMs: number, backupAgeMs: number, mode: StoreMode = 'resets'): void {
     const backupAtMs = this.clock.now() - backupAgeMs;
-    this.troubleStore(mode, downMs);
-    this.at(this.clock.now() + downMs, () => {
+    this.setStoreFault(mode, downMs);
+    this.scheduleAt(this.clock.now() + downMs, () => {
       this.store.restore(backupAtMs);
-      this.at(this.clock.now() + this.random.next() * MAX_REWRITE_DELAY_MS, () =>
+      this.scheduleAt(this.clock.now() + this.random.next() * MAX_REWRITE_DELAY_MS, () =>
         this.rewriteLostRecords(),
       );
     });
@@ -395,7 +395,7 @@
     if (this.store.read(CONFIGURATION_KEY) !== newest) {
       this.store.put(CONFIGURATION_KEY, newest);
     }
-    const isOrdered = this.orders.at(-1)?.isOrdered === true;
+    const isOrdered = this.evacuationOrders.at(-1)?.isOrdered === true;
     if (isOrdered !== (this.store.read(EVACUATION_KEY) !== undefined)) {
       this.writeEvacuation(isOrdered);
     }
@@ -408,7 +408,7 @@
   }
 
   /** Puts the store into a failure mode for all gateways. */
-  troubleStore(mode: StoreMode, forMs: number): void {
+  setStoreFault(mode: StoreMode, forMs: number): void {
     this.recordStoreFault(forMs, true);
     this.store.mode = mode;
     this.clock.setTimeout(() => (this.store.mode = 'answers'), forMs);
@@ -422,14 +422,14 @@
   }
 
   /** Drops a fraction of the store's responses. */
-  loseAnswers(lossRate: number, forMs: number): void {
+  loseResponses(lossRate: number, forMs: number): void {
     this.recordStoreFault(forMs, true);
     this.store.lossRate = lossRate;
     this.clock.setTimeout(() => (this.store.lossRate = 0), forMs);
   }
 
   /** Puts the store into a failure mode for some machines. */
-  turnAway(machines: readonly FleetMachine[], mode: StoreMode, forMs: number): void {
+  setStoreFaultFor(machines: readonly FleetMachine[], mode: StoreMode, forMs: number): void {
     this.recordStoreFault(forMs, false);
     for (const machine of machines) {
       const { address } = machine;
@@ -443,7 +443,7 @@
   /**
    * Withholds changes from watches for `afterMs`, then drops the history and cancels the watches.
    */
-  forgetHistory(afterMs: number): void {
+  dropStoreHistory(afterMs: number): void {
     this.recordStoreFault(afterMs, false);
     this.store.isWithholdingChanges = true;
     this.clock.setTimeout(() => {
@@ -457,8 +457,9 @@
    * milliseconds.
    */
   get storePathSinceMs(): number {
-    const sinceMs = this.machines.map(({ storeUnreachableUntilMs, disturbedUntilMs }) =>
-      Math.max(storeUnreachableUntilMs, disturbedUntilMs),
+    const sinceMs = this.machines.map(
+      ({ storeUnreachableUntilMs, disruptedUntilMs: disturbedUntilMs }) =>
+        Math.max(storeUnreachableUntilMs, disturbedUntilMs),
     );
     return Math.min(...sinceMs);
   }
@@ -469,12 +470,12 @@
   }
 
   /** Whether any part of the fleet had a fault at some time since `sinceMs`. */
-  wasTroubled(sinceMs: number): boolean {
+  hadFault(sinceMs: number): boolean {
     return this.faultUntilMs >= sinceMs;
   }
 
   /** Whether the store had a fault at some time since `sinceMs`. */
-  wasStoreTroubled(sinceMs: number): boolean {
+  hadStoreFault(sinceMs: number): boolean {
     return this.storeFaults.some(({ untilMs }) => untilMs >= sinceMs);
   }
 
@@ -482,7 +483,7 @@
    * End of the last fault of the store that affects all gateways, or of the last one that affects
    * some, in milliseconds.
    */
-  storeTroubledUntilMs(affectsAll: boolean): number {
+  storeFaultUntilMs(affectsAll: boolean): number {
     const ends = this.storeFaults
       .filter((fault) => fault.affectsAll === affectsAll)
       .map(({ untilMs }) => untilMs);
@@ -515,7 +516,7 @@
       network: this.network.of(host),
       log: {
         write: (event: string, _priority: string, fields: object) =>
-          this.onLine?.(machine, event, fields),
+          this.onLogLine?.(machine, event, fields),
       },
       metrics: { record: () => undefined },
       compareByOwner,
@@ -567,10 +568,10 @@
         this.isLate(machine, change, nowMs)
       ) {
         this.reported.add(name);
-        this.late.push({ gateway: machine.address, change, atMs: nowMs });
+        this.lateGateways.push({ gateway: machine.address, change, atMs: nowMs });
       }
       this.checkEvacuation(machine, nowMs);
-      this.leaves.forEach((leave) => this.checkDeparture(machine, leave, nowMs));
+      this.departures.forEach((leave) => this.checkDeparture(machine, leave, nowMs));
     }
   }
 
@@ -580,28 +581,28 @@
       machine.cluster !== undefined &&
       machine.leaving.get(leave.backend) === false &&
       !this.reported.has(name) &&
-      this.isLateForLeave(machine, leave, nowMs)
+      this.isLateForDeparture(machine, leave, nowMs)
     ) {
       this.reported.add(name);
-      this.lateForLeaves.push(
+      this.lateForDepartures.push(
         `${machine.address}: ${leave.backend} announced at ${leave.atMs} ms that it leaves, not applied`,
       );
     }
   }
 
   private checkEvacuation(machine: FleetMachine, nowMs: number): void {
-    const order = this.orders.at(-1);
+    const order = this.evacuationOrders.at(-1);
     const name = `${machine.index}/order ${order?.number}`;
     if (
       order !== undefined &&
       machine.cluster !== undefined &&
       machine.isEvacuated !== order.isOrdered &&
       !this.reported.has(name) &&
-      this.isLateForOrder(machine, order, nowMs)
+      this.isLateForEvacuation(machine, order, nowMs)
     ) {
       this.reported.add(name);
       const what = order.isOrdered ? 'evacuation ordered' : 'evacuation ended';
-      this.lateForOrders.push(
+      this.lateForEvacuations.push(
         `${machine.address}: ${what} at ${order.atMs} ms, not applied by ${nowMs} ms`,
       );
     }
--- a/test/support/virtual-store.ts
+++ b/test/support/virtual-store.ts
@@ -51,7 +51,7 @@
    * Whether a watch that times out meanwhile returns the current revision without the withheld
    * changes.
    */
-  skipsWithheld = false;
+  skipsWithheldChanges = false;
   /** Number of calls received. */
   calls = 0;
   /** Increases with each restore from a backup; `NO_EPOCH` if the store reports no epochs. */
@@ -181,7 +181,7 @@
     const watch = { since, respond: reply };
     this.watches.add(watch);
     this.clock.setTimeout(() => {
-      if (this.isWithholdingChanges && this.skipsWithheld && this.watches.delete(watch)) {
+      if (this.isWithholdingChanges && this.skipsWithheldChanges && this.watches.delete(watch)) {
         reply(ok(this.toRead([])));
       } else if (!this.isWithholdingChanges && this.watches.delete(watch)) {
         reply(ok(this.changesSince(since)));
--- a/test/zone-evacuation.test.ts
+++ b/test/zone-evacuation.test.ts
@@ -8,7 +8,7 @@
 import { ZoneTopology } from '../src/routing/places.js';
 import type { AgentSlotMessage, SlotDemand } from '../src/slot-agent/slot-messages.js';
 import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
-import { at } from './support/positions.js';
+import { positionAt } from './support/positions.js';
 
 const UNSAFE_ROUTE = routeOf({ kind: 'unsafe', targetLatencyMs: 1_000 });
 const STREAM_ROUTE = routeOf({ kind: 'stream', isResumable: true });
@@ -383,9 +383,9 @@
   const world = new GatewayHarness(backendOf('a', { zone: 'za' }));
   const { evacuations, lines } = evacuationsOf(world);
   world.request();
-  evacuations.apply({ zone: 'za', isOrdered: true, ...at(5) });
-  evacuations.apply({ zone: 'za', isOrdered: true, ...at(5) });
-  evacuations.apply({ zone: 'za', isOrdered: false, ...at(4) });
+  evacuations.apply({ zone: 'za', isOrdered: true, ...positionAt(5) });
+  evacuations.apply({ zone: 'za', isOrdered: true, ...positionAt(5) });
+  evacuations.apply({ zone: 'za', isOrdered: false, ...positionAt(4) });
   t.is(lines.length, 1);
   t.like(lines[0], {
     event: 'zone-evacuation',
@@ -412,7 +412,7 @@
       isKnownZone: true,
     },
   ]);
-  evacuations.apply({ zone: 'za', isOrdered: false, ...at(6) });
+  evacuations.apply({ zone: 'za', isOrdered: false, ...positionAt(6) });
   t.like(lines[2], { event: 'zone-evacuation', isOrdered: false, revision: 6, stoodForMs: 30 });
   world.request();
   t.is(world.attempts.length, 2);
@@ -421,9 +421,9 @@
 test('an order renewed after a removal stays in force if the removal arrives last', (t) => {
   const world = new GatewayHarness(backendOf('a', { zone: 'za' }));
   const { evacuations } = evacuationsOf(world);
-  evacuations.apply({ zone: 'za', isOrdered: true, ...at(5) });
-  evacuations.apply({ zone: 'za', isOrdered: true, ...at(7) });
-  evacuations.apply({ zone: 'za', isOrdered: false, ...at(6) });
+  evacuations.apply({ zone: 'za', isOrdered: true, ...positionAt(5) });
+  evacuations.apply({ zone: 'za', isOrdered: true, ...positionAt(7) });
+  evacuations.apply({ zone: 'za', isOrdered: false, ...positionAt(6) });
   world.request();
   t.is(world.attempts.length, 0);
 });
@@ -431,9 +431,9 @@
 test('an order for an unknown zone is logged once as such and has no effect', (t) => {
   const world = new GatewayHarness(backendOf('a', { zone: 'za' }));
   const { evacuations, lines } = evacuationsOf(world);
-  evacuations.apply({ zone: 'nowhere', isOrdered: true, ...at(5) });
+  evacuations.apply({ zone: 'nowhere', isOrdered: true, ...positionAt(5) });
   evacuations.tick();
-  evacuations.apply({ zone: 'nowhere', isOrdered: true, ...at(5) });
+  evacuations.apply({ zone: 'nowhere', isOrdered: true, ...positionAt(5) });
   t.deepEqual(
     lines.map(({ event, isKnownZone }) => [event, isKnownZone]),
     [
@@ -448,7 +448,7 @@
 test('a zone counts as known if its order is listed before its back ends', (t) => {
   const world = new GatewayHarness();
   const { evacuations, lines } = evacuationsOf(world);
-  evacuations.apply({ zone: 'zb', isOrdered: true, ...at(5) });
+  evacuations.apply({ zone: 'zb', isOrdered: true, ...positionAt(5) });
   world.dispatcher.updateBackend('b', backendOf('b', { zone: 'zb' }), 0);
   evacuations.tick();
   t.like(lines[1], { event: 'zone-cleared', isKnownZone: true });
