--- a/bench/store-changes.ts
+++ b/bench/store-changes.ts
@@ -3,7 +3,7 @@
  * gateways that learned a change too late, with what happened before.
  */
 import { Command } from 'commander';
-import { runTroubled } from '../test/support/fleet-troubles.js';
+import { runWithFaults } from '../test/support/fleet-troubles.js';
 
 interface Options {
   readonly from: string;
@@ -26,7 +26,7 @@
 const { from, seeds, gateways, seconds } = program.opts<Options>();
 let failed = 0;
 for (let seed = Number(from); seed < Number(from) + Number(seeds); seed += 1) {
-  const { late, lateForOrders, story } = await runTroubled({
+  const { late, lateForOrders, story } = await runWithFaults({
     seed,
     gateways: Number(gateways),
     lengthMs: Number(seconds) * MS_PER_S,
--- a/src/cluster/peer-mesh.ts
+++ b/src/cluster/peer-mesh.ts
@@ -25,11 +25,11 @@
   /**
    * A reply arrived on a connection that this process opened; `reply` sends on the same connection.
    */
-  onQuestion(message: PeerMessage, reply: SendToPeer): void;
+  onReply(message: PeerMessage, reply: SendToPeer): void;
   /** This process opened a connection to a peer; `send` sends it the initial state. */
   onOpened(send: SendToPeer): void;
   /** An incarnation of a peer sent its hello, was replaced by a later one, or is leaving. */
-  onPeer(peer: string, isPresent: boolean): void;
+  onPeerChange(peer: string, isPresent: boolean): void;
 }
 
 /** Limits of the mesh; times are in milliseconds. */
@@ -115,12 +115,12 @@
   }
 
   /** Addresses of all gateways ever known, including those that are gone. */
-  get addressesEverKnown(): ReadonlySet<string> {
+  get allKnownAddresses(): ReadonlySet<string> {
     return this.allAddresses;
   }
 
   /** Whether a hello of another gateway ever arrived. */
-  get hasHeardPeers(): boolean {
+  get hasReachedPeers(): boolean {
     return this.hasReceivedHello;
   }
 
@@ -131,7 +131,7 @@
 
   /** Connects to the seeds. */
   start(): void {
-    this.learnAddresses(this.seeds);
+    this.addAddresses(this.seeds);
   }
 
   /** Sends `message` to every connected peer. */
@@ -160,7 +160,7 @@
    * that it opened. The hello on the new one makes the peer reopen its own. A peer that is cut off
    * only briefly keeps its connection.
    */
-  reopenSilent(silenceThresholdMs: number): void {
+  reconnectSilentPeers(silenceThresholdMs: number): void {
     this.silenceThresholdMs = silenceThresholdMs;
     const nowMs = this.clock.now();
     for (const peer of this.outgoing.values()) {
@@ -182,7 +182,7 @@
   }
 
   /** Adds addresses that are new and connects to them. */
-  learnAddresses(addresses: readonly string[]): void {
+  addAddresses(addresses: readonly string[]): void {
     for (const address of addresses) {
       if (address === '' || address === this.self.address || this.outgoing.has(address)) {
         continue;
@@ -264,7 +264,7 @@
     const socket = this.network.connect(port, host);
     const timer = this.clock.setTimeout(() => socket.destroy(), this.options.connectTimeoutMs);
     const channel = new MessageChannel<PeerMessage, PeerMessage>(socket, {
-      onMessage: (message) => this.handlers.onQuestion(message, (answer) => channel.send(answer)),
+      onMessage: (message) => this.handlers.onReply(message, (answer) => channel.send(answer)),
       onClose: () => {
         this.clock.clearTimeout(timer);
         if (peer.channel === channel) {
@@ -334,12 +334,12 @@
     }
     const earlier = this.incarnations.get(hello.name);
     if (earlier !== undefined && earlier !== hello.incarnation) {
-      this.handlers.onPeer(earlier, false);
+      this.handlers.onPeerChange(earlier, false);
     }
     this.hasReceivedHello = true;
     this.incarnations.set(hello.name, hello.incarnation);
-    this.handlers.onPeer(hello.incarnation, true);
-    this.learnAddresses([hello.address]);
+    this.handlers.onPeerChange(hello.incarnation, true);
+    this.addAddresses([hello.address]);
     this.reopenAfterHello(hello);
   }
 
@@ -350,12 +350,12 @@
       peer.lastReceivedAtMs = peer.lastActiveAtMs;
     }
     if (message.kind === 'addresses') {
-      this.learnAddresses(message.addresses);
+      this.addAddresses(message.addresses);
       return;
     }
     if (message.kind === 'leaving' && this.incarnations.get(hello.name) === hello.incarnation) {
       this.incarnations.delete(hello.name);
-      this.handlers.onPeer(hello.incarnation, false);
+      this.handlers.onPeerChange(hello.incarnation, false);
     }
     this.handlers.onMessage(hello, message, reply);
   }
--- a/src/cluster/peer-messages.ts
+++ b/src/cluster/peer-messages.ts
@@ -5,9 +5,9 @@
 import type { QuotaRequest } from '../gateway/quotas/quota-charges.js';
 import type { QuotaDecision } from '../gateway/quotas/quota-pools.js';
 import type { PeerRolloutReports } from '../rollout/rollouts.js';
-import type { ReplicaReach } from './replicated-records.js';
+import type { ReplicaProgress } from './replicated-records.js';
 import type { StorePosition } from './store-position.js';
-import type { RecordsAnswer, RecordsFetch, RecordsReach } from './record-exchange.js';
+import type { RecordsResponse, RecordsFetch, ReplicaProgressReport } from './record-exchange.js';
 
 /**
  * Role of a process in the mesh: a gateway, or a process that only holds a replica of the records
@@ -40,9 +40,9 @@
 }
 
 /** Heartbeat of a gateway, with the progress of its replica of the store. */
-export interface PeerBeat {
+export interface PeerHeartbeat {
   readonly kind: 'beat';
-  readonly reach: ReplicaReach;
+  readonly reach: ReplicaProgress;
   /**
    * Age of the store's state that the replica reflects, in milliseconds; missing if it has none.
    */
@@ -72,14 +72,14 @@
 }
 
 /** Requests the right to send one request to a back end that reported a limit. */
-export interface PeerSendRightAsk extends SendRightRequest {
+export interface PeerSendRightRequest extends SendRightRequest {
   readonly kind: 'send-right-ask';
   /** Condition of the back end as the requesting gateway knows it. */
   readonly condition?: ConditionSnapshot | undefined;
 }
 
 /** Response to a `send-right-ask`, sent on the connection on which the request arrived. */
-export interface PeerSendRightAnswer {
+export interface PeerSendRightResponse {
   readonly kind: 'send-right-answer';
   readonly id: number;
   readonly isGranted: boolean;
@@ -93,12 +93,12 @@
 }
 
 /** Requests that the holder of a tenant's quota pool charge a request to the pool. */
-export interface PeerQuotaAsk extends QuotaRequest {
+export interface PeerQuotaRequest extends QuotaRequest {
   readonly kind: 'quota-ask';
 }
 
 /** Response to a `quota-ask`, sent on the connection on which the request arrived. */
-export interface PeerQuotaAnswer {
+export interface PeerQuotaResponse {
   readonly kind: 'quota-answer';
   readonly id: number;
   readonly grant: QuotaDecision;
@@ -120,16 +120,16 @@
 export type PeerMessage =
   | PeerHello
   | PeerAddresses
-  | PeerBeat
-  | RecordsReach
+  | PeerHeartbeat
+  | ReplicaProgressReport
   | RecordsFetch
-  | RecordsAnswer
+  | RecordsResponse
   | PeerCrashReports
   | PeerBackendConditions
-  | PeerSendRightAsk
-  | PeerSendRightAnswer
+  | PeerSendRightRequest
+  | PeerSendRightResponse
   | PeerSendRightReturn
-  | PeerQuotaAsk
-  | PeerQuotaAnswer
+  | PeerQuotaRequest
+  | PeerQuotaResponse
   | PeerQuotaReturn
   | PeerLeaving;
--- a/src/cluster/record-exchange.ts
+++ b/src/cluster/record-exchange.ts
@@ -8,16 +8,16 @@
 import type { Clock, TimerHandle } from '../clock.js';
 import type { StorePosition } from './store-position.js';
 import type {
-  RecordNews,
+  AppliedRecord,
   RecordsUpdate,
-  ReplicaReach,
+  ReplicaProgress,
   ReplicatedRecords,
 } from './replicated-records.js';
 
 /** Reports the progress of a replica. */
-export interface RecordsReach {
+export interface ReplicaProgressReport {
   readonly kind: 'reach';
-  readonly reach: ReplicaReach;
+  readonly reach: ReplicaProgress;
 }
 
 /** Requests the records of another replica that are later than a position. */
@@ -28,7 +28,7 @@
 }
 
 /** Response to a fetch. */
-export interface RecordsAnswer extends RecordsUpdate {
+export interface RecordsResponse extends RecordsUpdate {
   readonly kind: 'records';
 }
 
@@ -40,7 +40,7 @@
   /** Whether this process can reach the store. */
   isStoreReachable(): boolean;
   /** Called with the records that a response added or changed. */
-  onNews(records: readonly RecordNews[]): void;
+  onApplied(records: readonly AppliedRecord[]): void;
 }
 
 /** Delays of `RecordExchange`, in milliseconds. */
@@ -59,7 +59,7 @@
 
 /** A replica that is ahead of this one. */
 interface ReplicaAhead {
-  readonly reach: ReplicaReach;
+  readonly reach: ReplicaProgress;
   readonly sendFetch: SendFetch;
   /** Sequence number of the last fetch sent to it; 0 for none. */
   lastFetchNumber: number;
@@ -95,7 +95,7 @@
   }
 
   /** Handles a progress report of the replica `name`; fetches from it if this replica is behind. */
-  hearReach(name: string, reach: ReplicaReach, sendFetch: SendFetch): void {
+  handleProgress(name: string, reach: ReplicaProgress, sendFetch: SendFetch): void {
     if (!this.records.isBehind(reach)) {
       return;
     }
@@ -114,13 +114,13 @@
   }
 
   /** Returns the response to a fetch of another replica. */
-  answer(fetch: RecordsFetch): RecordsAnswer {
+  handleFetch(fetch: RecordsFetch): RecordsResponse {
     return { kind: 'records', ...this.records.updateSince(fetch.since) };
   }
 
   /** Applies the response to a fetch of this replica. */
-  receive(answer: RecordsAnswer): void {
-    this.ports.onNews(this.records.applyUpdate(answer));
+  handleResponse(answer: RecordsResponse): void {
+    this.ports.onApplied(this.records.applyUpdate(answer));
     this.clock.clearTimeout(this.timer);
     this.timer = undefined;
     if (this.fetchSource !== undefined) {
--- a/src/cluster/replicated-records.ts
+++ b/src/cluster/replicated-records.ts
@@ -29,13 +29,13 @@
 }
 
 /** A record that changed the replica when it was applied. */
-export interface RecordNews extends StoreRecord {
+export interface AppliedRecord extends StoreRecord {
   /** Set if only the position changed: the store holds the same write in a later epoch. */
   readonly isUnchanged?: true;
 }
 
 /** Progress of a replica through the changes of the store. */
-export interface ReplicaReach {
+export interface ReplicaProgress {
   /** Every change up to and including this position is known. */
   readonly completeTo: StorePosition;
   /**
@@ -46,15 +46,15 @@
 }
 
 /** Progress of an empty replica. */
-export const NO_REACH: ReplicaReach = { completeTo: NO_POSITION, currentTo: NO_POSITION };
+export const NO_PROGRESS: ReplicaProgress = { completeTo: NO_POSITION, currentTo: NO_POSITION };
 
-/** Whether `reach` is later than `other` in at least one of its positions. */
-export function isFurther(reach: ReplicaReach, other: ReplicaReach): boolean {
+/** Whether `progress` is later than `other` in at least one of its positions. */
+export function isAheadOf(reach: ReplicaProgress, other: ReplicaProgress): boolean {
   return isLater(reach.completeTo, other.completeTo) || isLater(reach.currentTo, other.currentTo);
 }
 
 /** The records of a replica that are later than a position. */
-export interface RecordsUpdate extends ReplicaReach {
+export interface RecordsUpdate extends ReplicaProgress {
   /** Position after which the records start; the receiver has to be complete through it. */
   readonly since: StorePosition;
   /** Whether `records` holds every existing record: keys missing from it were removed. */
@@ -69,7 +69,7 @@
  * regardless of the store's positions: negative if `left` is older. Undefined if one of them has no
  * such number.
  */
-export type CompareByOwner = (left: StoreRecord, right: StoreRecord) => number | undefined;
+export type CompareOwnerVersions = (left: StoreRecord, right: StoreRecord) => number | undefined;
 
 /** Number of records, tombstones included, above which the oldest tombstone is dropped. */
 const TOMBSTONE_PRUNE_THRESHOLD = 2_000;
@@ -87,7 +87,7 @@
    */
   private historyStart = NO_POSITION;
 
-  constructor(private readonly compareByOwner: CompareByOwner = () => undefined) {}
+  constructor(private readonly compareByOwner: CompareOwnerVersions = () => undefined) {}
 
   /**
    * Position through which every change is known; `NO_POSITION` before the first `applyListing`.
@@ -96,7 +96,7 @@
     return this.complete;
   }
 
-  /** Position through which every value is known; see `ReplicaReach`. */
+  /** Position through which every value is known; see `ReplicaProgress`. */
   get currentTo(): StorePosition {
     return this.current;
   }
@@ -115,14 +115,14 @@
   }
 
   /** Number of records of earlier epochs that are retained until this replica has settled. */
-  countKept(): number {
+  countRetained(): number {
     return this.snapshot().filter(({ epoch, value }) => epoch < this.epoch && value !== undefined)
       .length;
   }
 
-  /** Whether a replica with the progress `reach` has something that this one lacks. */
-  isBehind(reach: ReplicaReach): boolean {
-    return isFurther(reach, this.reach);
+  /** Whether a replica with the progress `progress` has something that this one lacks. */
+  isBehind(reach: ReplicaProgress): boolean {
+    return isAheadOf(reach, this.progress);
   }
 
   /** Returns the known records that are later than those of `read` with the same keys. */
@@ -138,7 +138,7 @@
   }
 
   /** Applies a record; returns it if it changed the replica. */
-  apply(record: StoreRecord, settledEpoch = this.complete.epoch): RecordNews | undefined {
+  apply(record: StoreRecord, settledEpoch = this.complete.epoch): AppliedRecord | undefined {
     const known = this.records.get(record.key);
     if (!this.supersedes(record, known, settledEpoch)) {
       return undefined;
@@ -160,7 +160,7 @@
     changes: readonly StoreRecord[],
     since: StorePosition,
     position: StorePosition,
-  ): RecordNews[] {
+  ): AppliedRecord[] {
     const applied = this.applyAll(changes);
     if (!isLater(since, this.complete)) {
       this.complete = laterPosition(this.complete, position);
@@ -176,7 +176,7 @@
    *
    * @returns the records that changed the replica
    */
-  addListing(listed: readonly StoreRecord[], position: StorePosition): RecordNews[] {
+  mergeListing(listed: readonly StoreRecord[], position: StorePosition): AppliedRecord[] {
     this.updateEpochStart(position);
     this.current = laterPosition(this.current, position);
     return this.applyAll(listed);
@@ -189,7 +189,7 @@
    *
    * @returns the records that changed the replica
    */
-  applyListing(listed: readonly StoreRecord[], position: StorePosition): RecordNews[] {
+  applyListing(listed: readonly StoreRecord[], position: StorePosition): AppliedRecord[] {
     this.updateEpochStart(position);
     const settledEpoch = Math.max(position.epoch, this.complete.epoch);
     const applied = this.applyAll(listed, settledEpoch);
@@ -213,7 +213,7 @@
    *
    * @returns the records that changed the replica
    */
-  applyUpdate(update: RecordsUpdate): RecordNews[] {
+  applyUpdate(update: RecordsUpdate): AppliedRecord[] {
     const { records, since, completeTo, currentTo, isWhole, epochStart } = update;
     this.updateEpochStart(epochStart);
     const applied = isWhole
@@ -232,11 +232,11 @@
     const records = isWhole
       ? all.filter(({ value }) => value !== undefined)
       : all.filter((record) => isLater(record, since));
-    return { since, ...this.reach, isWhole, records, epochStart: this.epochStart };
+    return { since, ...this.progress, isWhole, records, epochStart: this.epochStart };
   }
 
   /** Progress of this replica. */
-  get reach(): ReplicaReach {
+  get progress(): ReplicaProgress {
     return { completeTo: this.complete, currentTo: this.current };
   }
 
@@ -245,7 +245,7 @@
     return [...this.records.values()];
   }
 
-  private applyAll(records: readonly StoreRecord[], settledEpoch?: number): RecordNews[] {
+  private applyAll(records: readonly StoreRecord[], settledEpoch?: number): AppliedRecord[] {
     return records.flatMap((record) => this.apply(record, settledEpoch) ?? []);
   }
 
--- a/src/cluster/store-epochs.ts
+++ b/src/cluster/store-epochs.ts
@@ -62,7 +62,7 @@
     if (epoch > this.known.epoch) {
       this.known = { epoch, sinceMs: this.clock.now() };
       this.wasSettled = this.records.isSettled;
-      const kept = this.records.countKept();
+      const kept = this.records.countRetained();
       return { event: 'store-epoch', fields: { epoch, revision, before, kept } };
     }
     if (this.records.isSettled !== this.wasSettled) {
--- a/src/cluster/store-readers.ts
+++ b/src/cluster/store-readers.ts
@@ -12,7 +12,7 @@
  * In a deployment with several regions, each region has its own readers, so that a region that is
  * partitioned from the others but not from the store keeps reading without interruption.
  */
-import { pairShare } from '../pair-share.js';
+import { pairHash } from '../pair-share.js';
 
 /** Number of readers and timeout of their heartbeats. */
 export interface StoreReaderSelectorOptions {
@@ -116,5 +116,5 @@
 }
 
 function rankOf(incarnation: string): number {
-  return pairShare(RANK_HASH_KEY, incarnation);
+  return pairHash(RANK_HASH_KEY, incarnation);
 }
--- a/src/gateway/attempt/proxied-request.ts
+++ b/src/gateway/attempt/proxied-request.ts
@@ -245,7 +245,7 @@
     this.attempt = ports.sender.send(
       outgoingRequest(request, { backend, roundTripMs, lastEventId, nowMs }, ports.protocol),
       {
-        onConnected: (elapsedMs) => entry?.roundTrip.learn(elapsedMs),
+        onConnected: (elapsedMs) => entry?.roundTrip.addSample(elapsedMs),
         onHead: (head) => this.receiveHead(head),
         onData: (bytes) => this.receiveData(bytes),
         onEnd: () => this.receiveEnd(),
--- a/src/gateway/dispatch/backend-directory.ts
+++ b/src/gateway/dispatch/backend-directory.ts
@@ -8,7 +8,7 @@
   RestrictionReason,
 } from '../../routing/backend-restriction.js';
 import type { Backend } from '../../routing/backend.js';
-import { pairShare } from '../../pair-share.js';
+import { pairHash } from '../../pair-share.js';
 import { distanceFrom, regionNameOf } from '../../routing/standpoint.js';
 import type { BackendCondition } from '../statements/backend-condition.js';
 import { selectSubset, DEFAULT_ENGINE_SUBSET_OPTIONS } from './engine-subset.js';
@@ -123,7 +123,7 @@
     if (cached !== undefined) {
       return cached;
     }
-    const hash = pairShare(this.owner.name, backendId);
+    const hash = pairHash(this.owner.name, backendId);
     this.shareHashes.set(backendId, hash);
     return hash;
   }
--- a/src/gateway/dispatch/cold-share.ts
+++ b/src/gateway/dispatch/cold-share.ts
@@ -2,7 +2,7 @@
  * This gateway's share of the requests that gateways without an agent connection may send to a cold
  * backend; each computes its share without coordination.
  */
-import { pairShare } from '../../pair-share.js';
+import { pairHash } from '../../pair-share.js';
 import { shareByRank } from '../../routing/cold-start.js';
 
 /** A gateway's view of its peers. */
@@ -53,6 +53,6 @@
 }
 
 function ranksBefore(other: string, self: string, backendId: string): boolean {
-  const [otherHash, ownHash] = [pairShare(other, backendId), pairShare(self, backendId)];
+  const [otherHash, ownHash] = [pairHash(other, backendId), pairHash(self, backendId)];
   return otherHash < ownHash || (otherHash === ownHash && other < self);
 }
--- a/src/gateway/dispatch/dispatcher.ts
+++ b/src/gateway/dispatch/dispatcher.ts
@@ -370,7 +370,7 @@
       }
       this.noteAvailability(known, known.agent, message.availability, nowMs);
       known.adoptLearned(message.speed);
-      known.roundTrip.adopt(message.roundTripMs ?? known.roundTrip.ms);
+      known.roundTrip.replaceEstimate(message.roundTripMs ?? known.roundTrip.ms);
       const { messagesSeen } = message;
       known.agent.unacknowledgedTakes = known.agent.unacknowledgedTakes.filter(
         (number) => number > messagesSeen,
--- a/src/gateway/dispatch/engine-subset.ts
+++ b/src/gateway/dispatch/engine-subset.ts
@@ -8,7 +8,7 @@
  * select independently, without coordination, and adding or removing one engine changes one
  * selection.
  */
-import { pairShare } from '../../pair-share.js';
+import { pairHash } from '../../pair-share.js';
 import type { Distance } from '../../routing/places.js';
 import { distanceFrom, regionNameOf } from '../../routing/standpoint.js';
 import type { Locality } from '../../routing/standpoint.js';
@@ -111,7 +111,7 @@
   );
   const ranked = engines.map(({ id, zone }) => {
     const distance = distanceFrom(owner, zone);
-    const weight = pairShare(owner.name, id);
+    const weight = pairHash(owner.name, id);
     const groupLimit = hasSeveralRegions
       ? limitAcrossRegions(zone, distance, owner, options)
       : limitInSingleRegion(zone, distance, options);
--- a/src/gateway/dispatch/home-engines.ts
+++ b/src/gateway/dispatch/home-engines.ts
@@ -1,5 +1,5 @@
 /** Extends a gateway's engine subset with engines of the home regions in the configuration. */
-import { pairShare } from '../../pair-share.js';
+import { pairHash } from '../../pair-share.js';
 import type { SubsetEngine } from './engine-subset.js';
 
 /** Home regions in which a gateway needs engines. */
@@ -33,7 +33,7 @@
     const missingCount = MIN_ENGINES_PER_HOME - (inRegion.length - others.length);
     if (missingCount > 0) {
       others
-        .sort((left, right) => pairShare(gateway, left.id) - pairShare(gateway, right.id))
+        .sort((left, right) => pairHash(gateway, left.id) - pairHash(gateway, right.id))
         .slice(0, missingCount)
         .forEach(({ id }) => chosen.add(id));
     }
--- a/src/gateway/dispatch/known-backend.ts
+++ b/src/gateway/dispatch/known-backend.ts
@@ -4,7 +4,7 @@
 import type { GrantsOnlyReason } from '../../slot-agent/start-limiter.js';
 import { ColdStartTracker } from '../../routing/cold-start.js';
 import type { Distance } from '../../routing/places.js';
-import { RoundTrip } from '../../round-trip.js';
+import { RoundTripEstimate } from '../../round-trip.js';
 import type { AgentRegionInfo, SpeedEstimates } from '../../slot-agent/slot-messages.js';
 import { FailureEstimate } from '../../slot-agent/failure-estimate.js';
 import { BackendCondition } from '../statements/backend-condition.js';
@@ -60,7 +60,7 @@
   readonly cold = new ColdStartTracker();
   readonly path = new PathState();
   /** Measured network round-trip time. */
-  readonly roundTrip: RoundTrip;
+  readonly roundTrip: RoundTripEstimate;
   /** Prompt tokens sent by this gateway whose first event is pending. */
   pendingPromptTokens = 0;
   /** Number of this gateway's requests that are active there. */
@@ -97,7 +97,7 @@
     /** Statements of the backend: rate limit, leaving, rest period. */
     readonly condition = new BackendCondition(),
   ) {
-    this.roundTrip = new RoundTrip(distance);
+    this.roundTrip = new RoundTripEstimate(distance);
     this.startAgentWait(learnedAtMs);
   }
 
--- a/src/gateway/gateway-cluster.ts
+++ b/src/gateway/gateway-cluster.ts
@@ -6,7 +6,11 @@
 import { ReplicaAge } from '../cluster/knowledge-age.js';
 import { RecordExchange } from '../cluster/record-exchange.js';
 import { ReplicatedRecords } from '../cluster/replicated-records.js';
-import type { CompareByOwner, RecordNews, ReplicaReach } from '../cluster/replicated-records.js';
+import type {
+  CompareOwnerVersions,
+  AppliedRecord,
+  ReplicaProgress,
+} from '../cluster/replicated-records.js';
 import { isLater } from '../cluster/store-position.js';
 import { ReplicaEpochTracker } from '../cluster/store-epochs.js';
 import type { StorePosition } from '../cluster/store-position.js';
@@ -57,10 +61,10 @@
   readonly metrics: GatewayMetrics;
   /** Transport between gateways. Default: TCP. */
   readonly network?: PeerNetwork;
-  /** Orders records by the counters of their owners; see `CompareByOwner`. */
-  readonly compareByOwner: CompareByOwner;
+  /** Orders records by the counters of their owners; see `CompareOwnerVersions`. */
+  readonly compareByOwner: CompareOwnerVersions;
   /** Called with new or changed records from the store or from peers. */
-  onRecords(records: readonly RecordNews[], source: RecordsSource): void;
+  onRecords(records: readonly AppliedRecord[], source: RecordsSource): void;
 }
 
 /** Membership of a gateway in the cluster. */
@@ -88,7 +92,7 @@
       this.records,
       {
         isStoreReachable: () => this.follower.isFollowing,
-        onNews: (records) => this.deliverRecords(records, 'peer'),
+        onApplied: (records) => this.deliverRecords(records, 'peer'),
       },
       clock,
     );
@@ -221,7 +225,10 @@
         },
         onListingAfterOutage: (read) => {
           this.logOutdatedRead(read, 'listing-after-outage');
-          this.deliverRecords(this.records.addListing(read.records, read), 'listing-after-outage');
+          this.deliverRecords(
+            this.records.mergeListing(read.records, read),
+            'listing-after-outage',
+          );
         },
         onChanges: (read, since) => {
           this.logOutdatedRead(read, 'watch');
@@ -256,10 +263,10 @@
   }
 
   /**
-   * Confirms the view if a peer's view, `ageMs` old and complete up to `reach`, holds nothing that
+   * Confirms the view if a peer's view, `ageMs` old and complete up to `progress`, holds nothing that
    * it lacks.
    */
-  private applyPeerViewAge(reach: ReplicaReach, ageMs: number): void {
+  private applyPeerViewAge(reach: ReplicaProgress, ageMs: number): void {
     if (!this.records.isBehind(reach)) {
       this.viewAge.confirm(this.dependencies.clock.now() - ageMs);
     }
@@ -290,13 +297,13 @@
     this.wasKnowledgeOld = isOld;
     this.dependencies.log.write(isOld ? 'knowledge-old' : 'knowledge-confirmed', 'state', {
       storeAgeMs: this.storeAgeMs,
-      ...this.records.reach,
+      ...this.records.progress,
       behindMs: this.exchange.behindMs,
       isReading: this.follower.isFollowing,
     });
   }
 
-  private deliverRecords(records: readonly RecordNews[], source: RecordsSource): void {
+  private deliverRecords(records: readonly AppliedRecord[], source: RecordsSource): void {
     const { log, onRecords } = this.dependencies;
     const change = this.epochs.detectChange();
     if (change !== undefined) {
@@ -312,7 +319,7 @@
   private logOutdatedRead(read: StoreRead, source: RecordsSource): void {
     const { log } = this.dependencies;
     const { epoch, revision } = read;
-    const { completeTo, currentTo } = this.records.reach;
+    const { completeTo, currentTo } = this.records.progress;
     if (isLater(currentTo, read)) {
       log.write('store-read-older', 'state', { source, epoch, revision, completeTo, currentTo });
     }
--- a/src/gateway/gateway-quotas.ts
+++ b/src/gateway/gateway-quotas.ts
@@ -1,11 +1,11 @@
 /** Connects tenant quotas with a gateway's peers, store and log. */
 import type { Clock } from '../clock.js';
 import type {
-  PeerBeat,
+  PeerHeartbeat,
   PeerHello,
   PeerMessage,
-  PeerQuotaAnswer,
-  PeerQuotaAsk,
+  PeerQuotaResponse,
+  PeerQuotaRequest,
   PeerQuotaReturn,
 } from '../cluster/peer-messages.js';
 import { positionOf } from '../cluster/store-position.js';
@@ -181,7 +181,7 @@
   /** Processes a peer's heartbeat, which names the member record that the peer has applied. */
   receiveHeartbeat(
     { name, address, zone = '' }: PeerHello,
-    { quotaPosition, ageMs }: PeerBeat,
+    { quotaPosition, ageMs }: PeerHeartbeat,
   ): void {
     const region = this.dependencies.places.regionOf(zone) ?? '';
     const heardAtMs = this.dependencies.clock.now();
@@ -191,14 +191,14 @@
   }
 
   /** Answers a peer's request for a grant from a pool of this gateway. */
-  answerPeer({ incarnation }: PeerHello, ask: PeerQuotaAsk): PeerQuotaAnswer {
+  answerPeer({ incarnation }: PeerHello, ask: PeerQuotaRequest): PeerQuotaResponse {
     const nowMs = this.dependencies.clock.now();
     const grant = this.pools.acquire(ask.tenant, ask, grantKey(incarnation, ask.id), nowMs);
     return { kind: 'quota-answer', id: ask.id, grant };
   }
 
   /** Processes a pool holder's answer to a grant request. */
-  receiveAnswer({ id, grant }: PeerQuotaAnswer): void {
+  receiveAnswer({ id, grant }: PeerQuotaResponse): void {
     this.charges.receive(id, grant);
   }
 
--- a/src/gateway/gateway-role.ts
+++ b/src/gateway/gateway-role.ts
@@ -1,5 +1,5 @@
 /** The gateway process: connects the cluster view, the dispatcher and the listeners. */
-import type { RecordNews } from '../cluster/replicated-records.js';
+import type { AppliedRecord } from '../cluster/replicated-records.js';
 import type { StorePosition } from '../cluster/store-position.js';
 import type { RecordsSource } from '../cluster/cluster-store.js';
 import type { Clock } from '../clock.js';
@@ -350,7 +350,7 @@
   }
 
   /** Applies new records in their order of effect. */
-  private applyRecords(records: readonly RecordNews[], source: RecordsSource): void {
+  private applyRecords(records: readonly AppliedRecord[], source: RecordsSource): void {
     if (records.length === 0) {
       return;
     }
@@ -367,7 +367,7 @@
     this.paths.syncLinks();
   }
 
-  private applyRecord(record: RecordNews, decoded: DecodedRecord, source: RecordsSource): void {
+  private applyRecord(record: AppliedRecord, decoded: DecodedRecord, source: RecordsSource): void {
     const { log } = this.dependencies;
     if (decoded.kind === 'configuration') {
       this.installConfiguration(decoded.configuration, record, source);
@@ -474,7 +474,7 @@
     return {
       storeAgeMs: this.cluster.storeAgeMs,
       storeEpoch: this.cluster.records.epoch,
-      retainedRecords: this.cluster.records.countKept(),
+      retainedRecords: this.cluster.records.countRetained(),
       configurationAgeMs: this.configuration.ageMs,
       backends: countBackends(this.directory.list(), nowMs),
       conditions: listConditions(this.directory.list(), nowMs),
--- a/src/gateway/gateway-statements.ts
+++ b/src/gateway/gateway-statements.ts
@@ -6,8 +6,8 @@
 import type {
   PeerHello,
   PeerMessage,
-  PeerSendRightAnswer,
-  PeerSendRightAsk,
+  PeerSendRightResponse,
+  PeerSendRightRequest,
   PeerSendRightReturn,
 } from '../cluster/peer-messages.js';
 import type { RandomSource } from '../random.js';
@@ -134,8 +134,8 @@
   /** Answers a peer's request for a send permit from a pool of this gateway. */
   answerPeer(
     { incarnation }: PeerHello,
-    { id, backendId, place, condition }: PeerSendRightAsk,
-    reply: (answer: PeerSendRightAnswer) => void,
+    { id, backendId, place, condition }: PeerSendRightRequest,
+    reply: (answer: PeerSendRightResponse) => void,
   ): void {
     if (condition !== undefined) {
       this.hearPeer([condition]);
@@ -149,7 +149,7 @@
   }
 
   /** Processes another gateway's answer to a permit request. */
-  receiveAnswer({ id, isGranted }: PeerSendRightAnswer): void {
+  receiveAnswer({ id, isGranted }: PeerSendRightResponse): void {
     this.rights.receiveResponse(id, isGranted);
   }
 
--- a/src/gateway/links/gateway-peers.ts
+++ b/src/gateway/links/gateway-peers.ts
@@ -4,12 +4,12 @@
  */
 import { DEFAULT_PEER_MESH_OPTIONS, PeerMesh } from '../../cluster/peer-mesh.js';
 import type { SendToPeer } from '../../cluster/peer-mesh.js';
-import type { PeerBeat, PeerHello, PeerMessage } from '../../cluster/peer-messages.js';
+import type { PeerHeartbeat, PeerHello, PeerMessage } from '../../cluster/peer-messages.js';
 import type { PeerNetwork } from '../../cluster/peer-network.js';
 import type { RecordExchange } from '../../cluster/record-exchange.js';
 import type { StoreReaderSelector } from '../../cluster/store-readers.js';
-import { isFurther, NO_REACH } from '../../cluster/replicated-records.js';
-import type { ReplicaReach, ReplicatedRecords } from '../../cluster/replicated-records.js';
+import { isAheadOf, NO_PROGRESS } from '../../cluster/replicated-records.js';
+import type { ReplicaProgress, ReplicatedRecords } from '../../cluster/replicated-records.js';
 import type { Clock } from '../../clock.js';
 import type { RandomSource } from '../../random.js';
 import type { Rollouts } from '../../rollout/rollouts.js';
@@ -63,10 +63,10 @@
    */
   knowledgeAgeMs(): number | undefined;
   /**
-   * Called when a peer reports its replication position `reach` and the age of its replica, in
+   * Called when a peer reports its replication position `progress` and the age of its replica, in
    * milliseconds.
    */
-  onReplicaAge(reach: ReplicaReach, ageMs: number): void;
+  onReplicaAge(reach: ReplicaProgress, ageMs: number): void;
   readonly clock: Clock;
   readonly random: RandomSource;
   /** Default: TCP. */
@@ -87,8 +87,8 @@
   private readonly mesh: PeerMesh;
   private ticks = 0;
   private lastHeartbeatTick = 0;
-  private lastHeartbeatReach = NO_REACH;
-  private lastSentReach = NO_REACH;
+  private lastHeartbeatReach = NO_PROGRESS;
+  private lastSentReach = NO_PROGRESS;
   private lastSentIsReading = false;
   private readonly startedAtMs: number;
 
@@ -100,9 +100,9 @@
       seeds,
       {
         onMessage: (hello, message, reply) => this.handleMessage(hello, message, reply),
-        onQuestion: (message, reply) => {
+        onReply: (message, reply) => {
           if (message.kind === 'fetch') {
-            reply(exchange.answer(message));
+            reply(exchange.handleFetch(message));
           } else if (message.kind === 'crashes') {
             this.mergeCrashes(message.requests, reply);
           } else if (message.kind === 'quota-answer') {
@@ -112,7 +112,7 @@
           }
         },
         onOpened: (send) => this.sendInitialState(send),
-        onPeer: (peer, isPresent) => {
+        onPeerChange: (peer, isPresent) => {
           if (!isPresent) {
             readers.removePeer(peer);
           }
@@ -137,8 +137,8 @@
     const isAlone = seeds.every((seed) => seed === address);
     return {
       self: address,
-      others: this.mesh.addressesEverKnown,
-      hasReachedPeers: this.mesh.hasHeardPeers || isAlone,
+      others: this.mesh.allKnownAddresses,
+      hasReachedPeers: this.mesh.hasReachedPeers || isAlone,
       startedAtMs: this.startedAtMs,
     };
   }
@@ -169,7 +169,7 @@
    */
   tick(): void {
     this.ticks += 1;
-    this.mesh.reopenSilent(
+    this.mesh.reconnectSilentPeers(
       Math.max(REOPEN_SILENCE_MS, this.maxHeartbeatIntervalMs * REOPEN_SILENCE_HEARTBEATS),
     );
     if (this.ticks % this.heartbeatTicks === 0 || this.hasReadingChanged) {
@@ -186,7 +186,7 @@
 
   /** Connects to gateways that were unknown so far. */
   learnAddresses(addresses: readonly string[]): void {
-    this.mesh.learnAddresses(addresses);
+    this.mesh.addAddresses(addresses);
   }
 
   /**
@@ -219,8 +219,8 @@
    * for it.
    */
   private sendReachIfAdvanced(): void {
-    const { reach } = this.parts.records;
-    if (isFurther(reach, this.lastSentReach) && this.parts.isReading()) {
+    const { progress: reach } = this.parts.records;
+    if (isAheadOf(reach, this.lastSentReach) && this.parts.isReading()) {
       this.lastSentReach = reach;
       this.mesh.broadcast({ kind: 'reach', reach });
     }
@@ -236,10 +236,10 @@
 
   private sendHeartbeatIfDue(): void {
     const { records } = this.parts;
-    const { reach } = records;
+    const { progress: reach } = records;
     const hasRollouts = this.parts.rollouts.tell() !== undefined;
     const hasNewState =
-      isFurther(reach, this.lastHeartbeatReach) || hasRollouts || this.hasReadingChanged;
+      isAheadOf(reach, this.lastHeartbeatReach) || hasRollouts || this.hasReadingChanged;
     if (hasNewState || this.ticks - this.lastHeartbeatTick >= IDLE_HEARTBEAT_TICKS) {
       this.lastHeartbeatTick = this.ticks;
       this.lastHeartbeatReach = reach;
@@ -261,12 +261,12 @@
     }
   }
 
-  private buildHeartbeat(): PeerBeat {
+  private buildHeartbeat(): PeerHeartbeat {
     const { records, quotas } = this.parts;
     const rollouts = this.parts.rollouts.tell();
     return {
       kind: 'beat',
-      reach: records.reach,
+      reach: records.progress,
       knowledgeAgeMs: this.parts.knowledgeAgeMs(),
       ageMs: quotas.ageMs,
       quotaPosition: quotas.position,
@@ -279,7 +279,7 @@
   private handleMessage(hello: PeerHello, message: PeerMessage, reply: SendToPeer): void {
     const { quotas, exchange, readers, statements, clock } = this.parts;
     if (message.kind === 'records') {
-      exchange.receive(message);
+      exchange.handleResponse(message);
     } else if (message.kind === 'crashes') {
       this.mergeCrashes(message.requests, reply);
     } else if (message.kind === 'conditions') {
@@ -293,7 +293,7 @@
       quotas.receiveHeartbeat(hello, message);
       readers.receiveHeartbeat(peer, message.isReading, clock.now(), message.region);
       this.parts.rollouts.hear(peer, message.rollouts ?? {});
-      exchange.hearReach(peer, message.reach, reply);
+      exchange.handleProgress(peer, message.reach, reply);
       if (message.knowledgeAgeMs !== undefined) {
         this.parts.onReplicaAge(message.reach, message.knowledgeAgeMs);
       }
@@ -302,7 +302,7 @@
     } else if (message.kind === 'quota-return') {
       quotas.takeBack(hello, message);
     } else if (message.kind === 'reach') {
-      exchange.hearReach(hello.incarnation, message.reach, reply);
+      exchange.handleProgress(hello.incarnation, message.reach, reply);
     }
   }
 }
--- a/src/gateway/links/slot-agent-links.ts
+++ b/src/gateway/links/slot-agent-links.ts
@@ -1,7 +1,7 @@
 /** A gateway's connections to the slot agents that run beside engines. */
 import { connect } from 'node:net';
 import type { RecordExchange } from '../../cluster/record-exchange.js';
-import { isFurther, NO_REACH } from '../../cluster/replicated-records.js';
+import { isAheadOf, NO_PROGRESS } from '../../cluster/replicated-records.js';
 import type { ReplicatedRecords } from '../../cluster/replicated-records.js';
 import type { Clock } from '../../clock.js';
 import { MessageChannel } from '../../protocol/message-channel.js';
@@ -93,7 +93,7 @@
 /** Maintains a gateway's connections to slot agents. */
 export class SlotAgentLinks {
   private readonly links = new Map<string, Link>();
-  private lastSentReach = NO_REACH;
+  private lastSentReach = NO_PROGRESS;
 
   constructor(
     private readonly gatewayName: string,
@@ -137,10 +137,10 @@
     }
   }
 
-  /** Sends every agent the replication position (`reach`), if it advanced. */
+  /** Sends every agent the replication position (`progress`), if it advanced. */
   broadcastReach(): void {
-    const { reach } = this.records;
-    if (!isFurther(reach, this.lastSentReach)) {
+    const { progress: reach } = this.records;
+    if (!isAheadOf(reach, this.lastSentReach)) {
       return;
     }
     this.lastSentReach = reach;
@@ -227,7 +227,7 @@
         link.lastReceivedAtMs = this.clock.now();
         this.pathOf(link)?.noteActivity(link.lastReceivedAtMs);
         if (message.kind === 'fetch') {
-          channel.send(this.exchange.answer(message));
+          channel.send(this.exchange.handleFetch(message));
           return;
         }
         if (message.kind === 'refused') {
@@ -241,7 +241,7 @@
     });
     link.channel = channel;
     socket.once('connect', () => {
-      this.directory.find(link.backendId)?.roundTrip.learn(this.clock.now() - openedAtMs);
+      this.directory.find(link.backendId)?.roundTrip.addSample(this.clock.now() - openedAtMs);
       this.sendHello(link, channel);
     });
   }
@@ -267,7 +267,7 @@
     } as const;
     const coldStart = this.coldStartOf(backend.service);
     channel.send(coldStart === undefined ? hello : { ...hello, coldStart });
-    channel.send({ kind: 'reach', reach: this.records.reach });
+    channel.send({ kind: 'reach', reach: this.records.progress });
     link.isEstablished = true;
     this.onAgent(link.backendId, true);
     this.dispatcher().connectAgent(link.backendId, this.clock.now());
--- a/src/rollout/service-rollout.ts
+++ b/src/rollout/service-rollout.ts
@@ -10,7 +10,7 @@
  */
 import { isLater, isSamePosition, positionOf } from '../cluster/store-position.js';
 import type { StorePosition } from '../cluster/store-position.js';
-import { pairShare } from '../pair-share.js';
+import { pairHash } from '../pair-share.js';
 import { RolloutEvidence } from './rollout-evidence.js';
 import type { OutcomesByRoute } from './rollout-evidence.js';
 import type { RolloutOrder, RolloutState, RolloutStatus, VersionUse } from './rollout-order.js';
@@ -314,7 +314,7 @@
   }
 
   private writerRank(nowMs: number): number {
-    const own = pairShare(WRITER_RANK_KEY, this.gateway);
-    return this.alivePeers(nowMs).filter(([peer]) => pairShare(WRITER_RANK_KEY, peer) < own).length;
+    const own = pairHash(WRITER_RANK_KEY, this.gateway);
+    return this.alivePeers(nowMs).filter(([peer]) => pairHash(WRITER_RANK_KEY, peer) < own).length;
   }
 }
--- a/src/round-trip.ts
+++ b/src/round-trip.ts
@@ -34,7 +34,7 @@
 const OTHER_REGION_COST_MS = 10;
 
 /** Estimate of the round-trip time of one link. */
-export class RoundTrip {
+export class RoundTripEstimate {
   private estimateMs: number;
   private hasSample = false;
 
@@ -58,7 +58,7 @@
   }
 
   /** Replaces the estimate by that of the other end, which has more samples. */
-  adopt(measuredMs: number): void {
+  replaceEstimate(measuredMs: number): void {
     if (measuredMs >= 0) {
       this.hasSample = true;
       this.estimateMs = measuredMs;
@@ -66,7 +66,7 @@
   }
 
   /** Updates the estimate with the time between a message and its response. */
-  learn(sampleMs: number): void {
+  addSample(sampleMs: number): void {
     if (!(sampleMs >= 0)) {
       return;
     }
--- a/src/routing/owner-counts.ts
+++ b/src/routing/owner-counts.ts
@@ -3,11 +3,11 @@
  * of two writes of a key where the store's own order does not, because the store was restored from
  * a copy.
  */
-import type { CompareByOwner } from '../cluster/replicated-records.js';
+import type { CompareOwnerVersions } from '../cluster/replicated-records.js';
 import type { DecodedRecord, DecodeRecord } from './decoded-record.js';
 
 /** Returns a comparator of records by their owners' counters, decoded with `decode`. */
-export function createOwnerComparator(decode: DecodeRecord): CompareByOwner {
+export function createOwnerComparator(decode: DecodeRecord): CompareOwnerVersions {
   return (left, right) => {
     const [leftCounters, rightCounters] = [countersOf(decode(left)), countersOf(decode(right))];
     if (leftCounters === undefined || rightCounters === undefined) {
--- a/src/slot-agent/gateway-account.ts
+++ b/src/slot-agent/gateway-account.ts
@@ -5,7 +5,7 @@
 import type { RouteAndTenant } from '../routing/named-homes.js';
 import type { AllowedRegions } from '../routing/backend-restriction.js';
 import type { Distance } from '../routing/places.js';
-import { RoundTrip } from '../round-trip.js';
+import { RoundTripEstimate } from '../round-trip.js';
 import type { WaitingPriority } from './waiting-order.js';
 
 /** Timeouts for messages from gateways, in milliseconds. */
@@ -51,7 +51,7 @@
   hasUnreportedTakes = false;
   /** Latest reading of the gateway's own clock that it sent, in milliseconds. */
   clockMs: number | undefined;
-  private readonly roundTrip: RoundTrip;
+  private readonly roundTrip: RoundTripEstimate;
   private reportedRoundTripMs: number | undefined;
   private grantsIssued = 0;
   /** Issue times of grants that the gateway has not answered, oldest first. */
@@ -64,7 +64,7 @@
     private lastMessageAtMs: number,
     distance: Distance = 'same-zone',
   ) {
-    this.roundTrip = new RoundTrip(distance);
+    this.roundTrip = new RoundTripEstimate(distance);
   }
 
   /** Records that a message arrived. */
@@ -100,7 +100,7 @@
   noteGrantAnswered(nowMs: number): void {
     const grantedAtMs = this.unansweredGrantsAtMs.shift();
     if (grantedAtMs !== undefined) {
-      this.roundTrip.learn(nowMs - grantedAtMs);
+      this.roundTrip.addSample(nowMs - grantedAtMs);
     }
   }
 
--- a/src/slot-agent/slot-agent-role.ts
+++ b/src/slot-agent/slot-agent-role.ts
@@ -10,7 +10,7 @@
 import { DEFAULT_PEER_MESH_OPTIONS, PeerMesh } from '../cluster/peer-mesh.js';
 import { RecordExchange } from '../cluster/record-exchange.js';
 import { ReplicatedRecords } from '../cluster/replicated-records.js';
-import type { RecordNews } from '../cluster/replicated-records.js';
+import type { AppliedRecord } from '../cluster/replicated-records.js';
 import type { Clock, TimerHandle } from '../clock.js';
 import type { DecodeRecord } from '../routing/decoded-record.js';
 import type { ColdStartLimits } from '../routing/cold-start.js';
@@ -182,7 +182,7 @@
     this.server = createServer((socket) => this.accept(socket));
     this.exchange = new RecordExchange(
       this.records,
-      { isStoreReachable: () => false, onNews: (records) => this.applyRecords(records) },
+      { isStoreReachable: () => false, onApplied: (records) => this.applyRecords(records) },
       clock,
     );
     const { name, seeds } = identity;
@@ -191,13 +191,13 @@
       seeds,
       {
         onMessage: () => undefined,
-        onQuestion: (message, reply) => {
+        onReply: (message, reply) => {
           if (message.kind === 'fetch') {
-            reply(this.exchange.answer(message));
+            reply(this.exchange.handleFetch(message));
           }
         },
-        onOpened: (send) => send({ kind: 'reach', reach: this.records.reach }),
-        onPeer: () => undefined,
+        onOpened: (send) => send({ kind: 'reach', reach: this.records.progress }),
+        onPeerChange: () => undefined,
       },
       clock,
       random,
@@ -235,7 +235,7 @@
   }
 
   /** Applies new records of the store. */
-  private applyRecords(records: readonly RecordNews[]): void {
+  private applyRecords(records: readonly AppliedRecord[]): void {
     const previousVersion = this.engineView.regionInfo?.configuration;
     const { decode, identity, log } = this.dependencies;
     for (const record of records.filter(({ isUnchanged }) => isUnchanged !== true)) {
@@ -345,9 +345,9 @@
 
   private receive(connection: number, message: GatewayToAgent): void {
     if (message.kind === 'records') {
-      this.exchange.receive(message);
+      this.exchange.handleResponse(message);
     } else if (message.kind === 'reach') {
-      this.exchange.hearReach(`${connection}`, message.reach, (fetch) =>
+      this.exchange.handleProgress(`${connection}`, message.reach, (fetch) =>
         this.channels.get(connection)?.send(fetch),
       );
     } else {
@@ -357,7 +357,7 @@
 
   private receiveSlotMessage(connection: number, message: GatewaySlotMessage): void {
     if (message.kind === 'hello') {
-      this.mesh.learnAddresses([message.peersAddress]);
+      this.mesh.addAddresses([message.peersAddress]);
       this.coldStart.applyHello(message.coldStart);
     } else if (!this.ledger.isAdmitted(connection)) {
       this.refuse(connection, 'hello-missing');
--- a/src/slot-agent/slot-messages.ts
+++ b/src/slot-agent/slot-messages.ts
@@ -3,7 +3,11 @@
 import type { EngineAvailability } from './engine-watch.js';
 import type { RouteAndTenant } from '../routing/named-homes.js';
 import type { GrantsOnlyReason } from './start-limiter.js';
-import type { RecordsAnswer, RecordsFetch, RecordsReach } from '../cluster/record-exchange.js';
+import type {
+  RecordsResponse,
+  RecordsFetch,
+  ReplicaProgressReport,
+} from '../cluster/record-exchange.js';
 
 /** Regions in which a request may be served, as stated by its gateway. */
 export interface RegionConstraints {
@@ -142,7 +146,7 @@
   | SpeedUpdate;
 
 /** All messages from a gateway to an agent. */
-export type GatewayToAgent = GatewaySlotMessage | RecordsReach | RecordsAnswer;
+export type GatewayToAgent = GatewaySlotMessage | ReplicaProgressReport | RecordsResponse;
 
 /** Grants one slot to the gateway. */
 export interface SlotGranted {
--- a/test/dispatcher.test.ts
+++ b/test/dispatcher.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { pairShare } from '../src/pair-share.js';
+import { pairHash } from '../src/pair-share.js';
 import { KnownBackend } from '../src/gateway/dispatch/known-backend.js';
 import { hasFreeCapacity } from '../src/gateway/dispatch/slot-room.js';
 import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
@@ -132,7 +132,7 @@
   const engine = new KnownBackend(backendOf('a', { slots: 10 }), 0);
   const names = Array.from({ length: 27 }, (_unused, index) => `gateway-${index}`);
   const allowed = names.filter((name) =>
-    hasFreeCapacity(engine, { ...inputs, shareHash: pairShare(name, 'a') }, 1_000),
+    hasFreeCapacity(engine, { ...inputs, shareHash: pairHash(name, 'a') }, 1_000),
   );
   t.true(allowed.length >= 8 && allowed.length <= 17, `${allowed.length}`);
 });
--- a/test/engine-subset.test.ts
+++ b/test/engine-subset.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { selectSubset } from '../src/gateway/dispatch/engine-subset.js';
 import type { SubsetEngine } from '../src/gateway/dispatch/engine-subset.js';
-import { pairShare } from '../src/pair-share.js';
+import { pairHash } from '../src/pair-share.js';
 import { ZoneTopology } from '../src/routing/places.js';
 import { GatewayHarness, backendOf } from './support/gateway.js';
 
@@ -132,7 +132,7 @@
       const owner = { name: `g${index}`, zone: `z${index % 6}` };
       const taken = new Map<string, number>();
       const expected = engines
-        .map((engine) => ({ ...engine, weight: pairShare(owner.name, engine.id) }))
+        .map((engine) => ({ ...engine, weight: pairHash(owner.name, engine.id) }))
         .sort((left, right) => left.weight - right.weight);
       const chosen = expected.filter(({ zone }) => {
         const count = taken.get(zone) ?? 0;
--- a/test/peer-mesh-paths.test.ts
+++ b/test/peer-mesh-paths.test.ts
@@ -7,7 +7,7 @@
 import test from 'ava';
 import type { Clock } from '../src/clock.js';
 import { DEFAULT_PEER_MESH_OPTIONS, PeerMesh } from '../src/cluster/peer-mesh.js';
-import { NO_REACH } from '../src/cluster/replicated-records.js';
+import { NO_PROGRESS } from '../src/cluster/replicated-records.js';
 import { HeapClock } from './support/heap-clock.js';
 import { scenarioRandom } from './support/store-fleet.js';
 import { VirtualNetwork } from './support/virtual-network.js';
@@ -20,7 +20,7 @@
 const SILENCE_MS = 1_500;
 const HEARTBEAT = {
   kind: 'beat',
-  reach: NO_REACH,
+  reach: NO_PROGRESS,
   ageMs: 0,
   quotaPosition: NO_POSITION,
   isReading: false,
@@ -44,7 +44,7 @@
   start(name: 'a' | 'b', incarnation: number): void {
     const host: NetworkHost = {
       address: name,
-      act: (action) => {
+      runWhenActive: (action) => {
         if (this.hosts[name] === host) {
           action();
         }
@@ -53,7 +53,8 @@
     this.hosts[name] = host;
     const clock: Clock = {
       now: () => this.clock.now(),
-      setTimeout: (callback, delayMs) => this.clock.setTimeout(() => host.act(callback), delayMs),
+      setTimeout: (callback, delayMs) =>
+        this.clock.setTimeout(() => host.runWhenActive(callback), delayMs),
       clearTimeout: (handle) => handle !== undefined && this.clock.clearTimeout(handle),
     };
     const mesh = new PeerMesh(
@@ -67,19 +68,19 @@
       [`a:${PORT}`, `b:${PORT}`],
       {
         onMessage: () => void (this.lastReceivedAtMs[name] = this.clock.now()),
-        onQuestion: () => undefined,
+        onReply: () => undefined,
         onOpened: (send) => send(HEARTBEAT),
-        onPeer: (_peer, isPresent) => void (this.hellos[name] += isPresent ? 1 : 0),
+        onPeerChange: (_peer, isPresent) => void (this.hellos[name] += isPresent ? 1 : 0),
       },
       clock,
       this.random,
       DEFAULT_PEER_MESH_OPTIONS,
-      this.network.of(host),
+      this.network.createPeerNetwork(host),
     );
     mesh.listen(name, PORT);
     mesh.start();
-    this.repeat(HEARTBEAT_MS, () => host.act(() => mesh.broadcast(HEARTBEAT)));
-    this.repeat(TICK_MS, () => host.act(() => mesh.reopenSilent(SILENCE_MS)));
+    this.repeat(HEARTBEAT_MS, () => host.runWhenActive(() => mesh.broadcast(HEARTBEAT)));
+    this.repeat(TICK_MS, () => host.runWhenActive(() => mesh.reconnectSilentPeers(SILENCE_MS)));
   }
 
   async run(forMs: number): Promise<void> {
--- a/test/record-exchange.test.ts
+++ b/test/record-exchange.test.ts
@@ -14,13 +14,13 @@
     records,
     {
       isStoreReachable: () => isStoreReachable,
-      onNews: (records) => applied.push(...records.map(({ key }) => key)),
+      onApplied: (records) => applied.push(...records.map(({ key }) => key)),
     },
     clock,
   );
   const fetchedFrom: string[] = [];
   const reportProgress = (revision: number, name = 'a') =>
-    exchange.hearReach(
+    exchange.handleProgress(
       name,
       { completeTo: positionAt(revision), currentTo: positionAt(revision) },
       (fetch) => {
@@ -72,7 +72,7 @@
   await clock.runUntil(900);
   t.deepEqual(fetchedFrom, ['deaf', 'b', 'c']);
   t.is(exchange.behindMs, 900);
-  exchange.receive({
+  exchange.handleResponse({
     kind: 'records',
     since: positionAt(0),
     completeTo: positionAt(7),
@@ -89,7 +89,7 @@
 test('a replica fetches values from a replica that is ahead in `currentTo` only', (t) => {
   const { fetches, exchange, records } = startExchange(false);
   records.applyListing([], positionAt(5));
-  exchange.hearReach('a', { completeTo: positionAt(5), currentTo: positionAt(7) }, (fetch) =>
+  exchange.handleProgress('a', { completeTo: positionAt(5), currentTo: positionAt(7) }, (fetch) =>
     fetches.push(fetch),
   );
   t.deepEqual(fetches, [{ kind: 'fetch', since: positionAt(5) }]);
@@ -101,15 +101,15 @@
     records: [added],
     epochStart: positionAt(0),
   } as const;
-  exchange.receive({ ...answer, completeTo: positionAt(5), currentTo: positionAt(7) });
-  t.deepEqual(records.reach, { completeTo: positionAt(5), currentTo: positionAt(7) });
+  exchange.handleResponse({ ...answer, completeTo: positionAt(5), currentTo: positionAt(7) });
+  t.deepEqual(records.progress, { completeTo: positionAt(5), currentTo: positionAt(7) });
   t.is(exchange.behindMs, 0);
 });
 
 test('a replica that responds with less than it reported gets no further fetch at once', async (t) => {
   const { clock, fetchedFrom, reportProgress, exchange } = startExchange(false);
   reportProgress(6);
-  exchange.receive({
+  exchange.handleResponse({
     kind: 'records',
     since: positionAt(0),
     completeTo: positionAt(5),
@@ -135,7 +135,7 @@
 test('fetched records are applied and served to other replicas', (t) => {
   const { exchange, applied, records } = startExchange(false);
   const record = { key: 'a', ...positionAt(4), value: 'v' };
-  exchange.receive({
+  exchange.handleResponse({
     kind: 'records',
     since: positionAt(0),
     completeTo: positionAt(4),
@@ -146,6 +146,6 @@
   });
   t.deepEqual(applied, ['a']);
   t.deepEqual(records.completeTo, positionAt(4));
-  t.deepEqual(exchange.answer({ kind: 'fetch', since: positionAt(3) }).records, [record]);
-  t.deepEqual(exchange.answer({ kind: 'fetch', since: positionAt(4) }).records, []);
+  t.deepEqual(exchange.handleFetch({ kind: 'fetch', since: positionAt(3) }).records, [record]);
+  t.deepEqual(exchange.handleFetch({ kind: 'fetch', since: positionAt(4) }).records, []);
 });
--- a/test/regions.test.ts
+++ b/test/regions.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { RoundTrip } from '../src/round-trip.js';
+import { RoundTripEstimate } from '../src/round-trip.js';
 import { ZoneTopology } from '../src/routing/places.js';
 import { UnknownZones } from '../src/routing/unknown-zones.js';
 import type { EngineAvailability } from '../src/slot-agent/engine-watch.js';
@@ -111,7 +111,7 @@
   const world = worldOf(['near'], ['far']);
   sendState(world, 'near', 1);
   world.request({ route: UNSAFE_ROUTE });
-  world.directory.find('far')!.roundTrip.adopt(30);
+  world.directory.find('far')!.roundTrip.replaceEstimate(30);
   world.directory.updateRegionAvailability('s');
   await world.clock.runUntil(39);
   t.deepEqual(usedBackends(world), []);
@@ -207,17 +207,17 @@
 });
 
 test('a round-trip estimate follows shorter samples at once and longer ones gradually', (t) => {
-  const way = new RoundTrip('same-region');
+  const way = new RoundTripEstimate('same-region');
   t.false(way.isMeasured);
-  way.learn(1_000);
+  way.addSample(1_000);
   t.is(way.ms, 2.5);
-  way.learn(1.5);
+  way.addSample(1.5);
   t.is(way.ms, 2);
   for (let count = 0; count < 200; count += 1) {
-    way.learn(20);
+    way.addSample(20);
   }
   t.true(way.ms > 19);
-  way.learn(Number.NaN);
+  way.addSample(Number.NaN);
   t.true(way.ms > 19);
 });
 
--- a/test/replica.test.ts
+++ b/test/replica.test.ts
@@ -5,7 +5,7 @@
 import type { PeerMeshHandlers } from '../src/cluster/peer-mesh.js';
 import type { PeerHello, PeerMessage } from '../src/cluster/peer-messages.js';
 import { RecordExchange } from '../src/cluster/record-exchange.js';
-import { NO_REACH, ReplicatedRecords } from '../src/cluster/replicated-records.js';
+import { NO_PROGRESS, ReplicatedRecords } from '../src/cluster/replicated-records.js';
 import type { StoreRecord } from '../src/cluster/replicated-records.js';
 import { MessageChannel } from '../src/protocol/message-channel.js';
 import { SeededRandom } from '../src/random.js';
@@ -58,7 +58,7 @@
   const received = new Promise<readonly StoreRecord[]>((resolve) => {
     const exchange = new RecordExchange(
       records,
-      { isStoreReachable: () => false, onNews: resolve },
+      { isStoreReachable: () => false, onApplied: resolve },
       SYSTEM_CLOCK,
     );
     const heartbeat = (): PeerMessage => ({
@@ -66,25 +66,25 @@
       ageMs: 0,
       quotaPosition: NO_POSITION,
       isReading: false,
-      reach: records.reach,
+      reach: records.progress,
     });
     const handlers: PeerMeshHandlers = {
       onMessage: (peer, message, reply) => {
         kinds.add(message.kind);
         if (message.kind === 'records') {
-          exchange.receive(message);
+          exchange.handleResponse(message);
           mesh!.broadcast(heartbeat());
         } else if (message.kind === 'beat' || message.kind === 'reach') {
-          exchange.hearReach(peer.name, message.reach, reply);
+          exchange.handleProgress(peer.name, message.reach, reply);
         }
       },
-      onQuestion: (message, reply) => {
+      onReply: (message, reply) => {
         if (message.kind === 'fetch') {
-          reply(exchange.answer(message));
+          reply(exchange.handleFetch(message));
         }
       },
       onOpened: (send) => send(heartbeat()),
-      onPeer: (peer) => void peers.push(peer),
+      onPeerChange: (peer) => void peers.push(peer),
     };
     mesh = new PeerMesh(hello, seeds, handlers, SYSTEM_CLOCK, new SeededRandom(1));
     mesh.listen(HOST, Number(hello.address.split(':')[1]));
@@ -111,10 +111,10 @@
   const settle = () => new Promise((resolve) => setTimeout(resolve, 150));
   await settle();
   t.is(hellosOfB(), 1);
-  b.mesh.reopenSilent(10_000);
+  b.mesh.reconnectSilentPeers(10_000);
   await settle();
   t.is(hellosOfB(), 1);
-  b.mesh.reopenSilent(50);
+  b.mesh.reconnectSilentPeers(50);
   await settle();
   t.is(hellosOfB(), 2);
   a.mesh.broadcast({
@@ -122,10 +122,10 @@
     ageMs: 0,
     quotaPosition: NO_POSITION,
     isReading: false,
-    reach: NO_REACH,
+    reach: NO_PROGRESS,
   });
   await new Promise((resolve) => setTimeout(resolve, 20));
-  b.mesh.reopenSilent(100);
+  b.mesh.reconnectSilentPeers(100);
   await settle();
   t.is(hellosOfB(), 2);
   [a, b].forEach(({ mesh }) => mesh.stop());
@@ -136,8 +136,8 @@
   const a = startMesh(helloOf('a', portA), [], [RECORD]);
   const handlers = {
     onMessage: () => undefined,
-    onQuestion: () => undefined,
-    onPeer: () => undefined,
+    onReply: () => undefined,
+    onPeerChange: () => undefined,
   };
   const opened = new Promise<void>((resolve) => {
     const limited = new PeerMesh(
--- a/test/replicated-records.test.ts
+++ b/test/replicated-records.test.ts
@@ -168,15 +168,15 @@
   const receiver = new ReplicatedRecords();
   receiver.applyUpdate(holder.updateSince(positionAt(0)));
   const listed = [{ key: 'new', ...positionAt(7), value: 'v' }];
-  t.deepEqual(holder.addListing(listed, positionAt(8)), listed);
-  t.deepEqual(holder.reach, { completeTo: positionAt(4), currentTo: positionAt(8) });
-  t.true(receiver.isBehind(holder.reach));
+  t.deepEqual(holder.mergeListing(listed, positionAt(8)), listed);
+  t.deepEqual(holder.progress, { completeTo: positionAt(4), currentTo: positionAt(8) });
+  t.true(receiver.isBehind(holder.progress));
   t.deepEqual(receiver.applyUpdate(holder.updateSince(receiver.completeTo)), listed);
-  t.deepEqual(receiver.reach, { completeTo: positionAt(4), currentTo: positionAt(8) });
-  t.false(receiver.isBehind(holder.reach));
+  t.deepEqual(receiver.progress, { completeTo: positionAt(4), currentTo: positionAt(8) });
+  t.false(receiver.isBehind(holder.progress));
   t.true(receiver.snapshot().some(({ key, value }) => key === 'gone' && value !== undefined));
   holder.applyListing(listed, positionAt(9));
-  t.deepEqual(holder.reach, { completeTo: positionAt(9), currentTo: positionAt(9) });
+  t.deepEqual(holder.progress, { completeTo: positionAt(9), currentTo: positionAt(9) });
   receiver.applyUpdate(holder.updateSince(receiver.completeTo));
   t.false(receiver.snapshot().some(({ key, value }) => key === 'gone' && value !== undefined));
 });
@@ -193,5 +193,5 @@
     epochStart: positionAt(0),
   };
   records.applyUpdate(update);
-  t.deepEqual(records.reach, { completeTo: positionAt(3), currentTo: positionAt(3) });
+  t.deepEqual(records.progress, { completeTo: positionAt(3), currentTo: positionAt(3) });
 });
--- a/test/restored-replica.test.ts
+++ b/test/restored-replica.test.ts
@@ -2,12 +2,12 @@
 import fc from 'fast-check';
 import test from 'ava';
 import { ReplicatedRecords } from '../src/cluster/replicated-records.js';
-import type { CompareByOwner, StoreRecord } from '../src/cluster/replicated-records.js';
+import type { CompareOwnerVersions, StoreRecord } from '../src/cluster/replicated-records.js';
 import { isLater } from '../src/cluster/store-position.js';
 import { positionAt } from './support/positions.js';
 
 /** Values of versioned keys begin with the version number that their owner wrote. */
-const compareLeadingNumber: CompareByOwner = (left, right) => {
+const compareLeadingNumber: CompareOwnerVersions = (left, right) => {
   const [leftVersion, rightVersion] = [left, right].map(({ value }) =>
     Number.parseInt(value ?? '', 10),
   );
@@ -32,21 +32,21 @@
 
 test('a change written after the restore is applied, though its revision is below the known 10', (t) => {
   const replica = replicaOf(recordOf('config', 10, 1, '5 five'));
-  replica.addListing([recordOf('config', 4, 2, '3 three')], positionAt(6, 2));
+  replica.mergeListing([recordOf('config', 4, 2, '3 three')], positionAt(6, 2));
   const [applied] = replica.applyChanges(
     [recordOf('config', 7, 2, '6 six')],
     positionAt(6, 2),
     positionAt(7, 2),
   );
   t.is(applied?.value, '6 six');
-  t.deepEqual(replica.reach, { completeTo: positionAt(10, 1), currentTo: positionAt(7, 2) });
+  t.deepEqual(replica.progress, { completeTo: positionAt(10, 1), currentTo: positionAt(7, 2) });
 });
 
 test('records of the backup that are older, by owner version or by revision, replace nothing before settling', (t) => {
   const replica = replicaOf(recordOf('config', 8, 1, '5 five'), recordOf('order', 9, 1, 'newer'));
   const backup = [recordOf('config', 4, 2, '3 three'), recordOf('order', 5, 2, 'older')];
-  t.deepEqual(replica.addListing(backup, positionAt(6, 2)), []);
-  t.is(replica.countKept(), 2);
+  t.deepEqual(replica.mergeListing(backup, positionAt(6, 2)), []);
+  t.is(replica.countRetained(), 2);
   t.false(replica.isSettled);
   replica.applyListing(backup, positionAt(6, 2));
   t.deepEqual([valueOf(replica, 'config'), valueOf(replica, 'order')], ['3 three', 'older']);
@@ -55,13 +55,16 @@
 
 test('a record that its owner wrote again before the first listing is applied, though its revision is lower', (t) => {
   const replica = replicaOf(recordOf('backend', 9, 1, '7 ready'));
-  const [applied] = replica.addListing([recordOf('backend', 6, 2, '8 draining')], positionAt(6, 2));
+  const [applied] = replica.mergeListing(
+    [recordOf('backend', 6, 2, '8 draining')],
+    positionAt(6, 2),
+  );
   t.is(applied?.value, '8 draining');
 });
 
 test('a record that the backup lacks is retained until the replica has settled', (t) => {
   const replica = replicaOf(recordOf('a', 3, 1, 'v'), recordOf('lost', 9, 1, 'v'));
-  t.deepEqual(replica.addListing([recordOf('a', 3, 2, 'v')], positionAt(6, 2)), [
+  t.deepEqual(replica.mergeListing([recordOf('a', 3, 2, 'v')], positionAt(6, 2)), [
     { ...recordOf('a', 3, 2, 'v'), isUnchanged: true },
   ]);
   t.is(valueOf(replica, 'lost'), 'v');
@@ -76,17 +79,17 @@
     positionAt(10, 1),
     positionAt(11, 1),
   );
-  replica.addListing([recordOf('backend', 5, 2, '7 ready')], positionAt(6, 2));
+  replica.mergeListing([recordOf('backend', 5, 2, '7 ready')], positionAt(6, 2));
   t.is(valueOf(replica, 'backend'), undefined);
 });
 
 test('a replica that knows only the backup fetches newer records and does not spread the older ones', (t) => {
   const old = replicaOf(recordOf('backend', 9, 1, '8 draining'), recordOf('lost', 10, 1, 'v'));
   const backup = [recordOf('backend', 4, 2, '7 ready')];
-  old.addListing(backup, positionAt(6, 2));
+  old.mergeListing(backup, positionAt(6, 2));
   const started = new ReplicatedRecords(compareLeadingNumber);
-  started.addListing(backup, positionAt(6, 2));
-  t.true(started.isBehind(old.reach));
+  started.mergeListing(backup, positionAt(6, 2));
+  t.true(started.isBehind(old.progress));
   old.applyUpdate(started.updateSince(old.completeTo));
   t.is(valueOf(old, 'backend'), '8 draining');
   started.applyUpdate(old.updateSince(started.completeTo));
@@ -96,7 +99,7 @@
 
 test('a settled replica does not apply records that an unsettled one still retains', (t) => {
   const unsettled = replicaOf(recordOf('lost', 9, 1, 'v'), recordOf('config', 8, 1, '5 five'));
-  unsettled.addListing([recordOf('config', 4, 2, '3 three')], positionAt(6, 2));
+  unsettled.mergeListing([recordOf('config', 4, 2, '3 three')], positionAt(6, 2));
   const settled = replicaOf();
   settled.applyListing([recordOf('config', 4, 2, '3 three')], positionAt(6, 2));
   settled.applyUpdate(unsettled.updateSince(positionAt(0)));
@@ -163,13 +166,13 @@
         } else if (act === 'restore') {
           store.restore(lost);
         } else if (act === 'list') {
-          records.addListing(store.list(), store.position);
+          records.mergeListing(store.list(), store.position);
         } else if (act === 'count') {
           records.applyListing(store.list(), store.position);
         } else if (act === 'watch' && records.currentTo.epoch === store.epoch) {
           const since = records.currentTo;
           records.applyChanges(store.changesAfter(since.revision), since, store.position);
-        } else if (act === 'fetch' && records.isBehind(replicas[other]!.reach)) {
+        } else if (act === 'fetch' && records.isBehind(replicas[other]!.progress)) {
           records.applyUpdate(replicas[other]!.updateSince(records.completeTo));
         }
       }
@@ -212,7 +215,7 @@
         } else if (act === 'restore') {
           store.restore(lost);
         } else if (act === 'list') {
-          records.addListing(store.list(), store.position);
+          records.mergeListing(store.list(), store.position);
         } else if (act === 'watch' && records.currentTo.epoch === store.epoch) {
           const since = records.currentTo;
           records.applyChanges(store.changesAfter(since.revision), since, store.position);
--- a/test/restored-store-troubles.test.ts
+++ b/test/restored-store-troubles.test.ts
@@ -6,8 +6,8 @@
 import type { ClusterStore, StoreRead } from '../src/cluster/cluster-store.js';
 import type { ReplicatedRecords } from '../src/cluster/replicated-records.js';
 import type { GatewayCluster } from '../src/gateway/gateway-cluster.js';
-import { runTroubled } from './support/fleet-troubles.js';
-import type { TroubledRunOptions } from './support/fleet-troubles.js';
+import { runWithFaults } from './support/fleet-troubles.js';
+import type { FaultRunOptions } from './support/fleet-troubles.js';
 
 const LENGTH_MS = 30_000;
 
@@ -17,10 +17,10 @@
  */
 async function findFailingRun(
   seeds: { readonly from: number; readonly to: number },
-  options: Omit<TroubledRunOptions, 'seed' | 'lengthMs' | 'countsEpochs'>,
+  options: Omit<FaultRunOptions, 'seed' | 'lengthMs' | 'countsEpochs'>,
 ) {
   for (let seed = seeds.from; seed <= seeds.to; seed += 1) {
-    const run = await runTroubled({ seed, lengthMs: LENGTH_MS, reportsEpochs: true, ...options });
+    const run = await runWithFaults({ seed, lengthMs: LENGTH_MS, reportsEpochs: true, ...options });
     const violations = [run.late, run.lateForOrders, run.lateForLeaves, run.readyAgain].flat();
     if (violations.length > 0) {
       return { seed, ...run };
--- a/test/restored-store.test.ts
+++ b/test/restored-store.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import type { ReplicaReach } from '../src/cluster/replicated-records.js';
+import type { ReplicaProgress } from '../src/cluster/replicated-records.js';
 import type { GatewayCluster } from '../src/gateway/gateway-cluster.js';
 import { randomInteger } from '../src/random.js';
 import { scenarioRandom, StoreFleet } from './support/store-fleet.js';
@@ -84,10 +84,13 @@
 /** Faults that the scenario must detect, by description. */
 const INJECTED_FAULTS: Readonly<Record<string, (cluster: GatewayCluster) => void>> = {
   'readers do not report the epoch to their peers': ({ records }) => {
-    const reachProperty = Object.getOwnPropertyDescriptor(Object.getPrototypeOf(records), 'reach')!;
-    Object.defineProperty(records, 'reach', {
+    const reachProperty = Object.getOwnPropertyDescriptor(
+      Object.getPrototypeOf(records),
+      'progress',
+    )!;
+    Object.defineProperty(records, 'progress', {
       get() {
-        const { completeTo, currentTo } = reachProperty.get!.call(records) as ReplicaReach;
+        const { completeTo, currentTo } = reachProperty.get!.call(records) as ReplicaProgress;
         return {
           completeTo: { ...completeTo, epoch: 1 },
           currentTo: { ...currentTo, epoch: 1 },
@@ -97,7 +100,7 @@
   },
   'replicas compare positions of different epochs by revision alone': ({ records }) => {
     Object.assign(records, {
-      isBehind: ({ completeTo, currentTo }: ReplicaReach) =>
+      isBehind: ({ completeTo, currentTo }: ReplicaProgress) =>
         completeTo.revision > records.completeTo.revision ||
         currentTo.revision > records.currentTo.revision,
     });
--- a/test/slot-agent-links.test.ts
+++ b/test/slot-agent-links.test.ts
@@ -81,7 +81,7 @@
     records,
     new RecordExchange(
       records,
-      { isStoreReachable: () => true, onNews: () => undefined },
+      { isStoreReachable: () => true, onApplied: () => undefined },
       SYSTEM_CLOCK,
     ),
     () => true,
--- a/test/store-troubles.test.ts
+++ b/test/store-troubles.test.ts
@@ -4,8 +4,8 @@
  */
 import test from 'ava';
 import type { GatewayCluster } from '../src/gateway/gateway-cluster.js';
-import { runTroubled } from './support/fleet-troubles.js';
-import type { TroubledRunOptions } from './support/fleet-troubles.js';
+import { runWithFaults } from './support/fleet-troubles.js';
+import type { FaultRunOptions } from './support/fleet-troubles.js';
 
 const LENGTH_MS = 30_000;
 
@@ -14,11 +14,16 @@
  */
 async function findLate(
   seeds: { readonly from: number; readonly to: number },
-  options: Omit<TroubledRunOptions, 'seed' | 'lengthMs'>,
+  options: Omit<FaultRunOptions, 'seed' | 'lengthMs'>,
 ) {
   for (let seed = seeds.from; seed <= seeds.to; seed += 1) {
     const needsAcknowledgement = seed % 2 === 0;
-    const run = await runTroubled({ seed, lengthMs: LENGTH_MS, needsAcknowledgement, ...options });
+    const run = await runWithFaults({
+      seed,
+      lengthMs: LENGTH_MS,
+      needsAcknowledgement,
+      ...options,
+    });
     if (run.late.length + run.lateForOrders.length > 0) {
       return { seed, ...run };
     }
@@ -66,8 +71,8 @@
     name: 'changes of the first listing after an outage are not sent to peers',
     seed: 13,
     breakInside: ({ records }) => {
-      const reachOf = Object.getOwnPropertyDescriptor(Object.getPrototypeOf(records), 'reach')!;
-      Object.defineProperty(records, 'reach', {
+      const reachOf = Object.getOwnPropertyDescriptor(Object.getPrototypeOf(records), 'progress')!;
+      Object.defineProperty(records, 'progress', {
         get() {
           const { completeTo } = reachOf.get!.call(records) as { completeTo: number };
           return { completeTo, currentTo: completeTo };
--- a/test/support/fleet-troubles.ts
+++ b/test/support/fleet-troubles.ts
@@ -26,13 +26,13 @@
 const STORE_FAULT_MODES = ['silent', 'refuses', 'resets'] as const;
 
 /** Options of a run with faults. */
-export interface TroubledRunOptions extends StoreFleetOptions {
+export interface FaultRunOptions extends StoreFleetOptions {
   /** Time during which faults occur, in milliseconds. */
   readonly lengthMs: number;
 }
 
 /** Result of a run with faults. */
-export interface TroubledRun {
+export interface FaultRun {
   readonly late: readonly LateGateway[];
   readonly lateForOrders: readonly string[];
   readonly lateForLeaves: readonly string[];
@@ -62,7 +62,7 @@
 }
 
 /** Runs a fleet with changes and faults. */
-export async function runTroubled(options: TroubledRunOptions): Promise<TroubledRun> {
+export async function runWithFaults(options: FaultRunOptions): Promise<FaultRun> {
   const fleet = new StoreFleet(options);
   const random = scenarioRandom(options.seed + 1);
   const orderRandom = scenarioRandom(options.seed + 2);
--- a/test/support/quota-fleet.ts
+++ b/test/support/quota-fleet.ts
@@ -4,7 +4,7 @@
  */
 import type { Clock } from '../../src/clock.js';
 import type { PeerHello, PeerMessage } from '../../src/cluster/peer-messages.js';
-import { NO_REACH } from '../../src/cluster/replicated-records.js';
+import { NO_PROGRESS } from '../../src/cluster/replicated-records.js';
 import { StoreConflictError, StoreUnavailableError } from '../../src/cluster/cluster-store.js';
 import { GatewayQuotas } from '../../src/gateway/gateway-quotas.js';
 import { GatewayConditions } from '../../src/gateway/gateway-statements.js';
@@ -500,7 +500,7 @@
   }
 
   private sendHeartbeat(process: FleetProcess): void {
-    const base = { kind: 'beat', reach: NO_REACH, isReading: true } as const;
+    const base = { kind: 'beat', reach: NO_PROGRESS, isReading: true } as const;
     const { position: quotaPosition, ageMs } = process.quotas;
     for (const other of this.gateways) {
       if (other !== process.gateway) {
--- a/test/support/store-fleet.ts
+++ b/test/support/store-fleet.ts
@@ -143,7 +143,7 @@
     return Math.min(this.storeUnreachableUntilMs, this.peersUnreachableUntilMs);
   }
 
-  act(action: () => void): void {
+  runWhenActive(action: () => void): void {
     this.runInStart(this.starts, action);
   }
 
@@ -171,7 +171,7 @@
     this.leaving.clear();
     const host: NetworkHost = {
       address: this.address,
-      act: (action) => this.runInStart(start, action),
+      runWhenActive: (action) => this.runInStart(start, action),
     };
     const cluster = new GatewayCluster(this.fleet.dependenciesOf(this, host, start));
     this.cluster = cluster;
@@ -322,7 +322,7 @@
     }
   }
 
-  /** Calls `act` every `periodMs`. */
+  /** Calls `runWhenActive` every `periodMs`. */
   scheduleEvery(periodMs: number, act: () => void): void {
     this.clock.setTimeout(() => {
       act();
@@ -330,7 +330,7 @@
     }, periodMs);
   }
 
-  /** Calls `act` at `atMs`. */
+  /** Calls `runWhenActive` at `atMs`. */
   scheduleAt(atMs: number, act: () => void): void {
     this.clock.setTimeout(act, atMs - this.clock.now());
   }
@@ -513,7 +513,7 @@
       statements: { tell: () => [], hearPeer: () => undefined },
       clock: this.clockFor(host),
       random: this.random,
-      network: this.network.of(host),
+      network: this.network.createPeerNetwork(host),
       log: {
         write: (event: string, _priority: string, fields: object) =>
           this.onLogLine?.(machine, event, fields),
@@ -530,7 +530,10 @@
       now: () => this.clock.now(),
       setTimeout: (callback, delayMs) => {
         const handle = { isCleared: false };
-        this.clock.setTimeout(() => host.act(() => handle.isCleared || callback()), delayMs);
+        this.clock.setTimeout(
+          () => host.runWhenActive(() => handle.isCleared || callback()),
+          delayMs,
+        );
         return handle;
       },
       clearTimeout: (handle) => {
--- a/test/support/virtual-network.ts
+++ b/test/support/virtual-network.ts
@@ -28,7 +28,7 @@
    * Runs `action` in the process, after its pause if it is paused; drops it if the process has
    * exited.
    */
-  act(action: () => void): void;
+  runWhenActive(action: () => void): void;
 }
 
 /** Bytes on a connection, or its end if `bytes` is undefined. */
@@ -49,7 +49,7 @@
   constructor(readonly clock: HeapClock) {}
 
   /** Returns the network as the process of `host` uses it. */
-  of(host: NetworkHost): PeerNetwork {
+  createPeerNetwork(host: NetworkHost): PeerNetwork {
     return {
       connect: (port, address) => this.connect(host, `${address}:${port}`),
       createListener: (onConnection) => new VirtualListener(this, host, onConnection),
@@ -75,7 +75,7 @@
   }
 
   /** Whether bytes sent now arrive and, if needed, are acknowledged. */
-  passes(from: string, to: string): boolean {
+  canDeliver(from: string, to: string): boolean {
     return this.isOpen(from, to) && (!this.needsAcknowledgement || this.isOpen(to, from));
   }
 
@@ -122,8 +122,8 @@
     const accepted = this.createSocket(listener.host);
     accepted.pairWith(socket);
     socket.pairWith(accepted);
-    listener.host.act(() => listener.onConnection(accepted));
-    this.clock.setTimeout(() => socket.host.act(() => socket.open()), DELAY_MS);
+    listener.host.runWhenActive(() => listener.onConnection(accepted));
+    this.clock.setTimeout(() => socket.host.runWhenActive(() => socket.open()), DELAY_MS);
   }
 }
 
@@ -180,7 +180,7 @@
 
   /** Refuses the connection: nothing listens on the address. */
   fail(): void {
-    this.host.act(() => {
+    this.host.runWhenActive(() => {
       if (!this.isClosed) {
         this.isClosed = true;
         this.emit('error', new Error('ECONNREFUSED'));
@@ -200,7 +200,7 @@
     if (!this.isClosed) {
       this.isClosed = true;
       this.send({ bytes: undefined });
-      this.network.clock.setTimeout(() => this.host.act(() => this.emit('close')), 0);
+      this.network.clock.setTimeout(() => this.host.runWhenActive(() => this.emit('close')), 0);
     }
     return this;
   }
@@ -221,7 +221,7 @@
   }
 
   private canDeliver(): boolean {
-    return this.network.passes(this.host.address, this.remote!.host.address);
+    return this.network.canDeliver(this.host.address, this.remote!.host.address);
   }
 
   private scheduleRetransmit(): void {
@@ -247,13 +247,13 @@
         // The remote socket is closed, so its machine resets the connection.
         this.network.clock.setTimeout(() => this.reset(), DELAY_MS);
       } else {
-        remote!.host.act(() => remote!.receive(bytes));
+        remote!.host.runWhenActive(() => remote!.receive(bytes));
       }
     }, DELAY_MS);
   }
 
   private reset(): void {
-    this.host.act(() => {
+    this.host.runWhenActive(() => {
       if (!this.isClosed) {
         this.isClosed = true;
         this.emit('close');
--- a/test/support/virtual-store.ts
+++ b/test/support/virtual-store.ts
@@ -196,13 +196,13 @@
   ): Promise<ReadResult> {
     return new Promise((resolve) => {
       const fail = (reason: string) =>
-        host.act(() => resolve(err(new StoreUnavailableError(reason))));
+        host.runWhenActive(() => resolve(err(new StoreUnavailableError(reason))));
       this.clock.setTimeout(() => fail('timed out'), callTimeoutMs);
       const reply = (read: ReadResult) => {
         const isLost = this.modeFor(host) === 'silent' || this.random.next() < this.lossRate;
         if (!isLost) {
           this.transmit(STORE_ADDRESS, host.address, this.extraLatencyMs, () =>
-            host.act(() => resolve(read)),
+            host.runWhenActive(() => resolve(read)),
           );
         }
       };
@@ -225,7 +225,7 @@
   /** Delivers a message, retransmitting it with exponential backoff while the path is cut. */
   private transmit(from: string, to: string, extraMs: number, arrive: () => void): void {
     const send = (resendMs: number) => {
-      if (this.network.passes(from, to)) {
+      if (this.network.canDeliver(from, to)) {
         this.clock.setTimeout(arrive, ONE_WAY_DELAY_MS + extraMs);
       } else {
         this.clock.setTimeout(() => send(resendMs * 2), resendMs);
