--- a/bench/soak/change-run.ts
+++ b/bench/soak/change-run.ts
@@ -3,14 +3,14 @@
  * gateway serves the route that was added and no longer the one that was dropped.
  */
 import { request } from 'undici';
-import { StandinStore } from '../../test/support/platform-standin.js';
-import type { StoreMood } from '../../test/support/platform-standin.js';
+import { FakeStore } from '../../test/support/platform-standin.js';
+import type { StoreBehavior } from '../../test/support/platform-standin.js';
 import { GatewayProcesses } from './gateway-processes.js';
 
 /** One run of a fleet. */
 export interface ChangeRunOptions {
   readonly gateways: number;
-  readonly mood: StoreMood;
+  readonly mood: StoreBehavior;
   /** How long the store is in trouble, and when within it the configuration changes, in milliseconds. */
   readonly forMs: number;
   readonly changeAfterMs: number;
@@ -53,7 +53,7 @@
 }
 
 class ChangeRun {
-  private readonly store = new StandinStore();
+  private readonly store = new FakeStore();
   private readonly processes: GatewayProcesses;
   private version = 0;
   private readonly stopAtExit = () => this.stop();
@@ -81,12 +81,12 @@
     }
     await sleepMs(quietMs);
     const endMs = performance.now() + forMs;
-    this.store.mood = mood;
+    this.store.behavior = mood;
     let fromMs = endMs;
     if (copyAgeMs === undefined) {
       await sleepMs(changeAfterMs);
       this.change();
-      setTimeout(() => (this.store.mood = 'answers'), endMs - performance.now());
+      setTimeout(() => (this.store.behavior = 'answers'), endMs - performance.now());
     } else {
       await sleepMs(forMs);
       await this.comeBack(copyAgeMs + forMs);
@@ -108,9 +108,9 @@
   /** The store comes back from a copy; what that lacks is written again. */
   private async comeBack(copyAgeMs: number): Promise<void> {
     const lost = this.store.restore(copyAgeMs);
-    this.store.mood = 'answers';
+    this.store.behavior = 'answers';
     await sleepMs(REWRITE_MS);
-    this.store.writeAgain(lost);
+    this.store.rewriteReverted(lost);
   }
 
   /** Adds a route and drops the one before. */
--- a/bench/soak/quota-run.ts
+++ b/bench/soak/quota-run.ts
@@ -6,7 +6,7 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { RandomSource } from '../../src/random.js';
 import { SeededRandom } from '../../src/random.js';
-import { StandinStore } from '../../test/support/platform-standin.js';
+import { FakeStore } from '../../test/support/platform-standin.js';
 import { GatewayProcesses } from './gateway-processes.js';
 
 /** What happens while the tenants ask. */
@@ -104,7 +104,7 @@
 
 class QuotaRun {
   private readonly random: RandomSource;
-  private readonly store = new StandinStore();
+  private readonly store = new FakeStore();
   private readonly processes: GatewayProcesses;
   private readonly servers: Server[] = [];
   private readonly asked = new Map<string, Asked>();
--- a/bench/soak/soak-faults.ts
+++ b/bench/soak/soak-faults.ts
@@ -80,12 +80,12 @@
     const mood = pick(random, ['refuses', 'silent', 'resets'] as const);
     const forMs = randomInteger(random, 300, 2_000);
     disturb(fleet.gateways, forMs);
-    fleet.store.mood = mood;
-    setTimeout(() => (fleet.store.mood = 'answers'), forMs);
+    fleet.store.behavior = mood;
+    setTimeout(() => (fleet.store.behavior = 'answers'), forMs);
     return `store ${mood} for ${forMs} ms`;
   },
   function forgetHistory(fleet) {
-    fleet.store.forgetHistory();
+    fleet.store.dropHistory();
     return 'store forgets its history';
   },
   function cutStore(fleet, random) {
@@ -137,9 +137,9 @@
     const index = randomInteger(random, 0, fleet.backends.length - 1);
     const forMs = randomInteger(random, 600, 1_500);
     disturb(fleet.gateways, forMs);
-    fleet.store.mood = 'refuses';
+    fleet.store.behavior = 'refuses';
     fleet.lapseBackend(index);
-    setTimeout(() => (fleet.store.mood = 'answers'), forMs);
+    setTimeout(() => (fleet.store.behavior = 'answers'), forMs);
     setTimeout(() => fleet.announce(index, 'ready'), forMs + REANNOUNCE_MS);
     return `back end ${index} lapses in an outage of the store of ${forMs} ms`;
   },
@@ -188,11 +188,11 @@
   const copyAgeMs = randomInteger(random, 200, 10_000);
   const rewriteMs = randomInteger(random, 50, 500);
   disturb(fleet.gateways, awayMs + rewriteMs);
-  fleet.store.mood = mood;
+  fleet.store.behavior = mood;
   setTimeout(() => {
     const lost = fleet.store.restore(copyAgeMs + awayMs);
-    fleet.store.mood = 'answers';
-    setTimeout(() => fleet.store.writeAgain(lost), rewriteMs);
+    fleet.store.behavior = 'answers';
+    setTimeout(() => fleet.store.rewriteReverted(lost), rewriteMs);
   }, awayMs);
   return `store ${mood} for ${awayMs} ms, then as ${copyAgeMs} ms before`;
 }
--- a/bench/soak/soak-fleet.ts
+++ b/bench/soak/soak-fleet.ts
@@ -5,7 +5,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import type { RandomSource } from '../../src/random.js';
-import { StandinStore } from '../../test/support/platform-standin.js';
+import { FakeStore } from '../../test/support/platform-standin.js';
 import { LoopbackProxy } from './loopback-proxy.js';
 import { SoakBackend } from './soak-backend.js';
 import type { BackendRun } from './soak-backend.js';
@@ -97,7 +97,7 @@
 
 /** Everything that a soak starts. */
 export class SoakFleet {
-  readonly store = new StandinStore();
+  readonly store = new FakeStore();
   readonly gateways: SoakProcess[] = [];
   readonly agents: SoakProcess[] = [];
   readonly storeProxies: LoopbackProxy[] = [];
--- a/bench/soak/statement-run.ts
+++ b/bench/soak/statement-run.ts
@@ -6,7 +6,7 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { SeededRandom } from '../../src/random.js';
 import type { RandomSource } from '../../src/random.js';
-import { StandinStore } from '../../test/support/platform-standin.js';
+import { FakeStore } from '../../test/support/platform-standin.js';
 import { GatewayProcesses } from './gateway-processes.js';
 
 /** What the back ends in trouble do with requests. */
@@ -128,7 +128,7 @@
 
 class StatementRun {
   private readonly random: RandomSource;
-  private readonly store = new StandinStore();
+  private readonly store = new FakeStore();
   private readonly processes: GatewayProcesses;
   private readonly servers: Server[] = [];
   private readonly asked = new Map<string, Asked>();
--- a/src/gateway/gateway-role.ts
+++ b/src/gateway/gateway-role.ts
@@ -344,7 +344,7 @@
     if (this.ticks % MAINTENANCE_TICKS === 0) {
       this.crashes.requests.evictExpired();
       this.statements.removeStale();
-      const dropped = this.dependencies.log.reportDropped();
+      const dropped = this.dependencies.log.logDroppedLines();
       this.dependencies.metrics.record(({ linesDropped }) => linesDropped.inc(dropped));
     }
   }
--- a/src/gateway/metrics/gateway-metrics.ts
+++ b/src/gateway/metrics/gateway-metrics.ts
@@ -18,6 +18,6 @@
    */
   async load(readSnapshot: () => GatewaySnapshot): Promise<void> {
     const loaded = await import('./metric-instruments.js');
-    this.use(new loaded.MetricInstruments(readSnapshot));
+    this.setInstruments(new loaded.MetricInstruments(readSnapshot));
   }
 }
--- a/src/slot-agent/slot-agent-metrics.ts
+++ b/src/slot-agent/slot-agent-metrics.ts
@@ -7,6 +7,6 @@
   /** Loads the metrics library and applies buffered updates; `read` is called at each scrape. */
   async load(read: () => SlotAgentSnapshot): Promise<void> {
     const loaded = await import('./slot-agent-instruments.js');
-    this.use(new loaded.SlotAgentInstruments(read));
+    this.setInstruments(new loaded.SlotAgentInstruments(read));
   }
 }
--- a/src/telemetry/decision-log.ts
+++ b/src/telemetry/decision-log.ts
@@ -117,7 +117,7 @@
   }
 
   /** Logs and returns the number of lines dropped since the last call; called periodically. */
-  reportDropped(): number {
+  logDroppedLines(): number {
     const dropped = this.rateLimiter.drainDropped();
     if (dropped > 0) {
       this.logger.info({ event: 'lines-dropped', dropped }, 'lines-dropped');
--- a/src/telemetry/metrics-endpoint.ts
+++ b/src/telemetry/metrics-endpoint.ts
@@ -45,7 +45,7 @@
   }
 
   /** Sets the loaded instruments and applies the queued updates. */
-  protected use(instruments: T): void {
+  protected setInstruments(instruments: T): void {
     this.instruments = instruments;
     for (const update of this.pendingUpdates) {
       update(instruments);
--- a/test/crashing-request.test.ts
+++ b/test/crashing-request.test.ts
@@ -13,8 +13,8 @@
 import test from 'ava';
 import { request } from 'undici';
 import { fingerprintOf } from '../src/gateway/crashes/request-fingerprint.js';
-import { StandinStore, StandinWorker } from './support/platform-standin.js';
-import type { WorkerRequest } from './support/platform-standin.js';
+import { FakeStore, FakeBackend } from './support/platform-standin.js';
+import type { ReceivedRequest } from './support/platform-standin.js';
 import { platformGateways } from './support/platform-gateway.js';
 import type { RunningGateway } from './support/platform-gateway.js';
 
@@ -44,15 +44,15 @@
   readonly crashes: string[] = [];
   arrivals = 0;
   private startedWorkers = 0;
-  private readonly workers = new Set<StandinWorker>();
+  private readonly workers = new Set<FakeBackend>();
   private isStopped = false;
 
-  constructor(private readonly store: StandinStore) {}
+  constructor(private readonly store: FakeStore) {}
 
   async start(address?: string): Promise<void> {
     this.startedWorkers += 1;
     const id = `life-${this.startedWorkers}`;
-    const worker: StandinWorker = new StandinWorker(id, (seen, response) =>
+    const worker: FakeBackend = new FakeBackend(id, (seen, response) =>
       this.run(worker, seen, response),
     );
     this.workers.add(worker);
@@ -70,7 +70,7 @@
     this.workers.forEach((worker) => worker.stop());
   }
 
-  private run(worker: StandinWorker, { body }: WorkerRequest, response: ServerResponse): void {
+  private run(worker: FakeBackend, { body }: ReceivedRequest, response: ServerResponse): void {
     if (body !== CRASHING_BODY) {
       setTimeout(() => {
         response.writeHead(200, { 'X-Weirvale-Server-Seal': 'seal' });
@@ -82,7 +82,7 @@
     setTimeout(() => this.crash(worker), CRASH_AFTER_MS);
   }
 
-  private crash(worker: StandinWorker): void {
+  private crash(worker: FakeBackend): void {
     if (!this.workers.delete(worker)) {
       return;
     }
@@ -159,8 +159,8 @@
 }
 
 /** Creates a store with a configuration and six running backends. */
-async function startFleet(kind: string): Promise<{ store: StandinStore; fleet: CrashingFleet }> {
-  const store = new StandinStore();
+async function startFleet(kind: string): Promise<{ store: FakeStore; fleet: CrashingFleet }> {
+  const store = new FakeStore();
   const fleet = new CrashingFleet(store);
   store.put('op/config', configuration(kind));
   for (let index = 0; index < 6; index += 1) {
@@ -222,8 +222,8 @@
 
 test('a gateway that the store rejects, or that starts later, receives crash tallies from its peers', async (t) => {
   const { store, fleet } = await startFleet('unsafe');
-  const rejectingStore = new StandinStore();
-  rejectingStore.mood = 'refuses';
+  const rejectingStore = new FakeStore();
+  rejectingStore.behavior = 'refuses';
   const first = await gateways.start('g-1', await store.start());
   t.teardown(() => {
     fleet.stop();
@@ -240,8 +240,8 @@
 });
 
 test('a queued request is refused immediately when it becomes known as crashing', async (t) => {
-  const store = new StandinStore();
-  const worker = new StandinWorker('w-1', (_seen, response) => {
+  const store = new FakeStore();
+  const worker = new FakeBackend('w-1', (_seen, response) => {
     setTimeout(() => response.end('good'), 1_200);
   });
   const services = [{ name: 's', maxConnections: 9, engine: { stride: 1 } }];
--- a/test/homes-gateway.test.ts
+++ b/test/homes-gateway.test.ts
@@ -9,7 +9,7 @@
 import { SeededRandom } from '../src/random.js';
 import { DecisionLog } from '../src/telemetry/decision-log.js';
 import type { LogEvent, LogFields } from '../src/telemetry/decision-log.js';
-import { StandinStore, StandinWorker } from './support/platform-standin.js';
+import { FakeStore, FakeBackend } from './support/platform-standin.js';
 
 const HOST = '127.0.3.9';
 /** Ports of this file, on an address of its own, below the system's ephemeral range. */
@@ -39,10 +39,10 @@
 
 /** A gateway in region b with a store, one backend in region a and one in region b. */
 class Deployment {
-  readonly store = new StandinStore();
+  readonly store = new FakeStore();
   readonly log = new RecordingLog();
-  readonly backendA = new StandinWorker('w-a', (_seen, response) => response.end('a'));
-  readonly backendB = new StandinWorker('w-b', (_seen, response) => response.end('b'));
+  readonly backendA = new FakeBackend('w-a', (_seen, response) => response.end('a'));
+  readonly backendB = new FakeBackend('w-b', (_seen, response) => response.end('b'));
   private readonly callers = nextAddress();
   private gateway: GatewayRole | undefined;
 
--- a/test/platform-store.test.ts
+++ b/test/platform-store.test.ts
@@ -3,13 +3,13 @@
 import type { ExecutionContext } from 'ava';
 import { PlatformStore } from '../platform/store-client.js';
 import { StoreRestoredError, StoreUnavailableError } from '../src/cluster/cluster-store.js';
-import { StandinStore } from './support/platform-standin.js';
+import { FakeStore } from './support/platform-standin.js';
 import { positionAt } from './support/positions.js';
 
 const TIMEOUT_MS = 1_000;
 
 async function startStore(t: ExecutionContext) {
-  const standin = new StandinStore();
+  const standin = new FakeStore();
   const store = new PlatformStore(await standin.start(), TIMEOUT_MS);
   t.teardown(() => standin.stop());
   return { standin, store };
--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -5,7 +5,7 @@
 import { PlatformStore } from '../platform/store-client.js';
 import { platformGateways } from './support/platform-gateway.js';
 import type { RunningGateway } from './support/platform-gateway.js';
-import { StandinStore, StandinWorker } from './support/platform-standin.js';
+import { FakeStore, FakeBackend } from './support/platform-standin.js';
 
 const HOST = '127.0.3.1';
 /** Ports below the ephemeral range, on an address that only this file uses, to avoid conflicts. */
@@ -71,8 +71,8 @@
 }
 
 test("a back end gets the request unchanged, with the key's tenant and time left", async (t) => {
-  const store = new StandinStore();
-  const backend = new StandinWorker('w-1', respondOk);
+  const store = new FakeStore();
+  const backend = new FakeBackend('w-1', respondOk);
   store.put('op/config', configuration(1));
   store.announce('w-1', { service: 's', address: await backend.start(), slots: 2 });
   const gateway = await startGateway('g', await store.start());
@@ -95,7 +95,7 @@
 });
 
 test('a missing configuration gives 503, an unknown route 404, an unknown key 401', async (t) => {
-  const store = new StandinStore();
+  const store = new FakeStore();
   const gateway = await startGateway('g', await store.start());
   t.false(await isReady(gateway));
   t.is(await statusOf(gateway), 503);
@@ -108,7 +108,7 @@
 });
 
 test('an invalid configuration or a lower version leaves the current one in force', async (t) => {
-  const store = new StandinStore();
+  const store = new FakeStore();
   store.put('op/config', configuration(3));
   const gateway = await startGateway('g', await store.start());
   await until(() => isReady(gateway));
@@ -122,14 +122,14 @@
 });
 
 test('a change made with the watch cut and history dropped is applied within 1 s', async (t) => {
-  const store = new StandinStore();
+  const store = new FakeStore();
   store.put('op/config', configuration(1));
   const gateway = await startGateway('g', await store.start());
   await until(() => isReady(gateway));
-  store.mood = 'silent';
+  store.behavior = 'silent';
   store.put('op/config', configuration(2, { tenants: [{ name: 'shop', apiKeys: ['new'] }] }));
-  store.forgetHistory();
-  store.mood = 'answers';
+  store.dropHistory();
+  store.behavior = 'answers';
   const startedAt = Date.now();
   await until(async () => (await statusOf(gateway)) === 401);
   t.true(Date.now() - startedAt < 1_000);
@@ -138,8 +138,8 @@
 });
 
 test('an unknown route or key gives 503 while the configuration is unconfirmed', async (t) => {
-  const store = new StandinStore();
-  const backend = new StandinWorker('w-1', respondOk);
+  const store = new FakeStore();
+  const backend = new FakeBackend('w-1', respondOk);
   store.put('op/config', configuration(1));
   store.announce('w-1', { service: 's', address: await backend.start(), slots: 2 });
   const gateway = await startGateway('g', await store.start());
@@ -154,7 +154,7 @@
     store.calls.length - callsBefore <= 3,
     'requests with an unknown route or key cause no store calls',
   );
-  store.mood = 'silent';
+  store.behavior = 'silent';
   await new Promise((resolve) => setTimeout(resolve, 3_600));
   t.is(await statusOf(gateway), 200);
   const unknown = await call(gateway, { host: 'other.example' });
@@ -166,7 +166,7 @@
     'op/config',
     configuration(2, { tenants: [{ name: 'shop', apiKeys: [KEY, 'other'] }] }),
   );
-  store.mood = 'answers';
+  store.behavior = 'answers';
   await until(async () => (await statusOf(gateway, { authorization: 'Bearer other' })) === 200);
   t.is(await statusOf(gateway, { host: 'other.example' }), 404);
   gateway.gateway.stop(() => undefined);
@@ -175,12 +175,9 @@
 });
 
 test('a gateway that the store refuses gets drains and configurations from peers', async (t) => {
-  const [store, refusingStore] = [new StandinStore(), new StandinStore()];
-  refusingStore.mood = 'refuses';
-  const [leaving, staying] = [
-    new StandinWorker('w-1', respondOk),
-    new StandinWorker('w-2', respondOk),
-  ];
+  const [store, refusingStore] = [new FakeStore(), new FakeStore()];
+  refusingStore.behavior = 'refuses';
+  const [leaving, staying] = [new FakeBackend('w-1', respondOk), new FakeBackend('w-2', respondOk)];
   const leavingAddress = await leaving.start();
   store.put('op/config', configuration(1));
   store.announce('w-1', { service: 's', address: leavingAddress, slots: 2 });
@@ -217,14 +214,11 @@
 }
 
 test('every gateway, late or disconnected, applies an evacuation until its removal', async (t) => {
-  const [store, refusingStore] = [new StandinStore(), new StandinStore()];
-  refusingStore.mood = 'refuses';
-  const [inside, outside] = [
-    new StandinWorker('w-1', respondOk),
-    new StandinWorker('w-2', respondOk),
-  ];
+  const [store, refusingStore] = [new FakeStore(), new FakeStore()];
+  refusingStore.behavior = 'refuses';
+  const [inside, outside] = [new FakeBackend('w-1', respondOk), new FakeBackend('w-2', respondOk)];
   store.put('op/config', configuration(1));
-  const announceIn = async (each: StandinWorker, zone: string) =>
+  const announceIn = async (each: FakeBackend, zone: string) =>
     store.announce(each.id, { service: 's', address: await each.start(), slots: 9, zone });
   await announceIn(inside, 'za');
   await announceIn(outside, 'zb');
@@ -278,10 +272,10 @@
   );
   // The removal is lost with the history, so that only a listing shows it. The other zone stays
   // evacuated, so that only the zone whose order was removed can serve.
-  store.mood = 'silent';
+  store.behavior = 'silent';
   store.remove('op/evacuate/za');
-  store.forgetHistory();
-  store.mood = 'answers';
+  store.dropHistory();
+  store.behavior = 'answers';
   for (const gateway of all) {
     await until(async () => (await statusOf(gateway)) === 200);
     t.is(await sentInside(gateway), 20);
@@ -289,8 +283,8 @@
 });
 
 test('a back end that answers 421 is not tried again, and the request is retried', async (t) => {
-  const store = new StandinStore();
-  const backend = new StandinWorker('w-new', respondOk);
+  const store = new FakeStore();
+  const backend = new FakeBackend('w-new', respondOk);
   const address = await backend.start();
   store.put('op/config', configuration(1));
   store.announce('w-new', { service: 's', address, slots: 2 });
@@ -306,8 +300,8 @@
 });
 
 test('a planned stop fails readiness at once, but serves late and running requests', async (t) => {
-  const store = new StandinStore();
-  const backend = new StandinWorker('w-1', (_seen, response) => {
+  const store = new FakeStore();
+  const backend = new FakeBackend('w-1', (_seen, response) => {
     setTimeout(() => respondOk(undefined, response), 300);
   });
   store.put('op/config', configuration(1));
@@ -330,8 +324,8 @@
 });
 
 test('a request smuggled behind a body does not reach a back end', async (t) => {
-  const store = new StandinStore();
-  const backend = new StandinWorker('w-1', respondOk);
+  const store = new FakeStore();
+  const backend = new FakeBackend('w-1', respondOk);
   store.put('op/config', configuration(1));
   store.announce('w-1', { service: 's', address: await backend.start(), slots: 2 });
   const gateway = await startGateway('g', await store.start());
@@ -357,8 +351,8 @@
 });
 
 test('a rollout records its state, and the new version gets a small share', async (t) => {
-  const store = new StandinStore();
-  const [old, target] = [new StandinWorker('w-1', respondOk), new StandinWorker('w-2', respondOk)];
+  const store = new FakeStore();
+  const [old, target] = [new FakeBackend('w-1', respondOk), new FakeBackend('w-2', respondOk)];
   store.put('op/config', configuration(1));
   store.announce('w-1', { service: 's', address: await old.start(), slots: 9, version: 'v1' });
   store.put('op/rollout/s', { service: 's', targetVersion: 'v2', durationS: 60 });
@@ -382,7 +376,7 @@
 });
 
 test('records of the store are listed in pages', async (t) => {
-  const standin = new StandinStore();
+  const standin = new FakeStore();
   for (let index = 0; index < 8; index += 1) {
     standin.put(`servers/w-${index}`, { service: 's', address: '10.0.0.1:1' });
   }
--- a/test/restored-store-gateways.test.ts
+++ b/test/restored-store-gateways.test.ts
@@ -4,7 +4,7 @@
 import { request } from 'undici';
 import { platformGateways } from './support/platform-gateway.js';
 import type { RunningGateway } from './support/platform-gateway.js';
-import { StandinStore, StandinWorker } from './support/platform-standin.js';
+import { FakeStore, FakeBackend } from './support/platform-standin.js';
 
 const HOST = '127.0.3.31';
 const { start, untilReady } = platformGateways(HOST, 28_000);
@@ -38,10 +38,10 @@
 
 /** Starts a store with epochs, two back ends and three gateways. */
 async function startFleet(t: ExecutionContext) {
-  const store = new StandinStore();
+  const store = new FakeStore();
   store.epoch = 1;
   const workers = ['w-1', 'w-2'].map(
-    (id) => new StandinWorker(id, (_seen, response) => response.writeHead(200).end('good')),
+    (id) => new FakeBackend(id, (_seen, response) => response.writeHead(200).end('good')),
   );
   for (const worker of workers) {
     store.announce(worker.id, { address: await worker.start() });
@@ -73,10 +73,10 @@
     await Promise.all(gateways.map((each) => requestStatus(each, FIRST_KEY))),
     [401, 401, 401],
   );
-  store.mood = 'resets';
+  store.behavior = 'resets';
   await sleepMs(400);
   store.restore(performance.now() - settledAtMs - 100);
-  store.mood = 'answers';
+  store.behavior = 'answers';
   await sleepMs(500);
   t.deepEqual(
     await Promise.all(gateways.map((each) => requestStatus(each, FIRST_KEY))),
--- a/test/support/platform-standin.ts
+++ b/test/support/platform-standin.ts
@@ -30,13 +30,13 @@
 const EXTERNAL_OWNER_KEYS = /^(op|servers)\//;
 
 /** How the store treats calls. */
-export type StoreMood = 'answers' | 'refuses' | 'silent' | 'resets';
+export type StoreBehavior = 'answers' | 'refuses' | 'silent' | 'resets';
 
 const PAGE_SIZE = 3;
 
 /** Fake of the platform's store: paged listings, watches, and history that can be dropped. */
-export class StandinStore {
-  mood: StoreMood = 'answers';
+export class FakeStore {
+  behavior: StoreBehavior = 'answers';
   /** Epoch in the response header; increases with each restore. Undefined sends no such header. */
   epoch: number | undefined;
   readonly calls: string[] = [];
@@ -133,7 +133,7 @@
   }
 
   /** Writes lost values of operators and back ends again, except for keys written since. */
-  writeAgain(lost: readonly RevertedItem[]): void {
+  rewriteReverted(lost: readonly RevertedItem[]): void {
     for (const { key, value } of lost) {
       const isWritten = this.writeLog.some(
         ({ item, epoch }) => item.key === key && epoch === this.epoch,
@@ -150,7 +150,7 @@
   }
 
   /** Drops the history and resets every connection. */
-  forgetHistory(): void {
+  dropHistory(): void {
     this.history = [];
     this.historyStartRevision = this.revision;
     this.resetConnections();
@@ -186,14 +186,14 @@
     if (this.epoch !== undefined) {
       response.setHeader('Store-Era', `${this.epoch}`);
     }
-    if (this.mood === 'silent') {
+    if (this.behavior === 'silent') {
       return;
     }
-    if (this.mood === 'resets') {
+    if (this.behavior === 'resets') {
       request.socket.resetAndDestroy();
       return;
     }
-    if (this.mood === 'refuses') {
+    if (this.behavior === 'refuses') {
       reply(response, 503, { error: 'busy' });
       return;
     }
@@ -248,7 +248,7 @@
       return;
     }
     const end = () => {
-      if (this.mood === 'silent') {
+      if (this.behavior === 'silent') {
         // A silent store drops the response.
         this.pendingWatches.delete(end);
         clearTimeout(timer);
@@ -285,7 +285,7 @@
 }
 
 /** A request as a fake back end received it. */
-export interface WorkerRequest {
+export interface ReceivedRequest {
   readonly method: string;
   readonly path: string;
   readonly headers: IncomingMessage['headers'];
@@ -293,8 +293,8 @@
 }
 
 /** Fake back end that responds by a handler and records the requests it receives. */
-export class StandinWorker {
-  readonly received: WorkerRequest[] = [];
+export class FakeBackend {
+  readonly received: ReceivedRequest[] = [];
   /** Listening address as IP:PORT; empty before the start. */
   address = '';
   private readonly sockets = new Set<Socket>();
@@ -302,7 +302,7 @@
 
   constructor(
     readonly id: string,
-    handler: (request: WorkerRequest, response: ServerResponse) => void,
+    handler: (request: ReceivedRequest, response: ServerResponse) => void,
   ) {
     this.server = createServer((request, response) => {
       const chunks: Buffer[] = [];
