--- a/bench/capacity-page.ts
+++ b/bench/capacity-page.ts
@@ -1,21 +1,21 @@
-/** Works the table of docs/CAPACITY.md out from recorded slopes. */
+/** Computes the tables of docs/CAPACITY.md from recorded slopes. */
 import { readFileSync, writeFileSync } from 'node:fs';
 import type { Line, Point } from './fit.js';
 
-/** Messages and bytes a request by kind. */
+/** Messages and bytes per request, by message kind. */
 export type MessageCounts = Record<string, { messages: number; bytes: number }>;
 
-/** One measured slope. */
+/** A linear fit of a measured cost over one variable. */
 export interface Slope {
   readonly name: string;
   readonly unit: string;
-  /** What the points are measured against. */
+  /** Name of the independent variable. */
   readonly x: string;
   readonly points: readonly Point[];
   readonly fit: Line;
 }
 
-/** What a run of the bench records. */
+/** Results of a benchmark run, as recorded in docs/results/capacity.json. */
 export interface CapacityResults {
   readonly quick: boolean;
   readonly slopes: readonly Slope[];
@@ -28,15 +28,15 @@
 
 interface Row {
   readonly role: string;
-  readonly what: string;
+  readonly quantity: string;
   readonly derivation: string;
   readonly value: number;
   readonly unit: string;
   readonly budget: number | undefined;
 }
 
-/** The users' target. */
-const TARGET = {
+/** Fleet size and load for which the tables are computed. */
+const TARGET_LOAD = {
   entries: 970,
   agents: 5_100,
   requestsPerSecond: 89_000,
@@ -46,39 +46,45 @@
   tenants: 290,
 } as const;
 
-/** Calls a second are those of the larger site files of the users, which replace what the brief said. */
-const BUDGET = { cpuMsPerSecond: 11, memoryMb: 32, kbPerSecond: 28, reads: 6_000, writes: 1_200 };
+/** Limits of one process; `reads` and `writes` are calls per second of the larger sites. */
+const RESOURCE_LIMITS = {
+  cpuMsPerSecond: 11,
+  memoryMb: 32,
+  kbPerSecond: 28,
+  reads: 6_000,
+  writes: 1_200,
+};
 
-/** Agents that one entry connects to: 32 in each place of its region, 2 in each other place. */
+/** Agents to which one entry connects: 32 in each place of its region, 2 in each other place. */
 const CONNECTED_AGENTS = Math.round(
-  (TARGET.zones / TARGET.regions) * 32 + (TARGET.zones * 7 * 2) / 8,
+  (TARGET_LOAD.zones / TARGET_LOAD.regions) * 32 + (TARGET_LOAD.zones * 7 * 2) / 8,
 );
-const CONNECTED_ENTRIES = Math.round((TARGET.entries * CONNECTED_AGENTS) / TARGET.agents);
+const CONNECTED_ENTRIES = Math.round((TARGET_LOAD.entries * CONNECTED_AGENTS) / TARGET_LOAD.agents);
 const WAITING_REQUESTS = 500;
 const POLL_SECONDS = 30;
 const WATCH_SECONDS = 10;
 const READERS_PER_ZONE = 2;
 const LIST_POLL_SECONDS = 2;
-const DATA_KINDS = new Set(['bind', 'answer-start', 'answer-chunk', 'answer-end']);
+const DATA_MESSAGE_KINDS = new Set(['bind', 'answer-start', 'answer-chunk', 'answer-end']);
 const US_PER_MS = 1_000;
 const BYTES_PER_KB = 1_024;
 const KB_PER_MB = 1_024;
-const PAGE = 'docs/CAPACITY.md';
-const BEGIN = '<!-- table: written by npm run bench:capacity -- --record -->';
-const END = '<!-- end of table -->';
+const PAGE_PATH = 'docs/CAPACITY.md';
+const BEGIN_MARKER = '<!-- table: written by npm run bench:capacity -- --record -->';
+const END_MARKER = '<!-- end of table -->';
 
-/** Puts the table that follows from `results` into the page. */
+/** Replaces the generated tables of the page by those computed from `results`. */
 export function updatePage(results: CapacityResults): void {
-  const page = readFileSync(PAGE, 'utf8');
-  const [before] = page.split(BEGIN);
-  const [, after] = page.split(END);
-  writeFileSync(PAGE, `${before}${formatBlock(results)}${after ?? '\n'}`);
+  const page = readFileSync(PAGE_PATH, 'utf8');
+  const [before] = page.split(BEGIN_MARKER);
+  const [, after] = page.split(END_MARKER);
+  writeFileSync(PAGE_PATH, `${before}${formatTables(results)}${after ?? '\n'}`);
 }
 
-/** The marked part of the page. */
-export function formatBlock(results: CapacityResults): string {
+/** Formats the generated part of the page, including its markers. */
+export function formatTables(results: CapacityResults): string {
   const lines = [
-    BEGIN,
+    BEGIN_MARKER,
     '',
     '| role | what | worked out as | at the target | budget | |',
     '| --- | --- | --- | --- | --- | --- |',
@@ -88,7 +94,7 @@
     '| --- | --- | --- | --- | --- | --- | --- |',
     ...results.slopes.map(formatSlope),
     '',
-    END,
+    END_MARKER,
   ];
   return lines.join('\n');
 }
@@ -98,22 +104,48 @@
 }
 
 function entryRows(results: CapacityResults): Row[] {
-  const rate = TARGET.requestsPerSecond / TARGET.entries;
-  const permits = at(results, 'entry under permits', 'agents connected', CONNECTED_AGENTS);
-  const bids = at(results, 'entry core and framing', 'agents connected', CONNECTED_AGENTS);
-  const idle = at(results, 'idle entry', 'agents connected', CONNECTED_AGENTS);
-  const policyKb = at(results, 'policy held', 'engines in the policy', TARGET.agents);
-  const stateKb = at(results, 'entry state', 'agents connected', CONNECTED_AGENTS);
-  const waitingKb = at(results, 'waiting requests', 'requests waiting', WAITING_REQUESTS);
-  const row = (what: string, derivation: string, value: number, unit: string, budget: number) => ({
+  const rate = TARGET_LOAD.requestsPerSecond / TARGET_LOAD.entries;
+  const permits = evaluateSlope(
+    results,
+    'entry under permits',
+    'agents connected',
+    CONNECTED_AGENTS,
+  );
+  const bids = evaluateSlope(
+    results,
+    'entry core and framing',
+    'agents connected',
+    CONNECTED_AGENTS,
+  );
+  const idle = evaluateSlope(results, 'idle entry', 'agents connected', CONNECTED_AGENTS);
+  const policyKb = evaluateSlope(
+    results,
+    'policy held',
+    'engines in the policy',
+    TARGET_LOAD.agents,
+  );
+  const stateKb = evaluateSlope(results, 'entry state', 'agents connected', CONNECTED_AGENTS);
+  const waitingKb = evaluateSlope(
+    results,
+    'waiting requests',
+    'requests waiting',
+    WAITING_REQUESTS,
+  );
+  const row = (
+    quantity: string,
+    derivation: string,
+    value: number,
+    unit: string,
+    budget: number,
+  ) => ({
     role: 'entry',
-    what,
+    quantity,
     derivation,
     value,
     unit,
     budget,
   });
-  const cpu = BUDGET.cpuMsPerSecond;
+  const cpu = RESOURCE_LIMITS.cpuMsPerSecond;
   const requests = `${rate.toFixed(0)} requests/s`;
   return [
     row(
@@ -144,45 +176,61 @@
       `policy, ${CONNECTED_AGENTS} agents, ${WAITING_REQUESTS} waiting`,
       (policyKb + stateKb + waitingKb) / KB_PER_MB,
       'MB',
-      BUDGET.memoryMb,
+      RESOURCE_LIMITS.memoryMb,
     ),
     row(
       'control bytes, room on the engines',
       `${requests} under permits`,
       controlKb(results.messagesPerRequest.permits, rate),
       'KB/s',
-      BUDGET.kbPerSecond,
+      RESOURCE_LIMITS.kbPerSecond,
     ),
     row(
       'control bytes, engines full',
       `${requests} by bids`,
       controlKb(results.messagesPerRequest.bids, rate),
       'KB/s',
-      BUDGET.kbPerSecond,
+      RESOURCE_LIMITS.kbPerSecond,
     ),
     row(
       'policy bytes',
       'one delta each 9.3 s',
-      (results.deltaBytes * TARGET.changesPerSecond) / BYTES_PER_KB,
+      (results.deltaBytes * TARGET_LOAD.changesPerSecond) / BYTES_PER_KB,
       'KB/s',
-      BUDGET.kbPerSecond,
+      RESOURCE_LIMITS.kbPerSecond,
     ),
   ];
 }
 
 function agentRows(results: CapacityResults): Row[] {
-  const rate = TARGET.requestsPerSecond / TARGET.agents;
-  const cost = at(results, 'agent core and framing', 'entries connected', CONNECTED_ENTRIES);
-  const policyKb = at(results, 'policy held', 'engines in the policy', TARGET.agents);
-  const row = (what: string, derivation: string, value: number, unit: string, budget: number) => ({
+  const rate = TARGET_LOAD.requestsPerSecond / TARGET_LOAD.agents;
+  const cost = evaluateSlope(
+    results,
+    'agent core and framing',
+    'entries connected',
+    CONNECTED_ENTRIES,
+  );
+  const policyKb = evaluateSlope(
+    results,
+    'policy held',
+    'engines in the policy',
+    TARGET_LOAD.agents,
+  );
+  const row = (
+    quantity: string,
+    derivation: string,
+    value: number,
+    unit: string,
+    budget: number,
+  ) => ({
     role: 'agent',
-    what,
+    quantity,
     derivation,
     value,
     unit,
     budget,
   });
-  const cpu = BUDGET.cpuMsPerSecond;
+  const cpu = RESOURCE_LIMITS.cpuMsPerSecond;
   return [
     row(
       'processor',
@@ -192,19 +240,25 @@
       cpu,
     ),
     row('processor, policy', 'one delta each 9.3 s', installMs(results), 'ms/s', cpu),
-    row('memory', 'policy', policyKb / KB_PER_MB, 'MB', BUDGET.memoryMb),
+    row('memory', 'policy', policyKb / KB_PER_MB, 'MB', RESOURCE_LIMITS.memoryMb),
   ];
 }
 
 function platformRows(results: CapacityResults): Row[] {
-  const processes = TARGET.entries + TARGET.agents;
-  const readers = TARGET.zones * READERS_PER_ZONE;
-  const watches = readers / WATCH_SECONDS + readers * TARGET.changesPerSecond;
-  const polls = (processes - readers) / POLL_SECONDS;
-  const shardBytes = results.fullPolicyBytes / TARGET.zones;
-  const row = (what: string, derivation: string, value: number, unit: string, budget?: number) => ({
+  const processes = TARGET_LOAD.entries + TARGET_LOAD.agents;
+  const readers = TARGET_LOAD.zones * READERS_PER_ZONE;
+  const watchCalls = readers / WATCH_SECONDS + readers * TARGET_LOAD.changesPerSecond;
+  const pollCalls = (processes - readers) / POLL_SECONDS;
+  const shardBytes = results.fullPolicyBytes / TARGET_LOAD.zones;
+  const row = (
+    quantity: string,
+    derivation: string,
+    value: number,
+    unit: string,
+    budget?: number,
+  ) => ({
     role: 'key-value service',
-    what,
+    quantity,
     derivation,
     value,
     unit,
@@ -214,23 +268,23 @@
     row(
       'reads',
       `${readers} readers' watches and the polls of the rest`,
-      watches + polls,
+      watchCalls + pollCalls,
       'calls/s',
-      BUDGET.reads,
+      RESOURCE_LIMITS.reads,
     ),
     row(
       'writes, policy',
       'a shard and the head a change',
-      2 * TARGET.changesPerSecond,
+      2 * TARGET_LOAD.changesPerSecond,
       'calls/s',
-      BUDGET.writes,
+      RESOURCE_LIMITS.writes,
     ),
     row(
       'writes, claims',
       'one a request that may not be repeated, if 1 in 100 is',
-      TARGET.requestsPerSecond / 100,
+      TARGET_LOAD.requestsPerSecond / 100,
       'calls/s',
-      BUDGET.writes,
+      RESOURCE_LIMITS.writes,
     ),
     row('largest value', 'engines of one place', shardBytes / BYTES_PER_KB, 'KB', 1_024),
     {
@@ -241,34 +295,46 @@
 }
 
 function installMs(results: CapacityResults): number {
-  const costUs = at(results, 'policy delta installed', 'engines in the policy', TARGET.agents);
-  return (costUs * TARGET.changesPerSecond) / US_PER_MS;
+  const costUs = evaluateSlope(
+    results,
+    'policy delta installed',
+    'engines in the policy',
+    TARGET_LOAD.agents,
+  );
+  return (costUs * TARGET_LOAD.changesPerSecond) / US_PER_MS;
 }
 
 function controlKb(counts: MessageCounts, rate: number): number {
   const bytes = Object.entries(counts)
-    .filter(([kind]) => !DATA_KINDS.has(kind))
+    .filter(([kind]) => !DATA_MESSAGE_KINDS.has(kind))
     .reduce((sum, [, count]) => sum + count.bytes, 0);
   return (bytes * rate) / BYTES_PER_KB;
 }
 
-function at(results: CapacityResults, name: string, x: string, value: number): number {
-  const slope = results.slopes.find((one) => one.name === name && one.x === x);
+function evaluateSlope(
+  results: CapacityResults,
+  name: string,
+  variable: string,
+  value: number,
+): number {
+  const slope = results.slopes.find(
+    (candidate) => candidate.name === name && candidate.x === variable,
+  );
   return slope === undefined ? Number.NaN : slope.fit.intercept + slope.fit.slope * value;
 }
 
 function formatRow(row: Row): string {
-  const mark =
+  const verdict =
     row.budget === undefined
       ? 'no budget given'
       : row.value <= row.budget
         ? 'fits'
         : '**does not fit**';
   const budget = row.budget === undefined ? '' : `${row.budget} ${row.unit}`;
-  return `| ${row.role} | ${row.what} | ${row.derivation} | ${row.value.toPrecision(3)} ${row.unit} | ${budget} | ${mark} |`;
+  return `| ${row.role} | ${row.quantity} | ${row.derivation} | ${row.value.toPrecision(3)} ${row.unit} | ${budget} | ${verdict} |`;
 }
 
 function formatSlope({ name, unit, x, points, fit }: Slope): string {
-  const measured = points.map((point) => `${point.x}: ${point.y.toFixed(1)}`).join(', ');
-  return `| ${name} | ${unit} | ${x} | ${measured} | ${fit.intercept.toPrecision(3)} | ${fit.slope.toPrecision(3)} | ${fit.rSquared.toFixed(3)} |`;
+  const pointList = points.map((point) => `${point.x}: ${point.y.toFixed(1)}`).join(', ');
+  return `| ${name} | ${unit} | ${x} | ${pointList} | ${fit.intercept.toPrecision(3)} | ${fit.slope.toPrecision(3)} | ${fit.rSquared.toFixed(3)} |`;
 }
--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -1,4 +1,4 @@
-/** Measures the slopes that docs/CAPACITY.md is worked out from, and records them as JSON. */
+/** Measures the slopes from which docs/CAPACITY.md is computed, and records them as JSON. */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { PolicyReplica } from '../src/policy/replica.js';
 import { applyEdits, policyDigest } from '../src/policy/change.js';
@@ -6,12 +6,12 @@
 import { fitLine, median } from './fit.js';
 import { updatePage } from './capacity-page.js';
 import type { CapacityResults, MessageCounts, Slope } from './capacity-page.js';
-import { createLargePolicy, HollowAgent, HollowEntry } from './hollow-fleet.js';
+import { createLargePolicy, AgentHarness, EntryHarness } from './hollow-fleet.js';
 
 const isQuick = process.argv.includes('--quick');
-const isRecorded = process.argv.includes('--record');
+const shouldRecord = process.argv.includes('--record');
 const REPEATS = isQuick ? 3 : 7;
-const REQUESTS = isQuick ? 800 : 3_000;
+const REQUESTS_PER_SAMPLE = isQuick ? 800 : 3_000;
 const AGENT_COUNTS = [8, 32, 64, 128];
 const CHUNK_COUNTS = [1, 8, 32];
 const POLICY_SIZES = isQuick ? [500, 2_000] : [500, 1_000, 2_000, 5_100];
@@ -19,13 +19,13 @@
 const RESULTS_FILE = 'docs/results/capacity.json';
 const US_PER_SECOND = 1e6;
 
-function cpuUsPer(count: number, work: () => void): number {
+function cpuUsPerCall(callCount: number, call: () => void): number {
   const before = process.cpuUsage();
-  for (let index = 0; index < count; index += 1) {
-    work();
+  for (let index = 0; index < callCount; index += 1) {
+    call();
   }
   const spent = process.cpuUsage(before);
-  return (spent.user + spent.system) / count;
+  return (spent.user + spent.system) / callCount;
 }
 
 function measure(
@@ -48,28 +48,28 @@
   return slope;
 }
 
-function entryCost(agentCount: number, chunkCount: number, givesPermits = false): number {
-  const entry = new HollowEntry(agentCount, chunkCount, givesPermits);
-  for (let index = 0; index < REQUESTS; index += 1) {
+function entryCost(agentCount: number, chunkCount: number, issuesPermits = false): number {
+  const entry = new EntryHarness(agentCount, chunkCount, issuesPermits);
+  for (let index = 0; index < REQUESTS_PER_SAMPLE; index += 1) {
     entry.serveRequest();
   }
-  return cpuUsPer(REQUESTS, () => entry.serveRequest());
+  return cpuUsPerCall(REQUESTS_PER_SAMPLE, () => entry.serveRequest());
 }
 
 function agentCost(entryCount: number, chunkCount: number): number {
-  const agent = new HollowAgent(entryCount, chunkCount);
-  for (let index = 0; index < REQUESTS; index += 1) {
+  const agent = new AgentHarness(entryCount, chunkCount);
+  for (let index = 0; index < REQUESTS_PER_SAMPLE; index += 1) {
     agent.serveRequest();
   }
-  return cpuUsPer(REQUESTS, () => agent.serveRequest());
+  return cpuUsPerCall(REQUESTS_PER_SAMPLE, () => agent.serveRequest());
 }
 
 function idleCost(agentCount: number): number {
   const TICK_MS = 50;
   const IDLE_SECONDS = 60;
   const MS_PER_SECOND = 1_000;
-  const entry = new HollowEntry(agentCount, 1);
-  return cpuUsPer(IDLE_SECONDS, () => entry.idle(MS_PER_SECOND, TICK_MS));
+  const entry = new EntryHarness(agentCount, 1);
+  return cpuUsPerCall(IDLE_SECONDS, () => entry.idle(MS_PER_SECOND, TICK_MS));
 }
 
 function heapKb(create: () => unknown): number {
@@ -77,10 +77,10 @@
   const BYTES_PER_KB = 1_024;
   collect?.();
   const before = process.memoryUsage().heapUsed;
-  const kept = create();
+  const retained = create();
   collect?.();
   const after = process.memoryUsage().heapUsed;
-  return kept === undefined ? 0 : (after - before) / BYTES_PER_KB;
+  return retained === undefined ? 0 : (after - before) / BYTES_PER_KB;
 }
 
 function createReplica(engineCount: number): PolicyReplica {
@@ -106,15 +106,15 @@
   const INSTALLS = 10;
   for (let index = 0; index < INSTALLS; index += 1) {
     const record = createRecord(replica);
-    spentUs += cpuUsPer(1, () => replica.install({ form: 'delta', records: [record] }));
+    spentUs += cpuUsPerCall(1, () => replica.install({ form: 'delta', records: [record] }));
   }
   return spentUs / INSTALLS;
 }
 
-function waitingEntry(count: number): HollowEntry {
-  const entry = new HollowEntry(64, 1);
-  for (let index = 0; index < count; index += 1) {
-    entry.addWaiting();
+function createEntryWithWaiting(waitingCount: number): EntryHarness {
+  const entry = new EntryHarness(64, 1);
+  for (let index = 0; index < waitingCount; index += 1) {
+    entry.addWaitingRequest();
   }
   return entry;
 }
@@ -148,23 +148,23 @@
     heapKb(() => createReplica(engines)),
   ),
   measure('entry state', 'KB heap', 'agents connected', AGENT_COUNTS, (agents) =>
-    heapKb(() => new HollowEntry(agents, 1)),
+    heapKb(() => new EntryHarness(agents, 1)),
   ),
   measure('waiting requests', 'KB heap', 'requests waiting', WAITING_COUNTS, (count) =>
-    heapKb(() => waitingEntry(count)),
+    heapKb(() => createEntryWithWaiting(count)),
   ),
 ];
 
-function countMessages(givesPermits: boolean): MessageCounts {
-  const TRAFFIC_REQUESTS = 500;
-  const counted = new HollowEntry(64, 1, givesPermits);
-  for (let index = 0; index < TRAFFIC_REQUESTS; index += 1) {
-    counted.serveRequest();
+function countMessages(issuesPermits: boolean): MessageCounts {
+  const REQUEST_COUNT = 500;
+  const harness = new EntryHarness(64, 1, issuesPermits);
+  for (let index = 0; index < REQUEST_COUNT; index += 1) {
+    harness.serveRequest();
   }
   return Object.fromEntries(
-    [...counted.traffic].map(([kind, { messages, bytes }]) => [
+    [...harness.traffic].map(([kind, { messages, bytes }]) => [
       kind,
-      { messages: messages / TRAFFIC_REQUESTS, bytes: Math.round(bytes / TRAFFIC_REQUESTS) },
+      { messages: messages / REQUEST_COUNT, bytes: Math.round(bytes / REQUEST_COUNT) },
     ]),
   );
 }
@@ -178,17 +178,17 @@
   deltaBytes: JSON.stringify(createRecord(largest)).length,
   nodeResidentMb,
 };
-for (const [way, counts] of Object.entries(results.messagesPerRequest)) {
+for (const [grantMode, counts] of Object.entries(results.messagesPerRequest)) {
   for (const [kind, { messages, bytes }] of Object.entries(counts)) {
     process.stdout.write(
-      `${way}: ${kind} ${messages.toFixed(2)} messages, ${bytes} bytes a request\n`,
+      `${grantMode}: ${kind} ${messages.toFixed(2)} messages, ${bytes} bytes per request\n`,
     );
   }
 }
 process.stdout.write(
-  `policy of 5,100 engines: ${results.fullPolicyBytes} bytes whole, ${results.deltaBytes} bytes a delta; processor second ${US_PER_SECOND} us\n`,
+  `policy of 5,100 engines: ${results.fullPolicyBytes} bytes in full, ${results.deltaBytes} bytes per delta; ${US_PER_SECOND} us of CPU time per CPU second\n`,
 );
-if (isRecorded) {
+if (shouldRecord) {
   mkdirSync('docs/results', { recursive: true });
   writeFileSync(RESULTS_FILE, `${JSON.stringify(results, null, 2)}\n`);
   updatePage(results);
--- a/bench/changes.ts
+++ b/bench/changes.ts
@@ -1,4 +1,7 @@
-/** Prints how long a change takes to be in force at real gateways, beside troubles of the store. */
+/**
+ * Measures how long a configuration change takes to become active at gateways while the store
+ * fails.
+ */
 import { Command } from 'commander';
 import { runChange } from './soak/change-run.js';
 import type { ChangeRunOptions } from './soak/change-run.js';
@@ -10,42 +13,49 @@
   readonly copies?: boolean;
 }
 
-type Row = Pick<ChangeRunOptions, 'mood' | 'forMs' | 'changeAfterMs' | 'quietMs' | 'copyAgeMs'>;
+type Scenario = Pick<
+  ChangeRunOptions,
+  'storeBehavior' | 'faultMs' | 'changeAfterMs' | 'idleMs' | 'backupAgeMs'
+>;
 
-const ROWS: readonly Row[] = [
-  { mood: 'answers', forMs: 100, changeAfterMs: 100, quietMs: 1_000 },
-  { mood: 'silent', forMs: 500, changeAfterMs: 350, quietMs: 3_000 },
-  { mood: 'silent', forMs: 1_200, changeAfterMs: 350, quietMs: 3_000 },
-  { mood: 'silent', forMs: 4_000, changeAfterMs: 3_700, quietMs: 1_000 },
-  { mood: 'refuses', forMs: 4_000, changeAfterMs: 3_700, quietMs: 1_000 },
+const SCENARIOS: readonly Scenario[] = [
+  { storeBehavior: 'answers', faultMs: 100, changeAfterMs: 100, idleMs: 1_000 },
+  { storeBehavior: 'silent', faultMs: 500, changeAfterMs: 350, idleMs: 3_000 },
+  { storeBehavior: 'silent', faultMs: 1_200, changeAfterMs: 350, idleMs: 3_000 },
+  { storeBehavior: 'silent', faultMs: 4_000, changeAfterMs: 3_700, idleMs: 1_000 },
+  { storeBehavior: 'refuses', faultMs: 4_000, changeAfterMs: 3_700, idleMs: 1_000 },
 ];
 
-/** The change comes 1.5 s after the return; some changes a second were made that the copy lacks. */
-const COPIES: readonly Row[] = [
-  { mood: 'resets', forMs: 1_000, changeAfterMs: 3_000, quietMs: 0, copyAgeMs: 3_000 },
-  { mood: 'silent', forMs: 3_000, changeAfterMs: 5_000, quietMs: 0, copyAgeMs: 3_000 },
-  { mood: 'resets', forMs: 400, changeAfterMs: 2_400, quietMs: 0, copyAgeMs: 5_000 },
-  { mood: 'resets', forMs: 3_000, changeAfterMs: 5_000, quietMs: 0, copyAgeMs: 10_000 },
+/** The change follows the restore by 1.5 s; the backup lacks several earlier changes per second. */
+const RESTORE_SCENARIOS: readonly Scenario[] = [
+  { storeBehavior: 'resets', faultMs: 1_000, changeAfterMs: 3_000, idleMs: 0, backupAgeMs: 3_000 },
+  { storeBehavior: 'silent', faultMs: 3_000, changeAfterMs: 5_000, idleMs: 0, backupAgeMs: 3_000 },
+  { storeBehavior: 'resets', faultMs: 400, changeAfterMs: 2_400, idleMs: 0, backupAgeMs: 5_000 },
+  { storeBehavior: 'resets', faultMs: 3_000, changeAfterMs: 5_000, idleMs: 0, backupAgeMs: 10_000 },
 ];
 
 const program = new Command()
-  .description('Time until a change of the configuration is in force at every gateway.')
+  .description('Measures the time until a configuration change is active at every gateway.')
   .option('--gateways <count>', 'gateways', '12')
-  .option('--runs <count>', 'runs of each row', '1')
-  .option('--copies', 'the store comes back from copies of earlier states')
+  .option('--runs <count>', 'runs of each scenario', '1')
+  .option('--copies', 'restore the store from backups of earlier states')
   .option('--port <base>', 'first port', '24000')
   .parse();
 
 const { gateways, runs, port, copies } = program.opts<Options>();
-for (const row of copies ? COPIES : ROWS) {
+for (const scenario of copies ? RESTORE_SCENARIOS : SCENARIOS) {
   for (let run = 0; run < Number(runs); run += 1) {
-    const options = { ...row, gateways: Number(gateways), basePort: Number(port) };
-    const { inForceMs, never } = await runChange(options);
-    const [first, last] = [inForceMs[0], inForceMs.at(-1)].map((ms) => Math.round(ms ?? Infinity));
-    const from =
-      row.copyAgeMs === undefined ? 'its end' : `it, on a copy of ${row.copyAgeMs} ms before`;
+    const options = { ...scenario, gateways: Number(gateways), basePort: Number(port) };
+    const { activeAfterMs, neverActive } = await runChange(options);
+    const [first, last] = [activeAfterMs[0], activeAfterMs.at(-1)].map((ms) =>
+      Math.round(ms ?? Infinity),
+    );
+    const origin =
+      scenario.backupAgeMs === undefined
+        ? 'the fault'
+        : `the change, with a backup ${scenario.backupAgeMs} ms old`;
     console.log(
-      `${gateways} gateways, store ${row.mood} for ${row.forMs} ms: in force ${first} to ${last} ms after ${from}, never at ${never}`,
+      `${gateways} gateways, store ${scenario.storeBehavior} for ${scenario.faultMs} ms: active ${first} to ${last} ms after ${origin}, not active at ${neverActive}`,
     );
   }
 }
--- a/bench/fit.ts
+++ b/bench/fit.ts
@@ -1,4 +1,4 @@
-/** Least-squares fit of measured points. */
+/** Least-squares line fit and median. */
 
 /** One measured point. */
 export interface Point {
@@ -6,7 +6,7 @@
   readonly y: number;
 }
 
-/** A fitted line. */
+/** A fitted line, `y = intercept + slope * x`. */
 export interface Line {
   readonly slope: number;
   readonly intercept: number;
@@ -27,7 +27,7 @@
   return { slope, intercept: meanY - slope * meanX, rSquared };
 }
 
-/** The middle value. */
+/** Returns the upper median, or 0 without values. */
 export function median(values: readonly number[]): number {
   const sorted = [...values].sort((left, right) => left - right);
   return sorted[Math.floor(sorted.length / 2)] ?? 0;
--- a/bench/hollow-fleet.ts
+++ b/bench/hollow-fleet.ts
@@ -1,4 +1,4 @@
-/** One entry or one agent with hollow peers: the real core and the real framing, peers that only answer. */
+/** Drives one entry or one agent, with the real core and framing, against simulated peers. */
 import { AgentCore } from '../src/agent/agent-core.js';
 import type { AgentEvent } from '../src/agent/agent-events.js';
 import { EntryCore } from '../src/entry/entry-core.js';
@@ -11,12 +11,12 @@
 import { SeededRandom } from '../src/random.js';
 
 /** Length of the body of each request, in characters. */
-export const BODY_LENGTH = 2_000;
+export const REQUEST_BODY_LENGTH = 2_000;
 
-/** Bytes and messages by kind. */
+/** Number of messages and bytes, by message kind. */
 export type Traffic = Map<string, { messages: number; bytes: number }>;
 
-/** A policy with `engineCount` engines in `placeCount` places, one model, and `tenantCount` tenants. */
+/** Creates a policy with one model and the given numbers of engines, places and tenants. */
 export function createLargePolicy(
   engineCount: number,
   placeCount: number,
@@ -51,20 +51,29 @@
   return document;
 }
 
-/** An entry with hollow agents: each calls every bid at once and answers every bind in `chunkCount` chunks. */
-export class HollowEntry {
+/**
+ * An entry with simulated agents, each of which calls every bid at once and responds to every bind
+ * in `chunkCount` chunks.
+ */
+export class EntryHarness {
   readonly core: EntryCore;
   readonly traffic: Traffic = new Map();
-  answeredCount = 0;
-  private readonly streams = new Map<string, { encoder: FrameEncoder; decoder: FrameDecoder }>();
-  private readonly replies = new Map<string, { encoder: FrameEncoder; decoder: FrameDecoder }>();
+  completedCount = 0;
+  private readonly outboundStreams = new Map<
+    string,
+    { encoder: FrameEncoder; decoder: FrameDecoder }
+  >();
+  private readonly inboundStreams = new Map<
+    string,
+    { encoder: FrameEncoder; decoder: FrameDecoder }
+  >();
   private nowMs = 0;
   private sequence = 0;
 
   constructor(
     agentCount: number,
     private readonly chunkCount: number,
-    private readonly givesPermits = false,
+    private readonly issuesPermits = false,
   ) {
     this.core = new EntryCore({
       identity: { name: 'entry', incarnation: 'entry.1', region: 'r', zone: 'z', place: 'p0' },
@@ -79,7 +88,7 @@
     this.handle({ kind: 'fleet', machines: createMachines(agentCount) });
   }
 
-  /** Takes one request from arrival to the end of its answer. */
+  /** Runs one request from arrival to the end of its response. */
   serveRequest(): void {
     this.sequence += 1;
     this.nowMs += 1;
@@ -95,19 +104,24 @@
         maxOutputTokens: 250,
         prefixHash: `${this.sequence % 50}`,
         isRepeatable: true,
-        payload: { method: 'POST', path: '/', contentType: 'x', body: 'b'.repeat(BODY_LENGTH) },
+        payload: {
+          method: 'POST',
+          path: '/',
+          contentType: 'x',
+          body: 'b'.repeat(REQUEST_BODY_LENGTH),
+        },
       },
     });
   }
 
-  /** Adds a waiting request that no agent calls. */
-  addWaiting(): void {
-    this.isSilent = true;
+  /** Adds a request that keeps waiting, since no agent calls its bids. */
+  addWaitingRequest(): void {
+    this.ignoresBids = true;
     this.serveRequest();
-    this.isSilent = false;
+    this.ignoresBids = false;
   }
 
-  /** Passes `durationMs` of idle time in ticks of `tickMs`. */
+  /** Advances the clock by `durationMs` without requests, in ticks of `tickMs`. */
   idle(durationMs: number, tickMs: number): void {
     for (let passedMs = 0; passedMs < durationMs; passedMs += tickMs) {
       this.nowMs += tickMs;
@@ -115,31 +129,34 @@
     }
   }
 
-  private isSilent = false;
+  private ignoresBids = false;
 
   private handle(event: EntryEvent): void {
     const outbox = new Map<string, Message[]>();
     for (const effect of this.core.handle(event, this.nowMs)) {
-      this.perform(effect, outbox);
+      this.applyEffect(effect, outbox);
     }
     for (const [peer, messages] of outbox) {
-      const bytes = this.streamOf(this.streams, peer).encoder.encode({ generation: 1, messages });
+      const bytes = this.getOrCreateStream(this.outboundStreams, peer).encoder.encode({
+        generation: 1,
+        messages,
+      });
       countTraffic(this.traffic, messages, bytes.length);
-      this.answerAs(peer, messages);
+      this.respondAs(peer, messages);
     }
   }
 
-  private perform(effect: EntryEffect, outbox: Map<string, Message[]>): void {
+  private applyEffect(effect: EntryEffect, outbox: Map<string, Message[]>): void {
     if (effect.kind === 'send') {
       outbox.set(effect.peer, [...(outbox.get(effect.peer) ?? []), effect.message]);
     } else if (effect.kind === 'connect') {
-      this.greet(effect.peer, effect.connectionNumber);
+      this.connectAgent(effect.peer, effect.connectionNumber);
     } else if (effect.kind === 'answer-end') {
-      this.answeredCount += 1;
+      this.completedCount += 1;
     }
   }
 
-  private greet(peer: string, connectionNumber: number): void {
+  private connectAgent(peer: string, connectionNumber: number): void {
     const hello = {
       kind: 'hello',
       version: 1,
@@ -152,24 +169,24 @@
     this.handle({ kind: 'peer-connected', peer, connectionNumber, hello });
   }
 
-  private answerAs(peer: string, messages: readonly Message[]): void {
-    const answers: Message[] = [];
+  private respondAs(peer: string, messages: readonly Message[]): void {
+    const responses: Message[] = [];
     for (const message of messages) {
-      if (message.kind === 'bid' && !this.isSilent) {
-        answers.push({ kind: 'call', id: message.id });
+      if (message.kind === 'bid' && !this.ignoresBids) {
+        responses.push({ kind: 'call', id: message.id });
       } else if (message.kind === 'bind') {
-        answers.push(...this.createAnswer(message.id));
+        responses.push(...this.createResponse(message.id));
       } else if (message.kind === 'ping') {
-        answers.push({ kind: 'ping' });
+        responses.push({ kind: 'ping' });
       }
     }
-    for (const answer of answers) {
-      this.receive(peer, answer);
+    for (const response of responses) {
+      this.deliver(peer, response);
     }
   }
 
-  private receive(peer: string, message: Message): void {
-    const stream = this.streamOf(this.replies, peer);
+  private deliver(peer: string, message: Message): void {
+    const stream = this.getOrCreateStream(this.inboundStreams, peer);
     const bytes = stream.encoder.encode({ generation: 1, messages: [message] });
     countTraffic(this.traffic, [message], bytes.length);
     const connectionNumber = this.core.state.peers.get(peer)?.connectionNumber ?? 0;
@@ -178,7 +195,7 @@
     }
   }
 
-  private createAnswer(id: string): Message[] {
+  private createResponse(id: string): Message[] {
     const { chunkCount } = this;
     const chunks = Array.from({ length: chunkCount }, (_, index) => ({
       kind: 'answer-chunk' as const,
@@ -199,11 +216,11 @@
         prefillMs: 100,
         decodeMs: 1_000,
       },
-      ...(this.givesPermits ? [{ kind: 'permit' as const, validForMs: 4_000 }] : []),
+      ...(this.issuesPermits ? [{ kind: 'permit' as const, validForMs: 4_000 }] : []),
     ];
   }
 
-  private streamOf(
+  private getOrCreateStream(
     streams: Map<string, { encoder: FrameEncoder; decoder: FrameDecoder }>,
     peer: string,
   ): { encoder: FrameEncoder; decoder: FrameDecoder } {
@@ -216,8 +233,8 @@
   }
 }
 
-/** An agent with hollow entries and a null engine that answers at once. */
-export class HollowAgent {
+/** An agent with simulated entries and an engine that responds at once. */
+export class AgentHarness {
   readonly core: AgentCore;
   private nowMs = 0;
   private sequence = 0;
@@ -242,13 +259,13 @@
     }
   }
 
-  /** Takes one bid, calls it, starts it and passes its answer on. */
+  /** Runs one request: its bid, its call, its bind and the relay of its response. */
   serveRequest(): void {
     this.sequence += 1;
     this.nowMs += 1;
     const peer = `entry${this.sequence % this.entryCount}.1`;
     const id = `${peer}:${this.sequence}`;
-    const shape = {
+    const requestFields = {
       id,
       tenant: `t${this.sequence % 290}`,
       model: 'm',
@@ -258,15 +275,20 @@
       promptTokens: 500,
       maxOutputTokens: 250,
     };
-    this.receive(peer, { kind: 'bid', ...shape, isUrgent: false });
-    this.receive(peer, {
+    this.deliver(peer, { kind: 'bid', ...requestFields, isUrgent: false });
+    this.deliver(peer, {
       kind: 'bind',
-      ...shape,
+      ...requestFields,
       prefixHash: '',
       isRepeatable: true,
       isByPermit: false,
       generation: 1,
-      payload: { method: 'POST', path: '/', contentType: 'x', body: 'b'.repeat(BODY_LENGTH) },
+      payload: {
+        method: 'POST',
+        path: '/',
+        contentType: 'x',
+        body: 'b'.repeat(REQUEST_BODY_LENGTH),
+      },
     });
     this.handle({ kind: 'engine-started', id, status: 200, contentType: 'x' });
     for (let index = 0; index < this.chunkCount; index += 1) {
@@ -274,14 +296,14 @@
     }
     const usage = { promptTokens: 500, cachedPromptTokens: 0, outputTokens: 250 };
     this.handle({ kind: 'engine-ended', id, usage: { ...usage, prefillMs: 1, decodeMs: 1 } });
-    this.receive(peer, { kind: 'acknowledge', id });
+    this.deliver(peer, { kind: 'acknowledge', id });
   }
 
   private readonly encoder = new FrameEncoder();
   private readonly decoder = new FrameDecoder();
   private readonly replyEncoder = new FrameEncoder();
 
-  private receive(peer: string, message: Message): void {
+  private deliver(peer: string, message: Message): void {
     const bytes = this.encoder.encode({ generation: 1, messages: [message] });
     for (const frame of this.decoder.push(bytes).unwrap()) {
       this.handle({ kind: 'frame', peer, connectionNumber: 1, frame });
@@ -311,12 +333,12 @@
   }));
 }
 
-/** Bytes of a frame are shared among its messages by their number. */
+/** Adds a frame to `traffic`, with its bytes divided equally among its messages. */
 function countTraffic(traffic: Traffic, messages: readonly Message[], bytes: number): void {
   for (const { kind } of messages) {
-    const known = traffic.get(kind) ?? { messages: 0, bytes: 0 };
-    known.messages += 1;
-    known.bytes += bytes / messages.length;
-    traffic.set(kind, known);
+    const totals = traffic.get(kind) ?? { messages: 0, bytes: 0 };
+    totals.messages += 1;
+    totals.bytes += bytes / messages.length;
+    traffic.set(kind, totals);
   }
 }
--- a/bench/inflight.ts
+++ b/bench/inflight.ts
@@ -1,11 +1,12 @@
 /**
- * Shows a logged run second by second: requests at work by engine, requests that wait, and how they
- * end by reason, so that idle engines under refusals are seen at a glance.
+ * Prints a logged run second by second: active requests per back end, waiting requests, and the
+ * outcomes of requests by reason. This shows back ends that are idle while requests are refused.
  *
  *     npm run bench:inflight -- LOG [SERVICE]
  *
- * LOG holds lines of gateways' logs, each perhaps behind a prefix. Without SERVICE every service is
- * counted together. The log budget must be large enough to hold the successes of the run.
+ * LOG contains lines of gateways' logs, each with an optional prefix. Without SERVICE all services
+ * are added up. The log rate limit must be high enough to include the successful requests of the
+ * run.
  */
 import { readFileSync } from 'node:fs';
 
@@ -13,13 +14,13 @@
 const FIRST_ERROR_STATUS = 400;
 const COLUMN_WIDTH = 8;
 
-interface LoggedTry {
+interface LoggedAttempt {
   readonly backend: string;
   readonly afterMs: number;
   readonly outcome: string;
 }
 
-interface LoggedEnd {
+interface LoggedRequest {
   readonly event: string;
   readonly time: string;
   readonly route?: string;
@@ -28,99 +29,108 @@
   readonly reason: string;
   readonly totalMs?: number;
   readonly waitedMs?: number;
-  readonly tries?: readonly LoggedTry[];
+  readonly tries?: readonly LoggedAttempt[];
 }
 
-/** What one second of the run shows. */
-class Second {
-  readonly workMsByBackend = new Map<string, number>();
-  readonly endsByReason = new Map<string, number>();
+/** Totals of one second of a run. */
+class SecondTotals {
+  readonly activeMsByBackend = new Map<string, number>();
+  readonly outcomeCounts = new Map<string, number>();
   arrived = 0;
   waitMs = 0;
 }
 
-function add(counts: Map<string, number>, name: string, amount: number): void {
+function increment(counts: Map<string, number>, name: string, amount: number): void {
   counts.set(name, (counts.get(name) ?? 0) + amount);
 }
 
-/** Calls `use` with each second that the span touches and the milliseconds of it that lie there. */
-function spread(fromMs: number, toMs: number, use: (second: number, ms: number) => void): void {
+/** Calls `onPart` for each second that overlaps the interval, with the length of the overlap. */
+function splitBySecond(
+  fromMs: number,
+  toMs: number,
+  onPart: (second: number, ms: number) => void,
+): void {
   let atMs = fromMs;
   while (atMs < toMs) {
     const second = Math.floor(atMs / MS_PER_S);
     const endMs = Math.min(toMs, (second + 1) * MS_PER_S);
-    use(second, endMs - atMs);
+    onPart(second, endMs - atMs);
     atMs = endMs;
   }
 }
 
-function readEnds(path: string, service: string | undefined): LoggedEnd[] {
-  const ends: LoggedEnd[] = [];
+function readRequests(path: string, service: string | undefined): LoggedRequest[] {
+  const requests: LoggedRequest[] = [];
   for (const line of readFileSync(path, 'utf8').split('\n')) {
-    const brace = line.indexOf('{');
-    if (brace < 0 || !line.includes('"event":"request-')) {
+    const jsonStart = line.indexOf('{');
+    if (jsonStart < 0 || !line.includes('"event":"request-')) {
       continue;
     }
     try {
-      const end = JSON.parse(line.slice(brace)) as LoggedEnd;
-      if (service === undefined || end.service === undefined || end.service === service) {
-        ends.push(end);
+      const request = JSON.parse(line.slice(jsonStart)) as LoggedRequest;
+      if (service === undefined || request.service === undefined || request.service === service) {
+        requests.push(request);
       }
     } catch {
-      console.error(`not a log line: ${line.slice(0, COLUMN_WIDTH * COLUMN_WIDTH)}`);
+      console.error(`not valid JSON: ${line.slice(0, COLUMN_WIDTH * COLUMN_WIDTH)}`);
     }
   }
-  return ends;
+  return requests;
 }
 
-function nameOf(end: LoggedEnd): string {
-  const isWhole = end.reason === 'answered' && end.status < FIRST_ERROR_STATUS;
-  return isWhole ? 'whole' : `${end.reason} ${end.status}`;
+/** Returns the label of an outcome: `whole` for a success, else the reason and the status. */
+function outcomeLabel(request: LoggedRequest): string {
+  const isSuccess = request.reason === 'answered' && request.status < FIRST_ERROR_STATUS;
+  return isSuccess ? 'whole' : `${request.reason} ${request.status}`;
 }
 
-function count(ends: readonly LoggedEnd[]): Map<number, Second> {
-  const seconds = new Map<number, Second>();
-  const at = (second: number): Second => {
-    const known = seconds.get(second) ?? new Second();
-    seconds.set(second, known);
-    return known;
+function sumBySecond(requests: readonly LoggedRequest[]): Map<number, SecondTotals> {
+  const totalsBySecond = new Map<number, SecondTotals>();
+  const totalsOf = (second: number): SecondTotals => {
+    const totals = totalsBySecond.get(second) ?? new SecondTotals();
+    totalsBySecond.set(second, totals);
+    return totals;
   };
-  for (const end of ends) {
-    const endedAtMs = Date.parse(end.time);
-    const arrivedAtMs = endedAtMs - (end.totalMs ?? 0);
-    const { tries = [], waitedMs = 0 } = end;
-    at(Math.floor(arrivedAtMs / MS_PER_S)).arrived += 1;
-    add(at(Math.floor(endedAtMs / MS_PER_S)).endsByReason, nameOf(end), 1);
-    spread(arrivedAtMs, arrivedAtMs + waitedMs, (second, ms) => {
-      at(second).waitMs += ms;
+  for (const request of requests) {
+    const endedAtMs = Date.parse(request.time);
+    const arrivedAtMs = endedAtMs - (request.totalMs ?? 0);
+    const { tries = [], waitedMs = 0 } = request;
+    totalsOf(Math.floor(arrivedAtMs / MS_PER_S)).arrived += 1;
+    increment(totalsOf(Math.floor(endedAtMs / MS_PER_S)).outcomeCounts, outcomeLabel(request), 1);
+    splitBySecond(arrivedAtMs, arrivedAtMs + waitedMs, (second, ms) => {
+      totalsOf(second).waitMs += ms;
     });
     for (const [index, { backend, afterMs }] of tries.entries()) {
-      const nextAtMs = arrivedAtMs + (tries[index + 1]?.afterMs ?? end.totalMs ?? 0);
-      spread(arrivedAtMs + afterMs, nextAtMs, (second, ms) =>
-        add(at(second).workMsByBackend, backend, ms),
+      const nextAtMs = arrivedAtMs + (tries[index + 1]?.afterMs ?? request.totalMs ?? 0);
+      splitBySecond(arrivedAtMs + afterMs, nextAtMs, (second, ms) =>
+        increment(totalsOf(second).activeMsByBackend, backend, ms),
       );
     }
   }
-  return seconds;
+  return totalsBySecond;
 }
 
-function print(seconds: Map<number, Second>): void {
-  const firstSecond = Math.min(...seconds.keys());
+function printTable(totalsBySecond: Map<number, SecondTotals>): void {
+  const firstSecond = Math.min(...totalsBySecond.keys());
   const backends = [
-    ...new Set([...seconds.values()].flatMap((s) => [...s.workMsByBackend.keys()])),
+    ...new Set(
+      [...totalsBySecond.values()].flatMap((totals) => [...totals.activeMsByBackend.keys()]),
+    ),
   ];
-  console.log('second arrived waiting at-work | by back end | ends by reason');
-  for (const second of [...seconds.keys()].sort((left, right) => left - right)) {
-    const { arrived, waitMs, workMsByBackend, endsByReason } = seconds.get(second)!;
-    const work = backends.map((name) => Math.round((workMsByBackend.get(name) ?? 0) / MS_PER_S));
-    const total = work.reduce((sum, value) => sum + value, 0);
-    const ends = [...endsByReason].sort(([, left], [, right]) => right - left);
+  console.log('second arrived waiting active | by back end | outcomes by reason');
+  for (const second of [...totalsBySecond.keys()].sort((left, right) => left - right)) {
+    const { arrived, waitMs, activeMsByBackend, outcomeCounts } = totalsBySecond.get(second)!;
+    const active = backends.map((name) =>
+      Math.round((activeMsByBackend.get(name) ?? 0) / MS_PER_S),
+    );
+    const total = active.reduce((sum, value) => sum + value, 0);
+    const outcomes = [...outcomeCounts].sort(([, left], [, right]) => right - left);
     const figures = [second - firstSecond, arrived, Math.round(waitMs / MS_PER_S), total];
     console.log(
       [
         figures.map((figure) => `${figure}`.padStart(COLUMN_WIDTH - 1)).join(''),
-        work.map((value) => `${value}`.padStart(2)).join(' '),
-        ends.map(([reason, times]) => `${reason}: ${times}`).join(', '),
+        active.map((value) => `${value}`.padStart(2)).join(' '),
+        outcomes.map(([reason, times]) => `${reason}: ${times}`).join(', '),
       ].join(' | '),
     );
   }
@@ -131,5 +141,5 @@
   console.error('usage: npm run bench:inflight -- LOG [SERVICE]');
   process.exitCode = 2;
 } else {
-  print(count(readEnds(path, service)));
+  printTable(sumBySecond(readRequests(path, service)));
 }
--- a/bench/play-days.mjs
+++ b/bench/play-days.mjs
@@ -1,35 +1,39 @@
-// Plays our own days on a site of the users' bench: npm run bench:days -- BENCH SITE [DAY.toml ...]
+// Runs the scenarios of bench/days on a site of an external benchmark program:
+// npm run bench:days -- BENCH SITE [DAY.toml ...]
 import { spawnSync } from 'node:child_process';
 import { existsSync, readdirSync } from 'node:fs';
 
-const FOLDER = 'bench/days';
+const SCENARIO_FOLDER = 'bench/days';
 const [bench, site, ...chosen] = process.argv.slice(2);
 if (bench === undefined || site === undefined) {
   console.error('usage: npm run bench:days -- BENCH SITE [DAY.toml ...]');
   process.exit(2);
 }
 if (!existsSync(bench) || !existsSync(site)) {
-  console.log('the bench is not here: no day was played');
+  console.log('the benchmark or the site does not exist: no scenario was run');
   process.exit(0);
 }
-const days = chosen.length > 0 ? chosen : readdirSync(FOLDER).map((name) => `${FOLDER}/${name}`);
-let broken = 0;
-let notPlayed = 0;
-for (const day of days) {
-  const why = `day of our own: ${day}`;
-  const run = spawnSync(bench, ['run', site, day, '--why', why], { encoding: 'utf8' });
+const scenarios =
+  chosen.length > 0
+    ? chosen
+    : readdirSync(SCENARIO_FOLDER).map((name) => `${SCENARIO_FOLDER}/${name}`);
+let failedCount = 0;
+let notRun = 0;
+for (const scenario of scenarios) {
+  const reason = `day of our own: ${scenario}`;
+  const run = spawnSync(bench, ['run', site, scenario, '--why', reason], { encoding: 'utf8' });
   const lines = run.stdout.split('\n');
-  const verdict = lines.filter(
+  const summary = lines.filter(
     (line) => / \d+\/\d+ +\d/.test(line) || /^rules broken|short of/.test(line),
   );
-  if (verdict.length === 0) {
-    notPlayed += 1;
-    verdict.push(`not played: ${(run.stderr || run.stdout).trim().split('\n').at(-1)}`);
+  if (summary.length === 0) {
+    notRun += 1;
+    summary.push(`not run: ${(run.stderr || run.stdout).trim().split('\n').at(-1)}`);
   }
-  console.log(`${day}\n  ${verdict.join('\n  ')}`);
-  broken += lines.some((line) => line.startsWith('rules broken')) ? 1 : 0;
+  console.log(`${scenario}\n  ${summary.join('\n  ')}`);
+  failedCount += lines.some((line) => line.startsWith('rules broken')) ? 1 : 0;
 }
 console.log(
-  `${days.length - notPlayed} days, ${broken} with a rule broken, ${notPlayed} not played`,
+  `${scenarios.length - notRun} scenarios, ${failedCount} with a rule broken, ${notRun} not run`,
 );
-process.exit(broken === 0 ? 0 : 1);
+process.exit(failedCount === 0 ? 0 : 1);
--- a/bench/quotas.ts
+++ b/bench/quotas.ts
@@ -1,9 +1,11 @@
-/** Runs quotas under faults: `node dist/bench/quotas.js --gateways 8 --runs 3`; stops by itself. */
+/**
+ * Checks tenant quotas under faults, then exits: `node dist/bench/quotas.js --gateways 8 --runs 3`.
+ */
 import { Command } from 'commander';
 import { runQuotas } from './soak/quota-run.js';
 import type { QuotaFault } from './soak/quota-run.js';
 
-const ALL: readonly QuotaFault[] = [
+const ALL_FAULTS: readonly QuotaFault[] = [
   'none',
   'pauses',
   'kill-all',
@@ -14,12 +16,16 @@
 ];
 
 const program = new Command('quotas')
-  .description('quotas of tenants over real gateways on loopback, under one fault at a time')
-  .option('--faults <list>', `of ${ALL.join(', ')}`, ALL.join(','))
+  .description('checks tenant quotas at gateway processes on loopback, under one fault at a time')
+  .option(
+    '--faults <list>',
+    `comma-separated faults: ${ALL_FAULTS.join(', ')}`,
+    ALL_FAULTS.join(','),
+  )
   .option('--gateways <count>', 'gateways', '8')
   .option('--runs <count>', 'runs of each fault', '1')
   .option('--from <seed>', 'first seed', '1')
-  .option('--seconds <count>', 'time under the fault', '14')
+  .option('--seconds <count>', 'duration of the fault', '14')
   .option('--port <base>', 'first port', '26000');
 program.parse();
 const options = program.opts<Record<string, string>>();
@@ -34,14 +40,14 @@
       lengthMs: Number(options['seconds']) * 1_000,
       basePort: Number(options['port']) + (run % 10) * 10,
     });
-    const { worstShare, rateShare, calmRefused, furtherTries, folder } = report;
+    const { worstShare, averageShare, calmRefused, furtherTries, folder } = report;
     failed += worstShare > 1 ? 1 : 0;
-    const figures = [worstShare, rateShare, calmRefused].map((figure) => figure.toFixed(3));
+    const shares = [worstShare, averageShare, calmRefused].map((figure) => figure.toFixed(3));
     console.log(
-      `${fault}, seed ${seed}: worst window ${figures[0]} of the bound, ${figures[1]} of the rate, ` +
-        `${figures[2]} of the calm refused, ${furtherTries} further tries; logs in ${folder}`,
+      `${fault}, seed ${seed}: peak window ${shares[0]} of the limit, average ${shares[1]} of the rate, ` +
+        `${shares[2]} of the moderate tenant refused, ${furtherTries} repeated executions; logs in ${folder}`,
     );
   }
 }
-console.log(`${failed} over the bound`);
+console.log(`${failed} over the limit`);
 process.exit(failed === 0 ? 0 : 1);
--- a/bench/soak.ts
+++ b/bench/soak.ts
@@ -1,22 +1,22 @@
-/** Runs soaks: `node dist/bench/soak.js --seeds 50 --from 1`; stops by itself. */
+/** Runs soak tests, then exits: `node dist/bench/soak.js --seeds 50 --from 1`. */
 import { Command } from 'commander';
 import { runSoak } from './soak/soak-run.js';
 
 const program = new Command('soak')
-  .description('randomized faults against the real programs on loopback')
+  .description('soak tests with random faults, against processes on loopback')
   .option('--from <seed>', 'first seed', '1')
   .option('--seeds <count>', 'number of seeds', '1')
   .option('--gateways <count>', 'gateways', '3')
   .option('--engines <count>', 'engines, each with its agent', '4')
   .option('--callers <count>', 'callers', '12')
-  .option('--seconds <count>', 'time with faults, of each seed', '10')
-  .option('--no-statements', 'back ends say nothing of themselves')
-  .option('--copies', 'the store comes back from copies of earlier states')
+  .option('--seconds <count>', 'duration of the faults, for each seed', '10')
+  .option('--no-statements', 'back ends send no statements (limits, departures, backoff)')
+  .option('--copies', 'restore the store from backups of earlier states')
   .option('--port <base>', 'first port', '21000');
 program.parse();
 const {
-  statements: hasStatements,
-  copies: hasCopies = false,
+  statements: sendsStatements,
+  copies: restoresBackups = false,
   ...options
 } = program.opts<Record<string, string> & { statements: boolean; copies?: boolean }>();
 process.once('SIGTERM', () => process.exit(1));
@@ -27,8 +27,8 @@
     seed: Number(options['from']) + offset,
     sizes: { gateways: Number(options['gateways']), engines: Number(options['engines']) },
     callers: Number(options['callers']),
-    hasStatements,
-    hasCopies,
+    sendsStatements,
+    restoresBackups,
     faultsMs: Number(options['seconds']) * 1_000,
     basePort: Number(options['port']) + (offset % 50) * 10,
   });
--- a/bench/soak/change-run.ts
+++ b/bench/soak/change-run.ts
@@ -1,52 +1,58 @@
 /**
- * Real gateways on loopback before a store in trouble, while the configuration changes: how long it takes until each
- * gateway serves the route that was added and no longer the one that was dropped.
+ * Changes the configuration at gateway processes on loopback while the store fails, and measures
+ * how long it takes until each gateway serves the added route and no longer serves the removed one.
  */
 import { request } from 'undici';
 import { StandinStore } from '../../test/support/platform-standin.js';
 import type { StoreMood } from '../../test/support/platform-standin.js';
 import { GatewayProcesses } from './gateway-processes.js';
 
-/** One run of a fleet. */
+/** Options of a run. */
 export interface ChangeRunOptions {
   readonly gateways: number;
-  readonly mood: StoreMood;
-  /** How long the store is in trouble, and when within it the configuration changes, in milliseconds. */
-  readonly forMs: number;
+  readonly storeBehavior: StoreMood;
+  /**
+   * Duration of the store's fault, and time from its start to the configuration change, in
+   * milliseconds.
+   */
+  readonly faultMs: number;
   readonly changeAfterMs: number;
-  /** Time from the last change before to the trouble, in milliseconds. */
-  readonly quietMs: number;
-  /** The store comes back from a copy of so long before the trouble, in milliseconds; missing where it goes on. */
-  readonly copyAgeMs?: number;
+  /** Time from the last change before the fault to the fault, in milliseconds. */
+  readonly idleMs: number;
+  /**
+   * Age of the backup, at the start of the fault, from which the store is restored, in
+   * milliseconds; undefined if the store keeps its state.
+   */
+  readonly backupAgeMs?: number;
   readonly basePort: number;
 }
 
-/** What was seen. */
+/** Results of a run. */
 export interface ChangeRunReport {
   /**
-   * Time from the end of the trouble, or from a change after the return from a copy, until the change was in force, by
-   * gateway, in milliseconds, ascending.
+   * Time until the change was active, one entry per gateway, in milliseconds, ascending. It is
+   * measured from the end of the fault, or with a backup from the change after the restore.
    */
-  readonly inForceMs: readonly number[];
-  /** Gateways where it was not in force by the end of the run. */
-  readonly never: number;
+  readonly activeAfterMs: readonly number[];
+  /** Number of gateways where the change was not active by the end of the run. */
+  readonly neverActive: number;
 }
 
 const READY_LIMIT_MS = 30_000;
 const SETTLE_MS = 4_000;
-const LIMIT_MS = 14_000;
-const LOOK_MS = 100;
-/** Time after a return from a copy until operators write again, in milliseconds. */
-const REWRITE_MS = 500;
-/** Pause between the changes that a copy lacks, in milliseconds. */
-const LOST_CHANGE_MS = 100;
+const ACTIVE_LIMIT_MS = 14_000;
+const POLL_MS = 100;
+/** Time from a restore until operators rewrite what the backup lacks, in milliseconds. */
+const REWRITE_DELAY_MS = 500;
+/** Interval between the changes that the backup lacks, in milliseconds. */
+const LOST_CHANGE_INTERVAL_MS = 100;
 const NOT_FOUND = 404;
 
-/** Plays one run. */
+/** Runs one scenario. */
 export async function runChange(options: ChangeRunOptions): Promise<ChangeRunReport> {
   const run = new ChangeRun(options);
   try {
-    return await run.play();
+    return await run.run();
   } finally {
     run.stop();
   }
@@ -63,40 +69,42 @@
     this.processes = new GatewayProcesses({ network: '127.0.5', basePort, folderName: 'changes' });
   }
 
-  async play(): Promise<ChangeRunReport> {
-    const { gateways, mood, forMs, changeAfterMs, quietMs, copyAgeMs } = this.options;
+  async run(): Promise<ChangeRunReport> {
+    const { gateways, storeBehavior, faultMs, changeAfterMs, idleMs, backupAgeMs } = this.options;
     process.once('exit', this.stopAtExit);
-    this.store.epoch = copyAgeMs === undefined ? undefined : 1;
-    const address = await this.store.start();
-    this.change();
+    this.store.epoch = backupAgeMs === undefined ? undefined : 1;
+    const storeAddress = await this.store.start();
+    this.changeConfiguration();
     for (let index = 0; index < gateways; index += 1) {
-      this.processes.startGateway(address);
+      this.processes.startGateway(storeAddress);
     }
-    await this.untilAll(READY_LIMIT_MS);
+    await this.waitForAll(READY_LIMIT_MS);
     await sleepMs(SETTLE_MS);
-    this.change();
-    for (let leftMs = copyAgeMs ?? 0; leftMs > 0; leftMs -= LOST_CHANGE_MS) {
-      await sleepMs(LOST_CHANGE_MS);
-      this.change();
+    this.changeConfiguration();
+    for (let leftMs = backupAgeMs ?? 0; leftMs > 0; leftMs -= LOST_CHANGE_INTERVAL_MS) {
+      await sleepMs(LOST_CHANGE_INTERVAL_MS);
+      this.changeConfiguration();
     }
-    await sleepMs(quietMs);
-    const endMs = performance.now() + forMs;
-    this.store.mood = mood;
+    await sleepMs(idleMs);
+    const endMs = performance.now() + faultMs;
+    this.store.mood = storeBehavior;
     let fromMs = endMs;
-    if (copyAgeMs === undefined) {
+    if (backupAgeMs === undefined) {
       await sleepMs(changeAfterMs);
-      this.change();
+      this.changeConfiguration();
       setTimeout(() => (this.store.mood = 'answers'), endMs - performance.now());
     } else {
-      await sleepMs(forMs);
-      await this.comeBack(copyAgeMs + forMs);
-      await sleepMs(changeAfterMs - forMs);
+      await sleepMs(faultMs);
+      await this.restoreStore(backupAgeMs + faultMs);
+      await sleepMs(changeAfterMs - faultMs);
       fromMs = performance.now();
-      this.change();
+      this.changeConfiguration();
     }
-    const seen = await this.untilAll(fromMs - performance.now() + LIMIT_MS);
-    const inForceMs = seen.map((atMs) => atMs - fromMs).sort((left, right) => left - right);
-    return { inForceMs, never: gateways - seen.length };
+    const activeTimes = await this.waitForAll(fromMs - performance.now() + ACTIVE_LIMIT_MS);
+    const activeAfterMs = activeTimes
+      .map((atMs) => atMs - fromMs)
+      .sort((left, right) => left - right);
+    return { activeAfterMs, neverActive: gateways - activeTimes.length };
   }
 
   stop(): void {
@@ -105,16 +113,16 @@
     this.store.stop();
   }
 
-  /** The store comes back from a copy; what that lacks is written again. */
-  private async comeBack(copyAgeMs: number): Promise<void> {
-    const lost = this.store.restore(copyAgeMs);
+  /** Restores the store from a backup, then rewrites what the backup lacks. */
+  private async restoreStore(backupAgeMs: number): Promise<void> {
+    const reverted = this.store.restore(backupAgeMs);
     this.store.mood = 'answers';
-    await sleepMs(REWRITE_MS);
-    this.store.writeAgain(lost);
+    await sleepMs(REWRITE_DELAY_MS);
+    this.store.writeAgain(reverted);
   }
 
-  /** Adds a route and drops the one before. */
-  private change(): void {
+  /** Writes a configuration that adds a route and removes the previous one. */
+  private changeConfiguration(): void {
     this.version += 1;
     this.store.put('op/config', {
       version: this.version,
@@ -134,35 +142,38 @@
     });
   }
 
-  /** Waits until the newest configuration is in force everywhere; when it was, by gateway that has it. */
-  private async untilAll(limitMs: number): Promise<number[]> {
+  /**
+   * Waits until the newest configuration is active at every gateway; returns when it became active,
+   * for the gateways where it did.
+   */
+  private async waitForAll(limitMs: number): Promise<number[]> {
     const endMs = performance.now() + limitMs;
-    const seen = await Promise.all(
-      this.processes.gateways.map((_gateway, index) => this.until(index, endMs)),
+    const activeTimes = await Promise.all(
+      this.processes.gateways.map((_gateway, index) => this.waitForGateway(index, endMs)),
     );
-    return seen.filter((atMs) => atMs !== undefined);
+    return activeTimes.filter((atMs) => atMs !== undefined);
   }
 
-  private async until(index: number, endMs: number): Promise<number | undefined> {
+  private async waitForGateway(index: number, endMs: number): Promise<number | undefined> {
     while (performance.now() < endMs) {
       const [added, dropped] = await Promise.all([
-        this.status(index, this.version),
-        this.status(index, this.version - 1),
+        this.requestStatus(index, this.version),
+        this.requestStatus(index, this.version - 1),
       ]);
       if (added !== NOT_FOUND && added !== 0 && dropped === NOT_FOUND) {
         return performance.now();
       }
-      await sleepMs(LOOK_MS);
+      await sleepMs(POLL_MS);
     }
     return undefined;
   }
 
-  private async status(index: number, version: number): Promise<number> {
+  private async requestStatus(index: number, version: number): Promise<number> {
     const url = `http://${this.processes.hostOf(index)}:${this.processes.callersPort()}/v${version}/x`;
     const headers = { host: 'changes.example' };
-    const answer = await request(url, { headers }).catch(() => undefined);
-    await answer?.body.dump();
-    return answer?.statusCode ?? 0;
+    const response = await request(url, { headers }).catch(() => undefined);
+    await response?.body.dump();
+    return response?.statusCode ?? 0;
   }
 }
 
--- a/bench/soak/gateway-processes.ts
+++ b/bench/soak/gateway-processes.ts
@@ -1,68 +1,71 @@
-/** Gateways as separate processes on loopback, each at an address of its own, for harnesses that measure a fleet. */
+/** Starts gateways as processes on loopback, each with its own address, for fleet benchmarks. */
 import { mkdtempSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { SoakProcess } from './soak-fleet.js';
 
-/** Where a fleet's processes listen and keep their logs. */
+/** Addresses of a fleet's processes and the name of their log folder. */
 export interface GatewayProcessesOptions {
-  /** First three numbers of the gateways' addresses. */
+  /** First three octets of the gateways' addresses. */
   readonly network: string;
-  /** First of the ports. */
+  /** Base to which port offsets are added. */
   readonly basePort: number;
-  /** What the folder of settings and logs is named after. */
+  /** Part of the name of the folder for settings and logs. */
   readonly folderName: string;
 }
 
-/** What one gateway has otherwise than the rest. */
-export interface GatewayDifference {
-  /** Lines of further settings, with their sections. */
-  readonly lines?: readonly string[];
-  /** Whether it reaches no other gateway and is reached by none. */
-  readonly isApart?: boolean;
+/** Settings of one gateway that differ from the defaults. */
+export interface GatewayOverrides {
+  /** Additional lines of the settings file, including section headers. */
+  readonly settingsLines?: readonly string[];
+  /** Whether the gateway has no connections to other gateways. */
+  readonly isIsolated?: boolean;
 }
 
-/** Offsets of the ports. */
+/** Port offsets from the base port. */
 const PORTS = { callers: 1, readiness: 2, peers: 3 };
 const FIRST_HOST = 10;
-const DEAD_HOST = 250;
+const UNUSED_HOST = 250;
 const ZONES = 3;
-const SEEDS = [0, 1, 2];
-const LOOK_MS = 100;
+const SEED_INDEXES = [0, 1, 2];
+const POLL_MS = 100;
 const READY_LIMIT_MS = 20_000;
 
 /** The processes of a fleet. */
 export class GatewayProcesses {
   readonly folder: string;
   readonly gateways: SoakProcess[] = [];
-  private readonly others: SoakProcess[] = [];
+  private readonly otherProcesses: SoakProcess[] = [];
 
   constructor(private readonly options: GatewayProcessesOptions) {
     this.folder = mkdtempSync(join(tmpdir(), `weirvale-${options.folderName}-`));
   }
 
-  /** Address of a gateway's machine. */
+  /** Returns the IP address of a gateway. */
   hostOf(index: number): string {
     return `${this.options.network}.${FIRST_HOST + index}`;
   }
 
-  /** Where a gateway takes callers. */
+  /** Returns the port on which gateways accept callers. */
   callersPort(): number {
     return this.options.basePort + PORTS.callers;
   }
 
-  /** Addresses of peers that are known from the start, IP:PORT. */
+  /** Seed addresses of the peers, IP:PORT, separated by commas. */
   get seeds(): string {
-    return SEEDS.map((index) => this.at(index, PORTS.peers)).join(',');
+    return SEED_INDEXES.map((index) => this.addressOf(index, PORTS.peers)).join(',');
   }
 
-  /** Nothing listens there. */
-  private get deadSeed(): string {
-    return `${this.options.network}.${DEAD_HOST}:${this.options.basePort + PORTS.peers}`;
+  /** A seed address on which nothing listens. */
+  private get unreachableSeed(): string {
+    return `${this.options.network}.${UNUSED_HOST}:${this.options.basePort + PORTS.peers}`;
   }
 
-  /** Starts the next gateway. */
-  startGateway(store: string, { lines = [], isApart = false }: GatewayDifference = {}): void {
+  /** Starts another gateway. */
+  startGateway(
+    store: string,
+    { settingsLines = [], isIsolated = false }: GatewayOverrides = {},
+  ): void {
     const index = this.gateways.length;
     const name = `gateway-${index}`;
     const settings = [
@@ -72,41 +75,41 @@
       `zone = z${index % ZONES}`,
       `address = ${this.hostOf(index)}`,
       '[listen]',
-      `callers = ${this.at(index, PORTS.callers)}`,
-      `readiness = ${this.at(index, PORTS.readiness)}`,
-      `peers = ${isApart ? '' : this.at(index, PORTS.peers)}`,
+      `callers = ${this.addressOf(index, PORTS.callers)}`,
+      `readiness = ${this.addressOf(index, PORTS.readiness)}`,
+      `peers = ${isIsolated ? '' : this.addressOf(index, PORTS.peers)}`,
       '[cluster]',
-      `seeds = ${isApart ? this.deadSeed : this.seeds}`,
+      `seeds = ${isIsolated ? this.unreachableSeed : this.seeds}`,
       `store = ${store}`,
       'storeTimeoutMs = 700',
-      ...lines,
+      ...settingsLines,
     ];
     this.gateways.push(this.launch(name, settings));
   }
 
-  /** Starts a process that is no gateway. */
-  startOther(name: string, settings: readonly string[]): void {
-    this.others.push(this.launch(name, settings));
+  /** Starts a process that is not a gateway. */
+  startOtherProcess(name: string, settings: readonly string[]): void {
+    this.otherProcesses.push(this.launch(name, settings));
   }
 
-  /** Waits until all gateways say that they are ready. */
-  async untilReady(): Promise<void> {
+  /** Waits until the readiness endpoints of all gateways return 200. */
+  async waitUntilReady(): Promise<void> {
     const endAtMs = performance.now() + READY_LIMIT_MS;
     const isReady = (_gateway: SoakProcess, index: number) =>
-      fetch(`http://${this.at(index, PORTS.readiness)}/-/ready`)
+      fetch(`http://${this.addressOf(index, PORTS.readiness)}/-/ready`)
         .then(({ status }) => status === 200)
         .catch(() => false);
     while (!(await Promise.all(this.gateways.map(isReady))).every(Boolean)) {
       if (performance.now() > endAtMs) {
-        throw new Error(`the gateways are not ready; logs in ${this.folder}`);
+        throw new Error(`gateways are not ready in time; logs in ${this.folder}`);
       }
-      await new Promise((resolve) => setTimeout(resolve, LOOK_MS));
+      await new Promise((resolve) => setTimeout(resolve, POLL_MS));
     }
   }
 
-  /** Ends every process. */
+  /** Kills all processes. */
   stop(): void {
-    [...this.gateways, ...this.others].forEach((each) => each.stop());
+    [...this.gateways, ...this.otherProcesses].forEach((child) => child.stop());
   }
 
   private launch(name: string, settings: readonly string[]): SoakProcess {
@@ -117,7 +120,7 @@
     return launched;
   }
 
-  private at(index: number, port: number): string {
+  private addressOf(index: number, port: number): string {
     return `${this.hostOf(index)}:${this.options.basePort + port}`;
   }
 }
--- a/bench/soak/loopback-proxy.ts
+++ b/bench/soak/loopback-proxy.ts
@@ -1,15 +1,16 @@
-/** A TCP proxy on loopback whose connections can be delayed, reset, cut one way or silenced. */
+/** A TCP proxy that can delay, reset or block traffic, for tests. */
 import { connect, createServer } from 'node:net';
 import type { Server, Socket } from 'node:net';
 
-/** What a proxy does to the bytes that pass it. */
-export type ProxyMood = 'passes' | 'delays' | 'resets' | 'cut-towards-target' | 'cut-from-target';
+/** How a proxy treats traffic: forward it, delay it, reset connections, or drop one direction. */
+export type ProxyBehavior =
+  'passes' | 'delays' | 'resets' | 'cut-towards-target' | 'cut-from-target';
 
 const DELAY_MS = 120;
 
-/** A TCP proxy on loopback. */
+/** A TCP proxy on loopback with injectable faults. */
 export class LoopbackProxy {
-  mood: ProxyMood = 'passes';
+  mood: ProxyBehavior = 'passes';
   private readonly server: Server;
   private readonly sockets = new Set<Socket>();
   private isClosed = false;
@@ -21,21 +22,21 @@
     this.server = createServer((socket) => this.accept(socket));
   }
 
-  /** Listens; returns once it does. */
+  /** Starts to listen; resolves once the port is bound. */
   async start(host: string, port: number): Promise<void> {
     await new Promise<void>((resolve) => this.server.listen(port, host, resolve));
   }
 
-  /** Resets every connection and takes no more. */
+  /** Resets all connections and stops listening. */
   stop(): void {
     this.resetAll();
     this.server.close();
   }
 
-  /** Takes no connections for a time, as if what stands behind it had ended; its connections are reset. */
+  /** Resets all connections and closes the port for `pauseMs`, as if the target had exited. */
   async closeFor(pauseMs: number, host: string, port: number): Promise<void> {
     if (this.isClosed) {
-      // It is away for another reason and comes back by that.
+      // An earlier call has closed the port and reopens it.
       return;
     }
     this.isClosed = true;
@@ -47,7 +48,7 @@
     this.isClosed = false;
   }
 
-  /** Resets every connection. */
+  /** Resets all connections. */
   resetAll(): void {
     for (const socket of this.sockets) {
       socket.resetAndDestroy();
@@ -60,15 +61,15 @@
       return;
     }
     const target = connect(this.targetPort, this.targetHost);
-    this.join(client, target, 'cut-towards-target');
-    this.join(target, client, 'cut-from-target');
+    this.forward(client, target, 'cut-towards-target');
+    this.forward(target, client, 'cut-from-target');
   }
 
-  private join(from: Socket, to: Socket, cut: ProxyMood): void {
+  private forward(from: Socket, to: Socket, dropBehavior: ProxyBehavior): void {
     this.sockets.add(from);
     from.setNoDelay(true);
     from.on('data', (bytes: Buffer) => {
-      if (this.mood === cut) {
+      if (this.mood === dropBehavior) {
         return;
       }
       const delayMs = this.mood === 'delays' ? DELAY_MS : 0;
--- a/bench/soak/quota-run.ts
+++ b/bench/soak/quota-run.ts
@@ -1,6 +1,6 @@
 /**
- * Real gateways on loopback while one tenant asks for far more than its quota, another for less, and faults strike
- * the gateways or the back ends; what back ends ran is counted.
+ * Runs gateway processes on loopback under faults, while one tenant sends far more than its quota
+ * and another less, and counts the requests that back ends execute.
  */
 import { createServer, request as httpRequest, Agent } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -9,94 +9,95 @@
 import { StandinStore } from '../../test/support/platform-standin.js';
 import { GatewayProcesses } from './gateway-processes.js';
 
-/** What happens while the tenants ask. */
+/** The fault during the load. */
 export type QuotaFault =
   | 'none'
-  /** Half of the gateways stand still for a while, by turns. */
+  /** Half of the gateways are paused at a time, alternately. */
   | 'pauses'
-  /** All gateways are killed at once, again and again. */
+  /** All gateways are killed at once, periodically. */
   | 'kill-all'
-  /** The gateways are killed one after the other, round and round. */
+  /** The gateways are killed one after the other, in a round-robin order. */
   | 'kill-in-turn'
   /** Each gateway is killed once, one after the other. */
   | 'kill-each-once'
-  /** Back ends run a part of the requests and reset the connection. */
+  /** Back ends execute some requests and reset the connection instead of responding. */
   | 'lost-answers'
-  /** No gateway ever hears another; the store is reached. */
+  /** Gateways have no connections to each other, only to the store. */
   | 'apart';
 
-/** One run of a fleet. */
+/** Options of a run. */
 export interface QuotaRunOptions {
   readonly fault: QuotaFault;
   readonly gateways: number;
   readonly seed: number;
-  /** Time under the fault, in milliseconds. */
+  /** Duration of the fault and of the load, in milliseconds. */
   readonly lengthMs: number;
-  /** First of the ports; each host uses a few. */
+  /** First port; each host uses several. */
   readonly basePort: number;
 }
 
-/** What was seen. */
+/** Results of a run. */
 export interface QuotaRunReport {
-  /** Worst window of the greedy tenant, as a share of what it may have at most. */
+  /** Peak usage of the overloading tenant in a window, as a fraction of the allowed maximum. */
   readonly worstShare: number;
-  /** What the greedy tenant got, as a share of its rate. */
-  readonly rateShare: number;
-  /** Share of the calm tenant's requests that were refused as over its quota. */
+  /** Average usage of the overloading tenant, as a fraction of its rate. */
+  readonly averageShare: number;
+  /** Fraction of the moderate tenant's requests that were refused as over quota. */
   readonly calmRefused: number;
-  /** Requests that back ends ran more than once. */
+  /** Number of executions beyond the first of each request. */
   readonly furtherTries: number;
-  /** Folder with the processes' logs. */
+  /** Folder that contains the processes' logs. */
   readonly folder: string;
 }
 
 const RATE_PER_S = 20_000;
 const BURST = 20_000;
-const OVER = 0.1;
-const SLACK = 14_000;
+const OVER_FRACTION = 0.1;
+const SLACK_TOKENS = 14_000;
 const WINDOW_MS = 8_000;
-/** Most of one tenant that may be run in a window. */
-const BOUND = ((RATE_PER_S * WINDOW_MS) / 1_000 + BURST) * (1 + OVER) + SLACK;
-/** The tolerance of the bound, as gateways' settings name it. */
-const LIMITS = [
+/** Maximum tokens of one tenant that back ends may execute in a window. */
+const MAX_WINDOW_TOKENS =
+  ((RATE_PER_S * WINDOW_MS) / 1_000 + BURST) * (1 + OVER_FRACTION) + SLACK_TOKENS;
+/** Gateway settings for the tolerance of the quota. */
+const LIMIT_SETTINGS = [
   '[limits]',
-  `quotaOver = ${OVER}`,
-  `quotaSlack = ${SLACK}`,
+  `quotaOver = ${OVER_FRACTION}`,
+  `quotaSlack = ${SLACK_TOKENS}`,
   `quotaWindowS = ${WINDOW_MS / 1_000}`,
 ];
-const SIZES = [500, 2_500];
-const GREEDY = { name: 'greedy', key: 'greedy-key', timesRate: 5 };
-const CALM = { name: 'calm', key: 'calm-key', timesRate: 0.6 };
-const BACKENDS = 4;
-const WORK_MS = 10;
-const LOST_SHARE = 0.35;
-/** Time for the gateways to become ready and to know each other, in milliseconds. */
+const REQUEST_TOKENS = [500, 2_500];
+const OVERLOADING_TENANT = { name: 'greedy', key: 'greedy-key', rateFactor: 5 };
+const MODERATE_TENANT = { name: 'calm', key: 'calm-key', rateFactor: 0.6 };
+const BACKEND_COUNT = 4;
+const SERVICE_MS = 10;
+const LOST_FRACTION = 0.35;
+/** Time for ready gateways to connect to each other, in milliseconds. */
 const SETTLE_MS = 5_000;
-const TURN_MS = 500;
-const ONCE_TURN_MS = 700;
-const KILL_ALL_MS = 4_000;
-const PAUSE_MS = 1_100;
-const ASK_STEP_MS = 5;
+const KILL_INTERVAL_MS = 500;
+const SINGLE_KILL_INTERVAL_MS = 700;
+const KILL_ALL_INTERVAL_MS = 4_000;
+const PAUSE_INTERVAL_MS = 1_100;
+const SEND_INTERVAL_MS = 5;
 const MS_PER_S = 1_000;
 
-/** A request as its caller saw it. */
-interface Asked {
+/** A request that a caller sent, and its status. */
+interface SentRequest {
   readonly tenant: string;
   readonly tokens: number;
   readonly sentAtMs: number;
   status: number;
 }
 
-interface Run {
+interface Execution {
   readonly id: string;
   readonly atMs: number;
 }
 
-/** Plays one run and reports. */
+/** Runs one scenario and returns its results. */
 export async function runQuotas(options: QuotaRunOptions): Promise<QuotaRunReport> {
   const run = new QuotaRun(options);
   try {
-    return await run.play();
+    return await run.run();
   } finally {
     run.stop();
   }
@@ -107,8 +108,8 @@
   private readonly store = new StandinStore();
   private readonly processes: GatewayProcesses;
   private readonly servers: Server[] = [];
-  private readonly asked = new Map<string, Asked>();
-  private readonly runs: Run[] = [];
+  private readonly requests = new Map<string, SentRequest>();
+  private readonly executions: Execution[] = [];
   private readonly agent = new Agent({ keepAlive: true, maxSockets: 64 });
   private readonly timers = new Set<NodeJS.Timeout>();
 
@@ -118,24 +119,24 @@
     this.processes = new GatewayProcesses({ network: '127.0.3', basePort, folderName: 'quota' });
   }
 
-  async play(): Promise<QuotaRunReport> {
+  async run(): Promise<QuotaRunReport> {
     process.once('exit', () => this.stop());
     const store = await this.store.start();
     this.configure();
-    for (let index = 0; index < BACKENDS; index += 1) {
+    for (let index = 0; index < BACKEND_COUNT; index += 1) {
       await this.startBackend(index);
     }
     for (let index = 0; index < this.options.gateways; index += 1) {
       this.processes.startGateway(store, {
-        isApart: this.options.fault === 'apart',
-        lines: LIMITS,
+        isIsolated: this.options.fault === 'apart',
+        settingsLines: LIMIT_SETTINGS,
       });
     }
-    await this.processes.untilReady();
+    await this.processes.waitUntilReady();
     await delay(SETTLE_MS);
     const fromMs = performance.now();
-    this.every(ASK_STEP_MS, () => this.askDue(ASK_STEP_MS));
-    this.beginFault();
+    this.runEvery(SEND_INTERVAL_MS, () => this.sendDue(SEND_INTERVAL_MS));
+    this.startFault();
     await delay(this.options.lengthMs);
     const untilMs = performance.now();
     this.stopTimers();
@@ -159,8 +160,8 @@
     this.timers.clear();
   }
 
-  private every(periodMs: number, act: () => void): void {
-    this.timers.add(setInterval(act, periodMs));
+  private runEvery(periodMs: number, action: () => void): void {
+    this.timers.add(setInterval(action, periodMs));
   }
 
   private configure(): void {
@@ -181,13 +182,17 @@
         },
       ],
       services: [{ name: 'plain', maxConnections: 400 }],
-      tenants: [GREEDY, CALM].map(({ name, key }) => ({ name, apiKeys: [key], ...quota })),
+      tenants: [OVERLOADING_TENANT, MODERATE_TENANT].map(({ name, key }) => ({
+        name,
+        apiKeys: [key],
+        ...quota,
+      })),
     });
   }
 
   private async startBackend(index: number): Promise<void> {
     const id = `p-${index}`;
-    const server = createServer((request, response) => this.answer(id, request, response));
+    const server = createServer((request, response) => this.handleRequest(id, request, response));
     const host = `127.0.4.${10 + index}`;
     const port = this.options.basePort + 6;
     await new Promise<void>((resolve) => server.listen(port, host, resolve));
@@ -195,7 +200,7 @@
     this.store.announce(id, { address: `${host}:${port}`, service: 'plain', slots: 100 });
   }
 
-  private answer(id: string, request: IncomingMessage, response: ServerResponse): void {
+  private handleRequest(id: string, request: IncomingMessage, response: ServerResponse): void {
     const requestId = String(request.headers['x-weirvale-attempt-id']);
     request.resume();
     if (request.headers['x-weirvale-expect-instance'] !== id) {
@@ -203,38 +208,38 @@
       response.end();
       return;
     }
-    this.runs.push({ id: requestId, atMs: performance.now() });
-    if (this.options.fault === 'lost-answers' && this.random.next() < LOST_SHARE) {
+    this.executions.push({ id: requestId, atMs: performance.now() });
+    if (this.options.fault === 'lost-answers' && this.random.next() < LOST_FRACTION) {
       request.socket.resetAndDestroy();
       return;
     }
     setTimeout(() => {
       response.setHeader('X-Weirvale-Attempt-Id', requestId);
       response.end('done');
-    }, WORK_MS);
+    }, SERVICE_MS);
   }
 
-  private askDue(elapsedMs: number): void {
-    const meanTokens = SIZES.reduce((sum, size) => sum + size, 0) / SIZES.length;
-    for (const tenant of [GREEDY, CALM]) {
-      const perMs = (RATE_PER_S * tenant.timesRate) / MS_PER_S / meanTokens;
-      for (let due = perMs * elapsedMs; due > 0; due -= 1) {
-        if (this.random.next() < due) {
-          this.ask(tenant);
+  private sendDue(elapsedMs: number): void {
+    const meanTokens = REQUEST_TOKENS.reduce((sum, size) => sum + size, 0) / REQUEST_TOKENS.length;
+    for (const tenant of [OVERLOADING_TENANT, MODERATE_TENANT]) {
+      const perMs = (RATE_PER_S * tenant.rateFactor) / MS_PER_S / meanTokens;
+      for (let expectedCount = perMs * elapsedMs; expectedCount > 0; expectedCount -= 1) {
+        if (this.random.next() < expectedCount) {
+          this.sendRequest(tenant);
         }
       }
     }
   }
 
-  private ask({ name, key }: { readonly name: string; readonly key: string }): void {
-    const id = `${name}-${this.asked.size}`;
-    const tokens = SIZES[Math.floor(this.random.next() * SIZES.length)]!;
-    const index = Math.floor(this.random.next() * this.options.gateways);
-    const asked: Asked = { tenant: name, tokens, sentAtMs: performance.now(), status: 0 };
-    this.asked.set(id, asked);
-    const sent = httpRequest(
+  private sendRequest({ name, key }: { readonly name: string; readonly key: string }): void {
+    const id = `${name}-${this.requests.size}`;
+    const tokens = REQUEST_TOKENS[Math.floor(this.random.next() * REQUEST_TOKENS.length)]!;
+    const gatewayIndex = Math.floor(this.random.next() * this.options.gateways);
+    const record: SentRequest = { tenant: name, tokens, sentAtMs: performance.now(), status: 0 };
+    this.requests.set(id, record);
+    const clientRequest = httpRequest(
       {
-        host: this.processes.hostOf(index),
+        host: this.processes.hostOf(gatewayIndex),
         port: this.options.basePort + 1,
         path: `/read/${id}`,
         agent: this.agent,
@@ -247,68 +252,74 @@
         },
       },
       (response) => {
-        asked.status = response.statusCode ?? 0;
+        record.status = response.statusCode ?? 0;
         response.resume();
         response.on('error', () => undefined);
       },
     );
-    sent.on('error', () => undefined);
-    sent.end();
+    clientRequest.on('error', () => undefined);
+    clientRequest.end();
   }
 
-  private beginFault(): void {
+  private startFault(): void {
     const { fault, gateways } = this.options;
     const kill = (index: number) => this.processes.gateways[index % gateways]!.signal('SIGKILL');
-    let turn = 0;
+    let nextIndex = 0;
     if (fault === 'kill-in-turn') {
-      this.every(TURN_MS, () => kill(turn++));
+      this.runEvery(KILL_INTERVAL_MS, () => kill(nextIndex++));
     } else if (fault === 'kill-each-once') {
-      this.every(ONCE_TURN_MS, () => turn < gateways && kill(turn++));
+      this.runEvery(SINGLE_KILL_INTERVAL_MS, () => nextIndex < gateways && kill(nextIndex++));
     } else if (fault === 'kill-all') {
-      this.every(KILL_ALL_MS, () =>
+      this.runEvery(KILL_ALL_INTERVAL_MS, () =>
         this.processes.gateways.forEach((_gateway, index) => kill(index)),
       );
     } else if (fault === 'pauses') {
-      this.every(PAUSE_MS, () => this.pauseHalf(turn++));
+      this.runEvery(PAUSE_INTERVAL_MS, () => this.pauseHalf(nextIndex++));
     }
   }
 
-  private pauseHalf(turn: number): void {
+  private pauseHalf(parity: number): void {
     this.processes.gateways.forEach((gateway, index) =>
-      gateway.signal(index % 2 === turn % 2 ? 'SIGSTOP' : 'SIGCONT'),
+      gateway.signal(index % 2 === parity % 2 ? 'SIGSTOP' : 'SIGCONT'),
     );
   }
 
   private report(fromMs: number, untilMs: number): QuotaRunReport {
-    const ran = this.runs.flatMap(({ id, atMs }) => {
-      const asked = this.asked.get(id);
-      return asked?.tenant === GREEDY.name && atMs <= untilMs
-        ? [{ tokens: asked.tokens, sentAtMs: asked.sentAtMs, atMs }]
+    const executed = this.executions.flatMap(({ id, atMs }) => {
+      const sentRequest = this.requests.get(id);
+      return sentRequest?.tenant === OVERLOADING_TENANT.name && atMs <= untilMs
+        ? [{ tokens: sentRequest.tokens, sentAtMs: sentRequest.sentAtMs, atMs }]
         : [];
     });
-    const total = ran.reduce((sum, { tokens }) => sum + tokens, 0);
+    const total = executed.reduce((sum, { tokens }) => sum + tokens, 0);
     const seconds = (untilMs - fromMs) / MS_PER_S;
-    const calm = [...this.asked.values()].filter(({ tenant }) => tenant === CALM.name);
+    const moderate = [...this.requests.values()].filter(
+      ({ tenant }) => tenant === MODERATE_TENANT.name,
+    );
     return {
-      worstShare: worstWindow(ran) / BOUND,
-      rateShare: total / seconds / RATE_PER_S,
-      calmRefused: calm.filter(({ status }) => status === 429).length / calm.length,
-      furtherTries: this.runs.length - new Set(this.runs.map(({ id }) => id)).size,
+      worstShare: maxTokensInWindow(executed) / MAX_WINDOW_TOKENS,
+      averageShare: total / seconds / RATE_PER_S,
+      calmRefused: moderate.filter(({ status }) => status === 429).length / moderate.length,
+      furtherTries: this.executions.length - new Set(this.executions.map(({ id }) => id)).size,
       folder: this.processes.folder,
     };
   }
 }
 
-/** Most tokens that were both sent by callers and run by back ends within one window. */
-export function worstWindow(
-  ran: ReadonlyArray<{ readonly tokens: number; readonly sentAtMs: number; readonly atMs: number }>,
+/** Returns the maximum tokens that were both sent and executed within one window. */
+export function maxTokensInWindow(
+  executed: ReadonlyArray<{
+    readonly tokens: number;
+    readonly sentAtMs: number;
+    readonly atMs: number;
+  }>,
 ): number {
-  return ran.reduce((worst, { sentAtMs: fromMs }) => {
-    const sum = ran.reduce((tokens, each) => {
-      const isWithin = each.sentAtMs >= fromMs && each.atMs <= fromMs + WINDOW_MS;
-      return tokens + (isWithin ? each.tokens : 0);
+  return executed.reduce((max, { sentAtMs: fromMs }) => {
+    const sum = executed.reduce((tokens, execution) => {
+      const isWithin = execution.sentAtMs >= fromMs && execution.atMs <= fromMs + WINDOW_MS;
+      return tokens + (isWithin ? execution.tokens : 0);
     }, 0);
-    return Math.max(worst, sum);
+    return Math.max(max, sum);
   }, 0);
 }
 
--- a/bench/soak/soak-backend.ts
+++ b/bench/soak/soak-backend.ts
@@ -1,70 +1,72 @@
-/** A back end of the soak: answers by rule, notes each run, and fails now and then. */
+/** A simulated back end for soak tests, with random faults, that records each execution. */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { RandomSource } from '../../src/random.js';
-import type { SoakStatement, StatementRecord } from './soak-statements.js';
+import type { SoakStatement, StatementLog } from './soak-statements.js';
 
-/** One run of a request. */
-export interface BackendRun {
+/** One execution of a request at a back end. */
+export interface Execution {
   readonly requestId: string;
   readonly backendId: string;
   readonly path: string;
   readonly tenant: string | undefined;
   readonly atMs: number;
-  /** Whether the back end is cold, and its link passes on what is sent without delay. */
+  /** Whether the back end is cold and its link forwards without delay. */
   readonly countsAsColdStart: boolean;
 }
 
-/** Shares of requests that a back end treats badly. */
+/** Probabilities, 0 to 1, of the faults of a back end. */
 export interface BackendFaults {
-  /** Refused as not executed. */
+  /** Refuses the request as not executed. */
   refuses: number;
-  /** Run, and the connection reset before the answer. */
+  /** Executes the request and resets the connection before the response. */
   loses: number;
-  /** Run, and the answer broken off. */
+  /** Executes the request and resets the connection in the middle of the response. */
   breaks: number;
 }
 
-const WORK_MS = 20;
-const EVENTS = 8;
-const EVENT_MS = 15;
+const SERVICE_MS = 20;
+const EVENT_COUNT = 8;
+const EVENT_INTERVAL_MS = 15;
 
-/** The whole answer to a request, wherever it runs. */
-export function expectedAnswer(requestId: string, isStream: boolean): string {
+/** Returns the complete response body of a request, which is the same at every back end. */
+export function expectedResponse(requestId: string, isStream: boolean): string {
   return isStream
-    ? Array.from({ length: EVENTS }, (_none, index) => eventOf(requestId, index + 1)).join('')
+    ? Array.from({ length: EVENT_COUNT }, (_none, index) => formatEvent(requestId, index + 1)).join(
+        '',
+      )
     : `answer to ${requestId}`;
 }
 
-function eventOf(requestId: string, number: number): string {
+function formatEvent(requestId: string, number: number): string {
   return `id: ${number}\ndata: ${requestId} ${number}\n\n`;
 }
 
-/** A back end of the soak. */
+/** A simulated back end. */
 export class SoakBackend {
   readonly faults: BackendFaults = { refuses: 0, loses: 0, breaks: 0 };
   private readonly server: Server;
-  /** Until when it is cold, in milliseconds. */
+  /** End of its cold period, by `performance.now()`, in milliseconds. */
   coldUntilMs = 0;
-  /** Start of its present life, as it announces it, in Unix milliseconds. */
+  /** Start time of its current incarnation, as announced, in Unix milliseconds. */
   bornAtMs = Date.now();
-  /** What its answers say of itself. */
+  /** The statement that its responses carry, if any. */
   statement: SoakStatement | undefined;
-  /** What each life said and received, by its name and start. */
-  readonly statementRecords = new Map<string, StatementRecord>();
-  private running = 0;
+  /** Statements and arrivals of each incarnation, by name and start time. */
+  readonly statementLogs = new Map<string, StatementLog>();
+  private runningCount = 0;
 
   constructor(
     public id: string,
     private readonly random: RandomSource,
-    private readonly onRun: (run: BackendRun) => void,
-    private readonly isLinkWell: () => boolean,
+    private readonly onExecution: (execution: Execution) => void,
+    private readonly isLinkHealthy: () => boolean,
   ) {
     this.server = createServer((request, response) => this.receive(request, response));
     this.server.keepAliveTimeout = 10_000;
   }
 
-  /** Listens; returns once it does. */
+  /** Starts to listen; resolves once the port is bound. */
   async start(host: string, port: number): Promise<void> {
     await new Promise<void>((resolve) => this.server.listen(port, host, resolve));
   }
@@ -76,14 +78,14 @@
 
   private receive(request: IncomingMessage, response: ServerResponse): void {
     if (request.url === '/-/report') {
-      response.end(JSON.stringify({ waiting: 0, running: this.running, born: this.bornAtMs }));
+      response.end(JSON.stringify({ waiting: 0, running: this.runningCount, born: this.bornAtMs }));
       return;
     }
     request.resume();
-    request.on('end', () => this.answer(request, response));
+    request.on('end', () => this.handleRequest(request, response));
   }
 
-  private answer(request: IncomingMessage, response: ServerResponse): void {
+  private handleRequest(request: IncomingMessage, response: ServerResponse): void {
     const requestId = String(request.headers['x-weirvale-attempt-id']);
     response.setHeader('X-Weirvale-Attempt-Id', requestId);
     if (request.headers['x-weirvale-expect-instance'] !== this.id) {
@@ -91,8 +93,8 @@
       response.end();
       return;
     }
-    this.statementRecord.arrivals.push({ requestId, atMs: performance.now() });
-    if (this.makeStatement(response, requestId)) {
+    this.statementLog.arrivals.push({ requestId, atMs: performance.now() });
+    if (this.sendStatement(response, requestId)) {
       return;
     }
     if (this.random.next() < this.faults.refuses) {
@@ -100,26 +102,27 @@
       response.end();
       return;
     }
-    this.run(request, response, requestId);
+    this.execute(request, response, requestId);
   }
 
-  private get statementRecord(): StatementRecord {
-    const life = `${this.id}@${this.bornAtMs}`;
-    const known = this.statementRecords.get(life) ?? { arrivals: [], told: [] };
-    this.statementRecords.set(life, known);
-    return known;
+  private get statementLog(): StatementLog {
+    const incarnation = `${this.id}@${this.bornAtMs}`;
+    const log = this.statementLogs.get(incarnation) ?? { arrivals: [], statements: [] };
+    this.statementLogs.set(incarnation, log);
+    return log;
   }
 
-  /** Makes its statement in the answer, and says whether that is the whole answer. */
-  private makeStatement(response: ServerResponse, requestId: string): boolean {
-    const { statement, statementRecord } = this;
+  /** Adds its statement to the response; returns whether this completed the response. */
+  private sendStatement(response: ServerResponse, requestId: string): boolean {
+    const { statement, statementLog } = this;
     if (statement === undefined) {
       return false;
     }
-    const note = () => statementRecord.told.push({ requestId, atMs: performance.now(), statement });
+    const record = () =>
+      statementLog.statements.push({ requestId, atMs: performance.now(), statement });
     if (statement.kind === 'rest') {
       const leftMs = Math.max(1, statement.untilMs - performance.now());
-      note();
+      record();
       response.writeHead(503, {
         'X-Weirvale-Not-Executed': '1',
         'Retry-After': (leftMs / 1_000).toFixed(3),
@@ -132,64 +135,64 @@
     } else {
       response.setHeader('Server-Leaving', '1');
     }
-    response.on('finish', note);
+    response.on('finish', record);
     return false;
   }
 
-  private run(request: IncomingMessage, response: ServerResponse, requestId: string): void {
+  private execute(request: IncomingMessage, response: ServerResponse, requestId: string): void {
     const tenant = request.headers['x-weirvale-tenant'];
-    this.onRun({
+    this.onExecution({
       requestId,
       backendId: this.id,
       path: request.url ?? '',
       tenant: Array.isArray(tenant) ? tenant[0] : tenant,
       atMs: performance.now(),
-      countsAsColdStart: performance.now() < this.coldUntilMs && this.isLinkWell(),
+      countsAsColdStart: performance.now() < this.coldUntilMs && this.isLinkHealthy(),
     });
-    this.running += 1;
-    response.on('close', () => (this.running -= 1));
+    this.runningCount += 1;
+    response.on('close', () => (this.runningCount -= 1));
     if (this.random.next() < this.faults.loses) {
       request.socket.resetAndDestroy();
       return;
     }
     const isStream = (request.url ?? '').startsWith('/stream/');
-    const breaksOff = this.random.next() < this.faults.breaks;
+    const isCut = this.random.next() < this.faults.breaks;
     if (isStream) {
       const from = Number(request.headers['last-event-id'] ?? 0);
       response.writeHead(200, { 'Content-Type': 'text/event-stream' });
-      this.stream(response, requestId, from + 1, breaksOff);
+      this.stream(response, requestId, from + 1, isCut);
       return;
     }
     setTimeout(() => {
-      const body = expectedAnswer(requestId, false);
+      const body = expectedResponse(requestId, false);
       response.writeHead(200, { 'Content-Length': body.length });
-      if (breaksOff) {
+      if (isCut) {
         response.write(body.slice(0, 5), () => request.socket.resetAndDestroy());
       } else {
         response.end(body);
       }
-    }, WORK_MS);
+    }, SERVICE_MS);
   }
 
   private stream(
     response: ServerResponse,
     requestId: string,
     number: number,
-    breaksOff: boolean,
+    isCut: boolean,
   ): void {
     if (response.destroyed) {
       return;
     }
-    if (number > EVENTS) {
+    if (number > EVENT_COUNT) {
       response.end();
       return;
     }
-    const event = eventOf(requestId, number);
-    if (breaksOff && number === EVENTS / 2) {
+    const event = formatEvent(requestId, number);
+    if (isCut && number === EVENT_COUNT / 2) {
       response.write(event.slice(0, 6), () => response.socket?.resetAndDestroy());
       return;
     }
     response.write(event);
-    setTimeout(() => this.stream(response, requestId, number + 1, breaksOff), EVENT_MS);
+    setTimeout(() => this.stream(response, requestId, number + 1, isCut), EVENT_INTERVAL_MS);
   }
 }
--- a/bench/soak/soak-faults.ts
+++ b/bench/soak/soak-faults.ts
@@ -1,63 +1,68 @@
-/** The faults of a soak, drawn from its seed; they come in series and overlap. */
+/** Random faults of a soak test, sequential and overlapping, drawn from its seed. */
 import type { RandomSource } from '../../src/random.js';
 import { randomInteger } from '../../src/random.js';
-import type { ProxyMood } from './loopback-proxy.js';
+import type { ProxyBehavior } from './loopback-proxy.js';
 import type { SoakFleet, SoakProcess } from './soak-fleet.js';
 
-/** How long after a fault the processes it touched may still be behind, in milliseconds. */
-const AFTERMATH_MS = 3_500;
-const STOP_MS = 4_500;
-/** Time from the announcement of a leave to the next incarnation. */
+/** Time after a fault in which the affected processes may still recover, in milliseconds. */
+const RECOVERY_MS = 3_500;
+const SHUTDOWN_MS = 4_500;
+/** Time from the announcement of the draining state to the next incarnation, in milliseconds. */
 const DRAIN_MS = 4_000;
-/** How long evacuations stand, in milliseconds: some into the calm at the end, where nothing excuses a gateway. */
+/**
+ * Duration of an evacuation, in milliseconds. Some last into the fault-free period at the end,
+ * where no fault excuses a violation.
+ */
 const EVACUATION_MIN_MS = 500;
 const EVACUATION_MAX_MS = 9_000;
-/** Time after an outage until a back end announces itself again. */
-const REANNOUNCE_MS = 1_000;
+/** Time from an outage to the renewed announcement of a back end, in milliseconds. */
+const REANNOUNCE_DELAY_MS = 1_000;
 
-/** Does one fault; returns what it was. */
+/** Injects one fault; returns its description. */
 type Fault = (fleet: SoakFleet, random: RandomSource) => string;
 
 function pick<Item>(random: RandomSource, items: readonly Item[]): Item {
   return items[randomInteger(random, 0, items.length - 1)]!;
 }
 
-function disturb(processes: readonly SoakProcess[], forMs: number): void {
-  for (const each of processes) {
-    const untilMs = performance.now() + forMs + AFTERMATH_MS;
-    each.disturbedUntilMs = Math.max(each.disturbedUntilMs, untilMs);
+function markDisrupted(processes: readonly SoakProcess[], durationMs: number): void {
+  for (const affected of processes) {
+    const untilMs = performance.now() + durationMs + RECOVERY_MS;
+    affected.disruptedUntilMs = Math.max(affected.disruptedUntilMs, untilMs);
   }
 }
 
 const FAULTS: readonly Fault[] = [
   function killGateway(fleet, random) {
     const gateway = pick(random, fleet.gateways);
-    disturb([gateway], 0);
+    markDisrupted([gateway], 0);
     gateway.signal('SIGKILL');
     return `kill ${gateway.name}`;
   },
   function stopGateway(fleet, random) {
     const gateway = pick(random, fleet.gateways);
-    disturb([gateway], STOP_MS);
+    markDisrupted([gateway], SHUTDOWN_MS);
     gateway.signal('SIGTERM');
     return `stop ${gateway.name}`;
   },
   function pauseGateway(fleet, random) {
     const gateway = pick(random, fleet.gateways);
-    const forMs = randomInteger(random, 200, 1_500);
-    disturb([gateway], forMs);
+    const durationMs = randomInteger(random, 200, 1_500);
+    markDisrupted([gateway], durationMs);
     gateway.signal('SIGSTOP');
-    setTimeout(() => gateway.signal('SIGCONT'), forMs);
-    return `pause ${gateway.name} for ${forMs} ms`;
+    setTimeout(() => gateway.signal('SIGCONT'), durationMs);
+    return `pause ${gateway.name} for ${durationMs} ms`;
   },
-  /** As a machine that loses power: its connections say nothing, then it starts anew. */
-  function loseGateway(fleet, random) {
+  /**
+   * Simulates a power loss: the connections go silent before the process is killed and restarts.
+   */
+  function losePower(fleet, random) {
     const gateway = pick(random, fleet.gateways);
-    const forMs = randomInteger(random, 700, 2_000);
-    disturb([gateway], forMs);
+    const durationMs = randomInteger(random, 700, 2_000);
+    markDisrupted([gateway], durationMs);
     gateway.signal('SIGSTOP');
-    setTimeout(() => gateway.signal('SIGKILL'), forMs);
-    return `lose ${gateway.name}, silent for ${forMs} ms`;
+    setTimeout(() => gateway.signal('SIGKILL'), durationMs);
+    return `power loss of ${gateway.name}, silent for ${durationMs} ms`;
   },
   function reloadGateway(fleet, random) {
     const gateway = pick(random, fleet.gateways);
@@ -71,128 +76,142 @@
   },
   function pauseAgent(fleet, random) {
     const agent = pick(random, fleet.agents);
-    const forMs = randomInteger(random, 300, 2_500);
+    const durationMs = randomInteger(random, 300, 2_500);
     agent.signal('SIGSTOP');
-    setTimeout(() => agent.signal('SIGCONT'), forMs);
-    return `pause ${agent.name} for ${forMs} ms`;
-  },
-  function troubleStore(fleet, random) {
-    const mood = pick(random, ['refuses', 'silent', 'resets'] as const);
-    const forMs = randomInteger(random, 300, 2_000);
-    disturb(fleet.gateways, forMs);
-    fleet.store.mood = mood;
-    setTimeout(() => (fleet.store.mood = 'answers'), forMs);
-    return `store ${mood} for ${forMs} ms`;
-  },
-  function forgetHistory(fleet) {
+    setTimeout(() => agent.signal('SIGCONT'), durationMs);
+    return `pause ${agent.name} for ${durationMs} ms`;
+  },
+  function failStore(fleet, random) {
+    const behavior = pick(random, ['refuses', 'silent', 'resets'] as const);
+    const durationMs = randomInteger(random, 300, 2_000);
+    markDisrupted(fleet.gateways, durationMs);
+    fleet.store.mood = behavior;
+    setTimeout(() => (fleet.store.mood = 'answers'), durationMs);
+    return `store ${behavior} for ${durationMs} ms`;
+  },
+  function dropHistory(fleet) {
     fleet.store.forgetHistory();
-    return 'store forgets its history';
+    return 'store drops its change history';
   },
-  function cutStore(fleet, random) {
+  function failStoreLink(fleet, random) {
     const index = randomInteger(random, 0, fleet.gateways.length - 1);
-    return troubleProxy(random, fleet.storeProxies[index]!, [fleet.gateways[index]!]);
+    return injectLinkFault(random, fleet.storeProxies[index]!, [fleet.gateways[index]!]);
   },
-  function troubleBackendLink(fleet, random) {
-    return troubleProxy(random, pick(random, fleet.backendProxies), fleet.gateways);
+  function failBackendLink(fleet, random) {
+    return injectLinkFault(random, pick(random, fleet.backendProxies), fleet.gateways);
   },
-  /** As a zone that is cut off: its agents are not heard, and requests to its engines hang one way. */
-  function cutZone(fleet, random) {
+  /**
+   * Simulates a partitioned zone: its agents are silent and its engines are cut off in one
+   * direction.
+   */
+  function partitionZone(fleet, random) {
     const zone = randomInteger(random, 0, 1);
-    const mood = pick(random, ['cut-towards-target', 'cut-from-target'] as const);
-    const forMs = randomInteger(random, 1_200, 3_000);
-    const isInZone = (_each: unknown, index: number) => index % 2 === zone;
+    const behavior = pick(random, ['cut-towards-target', 'cut-from-target'] as const);
+    const durationMs = randomInteger(random, 1_200, 3_000);
+    const isInZone = (_process: unknown, index: number) => index % 2 === zone;
     const agents = fleet.agents.filter(isInZone);
     const proxies = fleet.backendProxies.filter(isInZone);
-    disturb(fleet.gateways, forMs);
+    markDisrupted(fleet.gateways, durationMs);
     agents.forEach((agent) => agent.signal('SIGSTOP'));
-    proxies.forEach((proxy) => (proxy.mood = mood));
+    proxies.forEach((proxy) => (proxy.mood = behavior));
     setTimeout(() => {
       agents.forEach((agent) => agent.signal('SIGCONT'));
       proxies.forEach((proxy) => {
         proxy.mood = 'passes';
         proxy.resetAll();
       });
-    }, forMs);
-    return `half of the engines ${mood} for ${forMs} ms, their agents unheard`;
+    }, durationMs);
+    return `engines of one zone ${behavior} for ${durationMs} ms, their agents paused`;
   },
   function failBackend(fleet, random) {
     const backend = pick(random, fleet.backends);
-    const forMs = randomInteger(random, 500, 2_000);
+    const durationMs = randomInteger(random, 500, 2_000);
     Object.assign(backend.faults, { refuses: 0.2, loses: 0.1, breaks: 0.2 });
-    setTimeout(() => Object.assign(backend.faults, { refuses: 0, loses: 0, breaks: 0 }), forMs);
-    return `${backend.id} fails for ${forMs} ms`;
+    setTimeout(
+      () => Object.assign(backend.faults, { refuses: 0, loses: 0, breaks: 0 }),
+      durationMs,
+    );
+    return `${backend.id} fails for ${durationMs} ms`;
   },
   function replaceBackend(fleet, random) {
     const index = randomInteger(random, 0, fleet.backends.length - 1);
     fleet.replaceBackend(index);
-    return `another back end at the address of ${index}`;
+    return `back end ${index} is replaced at its address`;
   },
   function drainBackend(fleet, random) {
     const index = randomInteger(random, 0, fleet.backends.length - 1);
     fleet.drainBackend(index);
     setTimeout(() => fleet.replaceBackend(index), DRAIN_MS);
-    return `back end ${index} leaves`;
+    return `back end ${index} is draining`;
   },
-  function lapseInOutage(fleet, random) {
+  function expireDuringOutage(fleet, random) {
     const index = randomInteger(random, 0, fleet.backends.length - 1);
-    const forMs = randomInteger(random, 600, 1_500);
-    disturb(fleet.gateways, forMs);
+    const durationMs = randomInteger(random, 600, 1_500);
+    markDisrupted(fleet.gateways, durationMs);
     fleet.store.mood = 'refuses';
-    fleet.lapseBackend(index);
-    setTimeout(() => (fleet.store.mood = 'answers'), forMs);
-    setTimeout(() => fleet.announce(index, 'ready'), forMs + REANNOUNCE_MS);
-    return `back end ${index} lapses in an outage of the store of ${forMs} ms`;
+    fleet.expireAnnouncement(index);
+    setTimeout(() => (fleet.store.mood = 'answers'), durationMs);
+    setTimeout(() => fleet.announce(index, 'ready'), durationMs + REANNOUNCE_DELAY_MS);
+    return `announcement of back end ${index} expires during a store outage of ${durationMs} ms`;
   },
   function evacuateZone(fleet, random) {
     const index = randomInteger(random, 0, fleet.backends.length - 1);
-    const forMs = randomInteger(random, EVACUATION_MIN_MS, EVACUATION_MAX_MS);
+    const durationMs = randomInteger(random, EVACUATION_MIN_MS, EVACUATION_MAX_MS);
     const evacuation = fleet.evacuate(index);
-    setTimeout(() => fleet.takeBack(evacuation), forMs).unref();
-    return `the zone of back end ${index} is evacuated for ${forMs} ms`;
+    setTimeout(() => fleet.endEvacuation(evacuation), durationMs).unref();
+    return `zone of back end ${index} is evacuated for ${durationMs} ms`;
   },
   function changeConfiguration(fleet) {
     fleet.changeConfiguration();
-    return 'change of the configuration';
+    return 'configuration change';
   },
 ];
 
-function troubleProxy(
+function injectLinkFault(
   random: RandomSource,
   proxy: SoakFleet['storeProxies'][number],
-  touched: readonly SoakProcess[],
+  affected: readonly SoakProcess[],
 ): string {
-  const moods: readonly ProxyMood[] = ['delays', 'resets', 'cut-towards-target', 'cut-from-target'];
-  const mood = pick(random, moods);
-  const forMs = randomInteger(random, 300, 1_500);
-  disturb(touched, forMs);
-  proxy.mood = mood;
-  if (mood === 'resets') {
+  const behaviors: readonly ProxyBehavior[] = [
+    'delays',
+    'resets',
+    'cut-towards-target',
+    'cut-from-target',
+  ];
+  const behavior = pick(random, behaviors);
+  const durationMs = randomInteger(random, 300, 1_500);
+  markDisrupted(affected, durationMs);
+  proxy.mood = behavior;
+  if (behavior === 'resets') {
     proxy.resetAll();
   }
   setTimeout(() => {
     proxy.mood = 'passes';
     proxy.resetAll();
-  }, forMs);
-  return `link ${mood} for ${forMs} ms`;
+  }, durationMs);
+  return `link ${behavior} for ${durationMs} ms`;
 }
 
-/** Does one fault drawn from `random`. */
-export function doFault(fleet: SoakFleet, random: RandomSource): string {
+/** Injects a fault drawn from `random`; returns its description. */
+export function injectFault(fleet: SoakFleet, random: RandomSource): string {
   return pick(random, FAULTS)(fleet, random);
 }
 
-/** The store comes back from a copy, and operators and back ends write again soon after what that lacks. */
-export function restoreStore(fleet: SoakFleet, random: RandomSource): string {
-  const mood = pick(random, ['refuses', 'silent', 'resets'] as const);
-  const awayMs = randomInteger(random, 0, 2_000);
-  const copyAgeMs = randomInteger(random, 200, 10_000);
+/**
+ * Restores the store from a backup, after which operators and back ends soon rewrite what the
+ * backup lacks; returns a description.
+ */
+export function restoreStoreFromBackup(fleet: SoakFleet, random: RandomSource): string {
+  const behavior = pick(random, ['refuses', 'silent', 'resets'] as const);
+  const outageMs = randomInteger(random, 0, 2_000);
+  const backupAgeMs = randomInteger(random, 200, 10_000);
   const rewriteMs = randomInteger(random, 50, 500);
-  disturb(fleet.gateways, awayMs + rewriteMs);
-  fleet.store.mood = mood;
+  markDisrupted(fleet.gateways, outageMs + rewriteMs);
+  fleet.store.mood = behavior;
   setTimeout(() => {
-    const lost = fleet.store.restore(copyAgeMs + awayMs);
+    const reverted = fleet.store.restore(backupAgeMs + outageMs);
     fleet.store.mood = 'answers';
-    setTimeout(() => fleet.store.writeAgain(lost), rewriteMs);
-  }, awayMs);
-  return `store ${mood} for ${awayMs} ms, then as ${copyAgeMs} ms before`;
+    setTimeout(() => fleet.store.writeAgain(reverted), rewriteMs);
+  }, outageMs);
+  return `store ${behavior} for ${outageMs} ms, then as it was ${backupAgeMs} ms before`;
 }
--- a/bench/soak/soak-fleet.ts
+++ b/bench/soak/soak-fleet.ts
@@ -1,4 +1,6 @@
-/** The real programs as separate processes on loopback, with the store and the back ends as stand-ins. */
+/**
+ * A fleet of gateway and agent processes on loopback, with a fake store and simulated back ends.
+ */
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
 import { mkdtempSync, openSync, writeFileSync } from 'node:fs';
@@ -8,48 +10,48 @@
 import { StandinStore } from '../../test/support/platform-standin.js';
 import { LoopbackProxy } from './loopback-proxy.js';
 import { SoakBackend } from './soak-backend.js';
-import type { BackendRun } from './soak-backend.js';
+import type { Execution } from './soak-backend.js';
 import {
-  FIXED_HOME,
-  homesOfVersion,
-  MOVED_HOME,
+  FIXED_REGION_ROUTE,
+  allowedRegionsOfVersion,
+  CHANGING_REGION_ROUTE,
   SOAK_REGIONS,
   SOAK_ZONES,
   zoneOf,
 } from './soak-homes.js';
-import type { HomeChange } from './soak-homes.js';
+import type { RegionChange } from './soak-homes.js';
 import { routePrefix } from './soak-routes.js';
 import type { RouteChange } from './soak-routes.js';
 
-/** Sizes of a soak. */
+/** Size of the fleet. */
 export interface SoakSizes {
   readonly gateways: number;
   readonly engines: number;
 }
 
-/** Longest time that a request may be held, in milliseconds. */
+/** Deadline of each request, in milliseconds. */
 export const SOAK_TIMEOUT_MS = 2_500;
-/** Key of the one tenant. */
-export const SOAK_KEY = 'soak-key';
+/** API key of the only tenant. */
+export const SOAK_API_KEY = 'soak-key';
 
-/** How long a back end is cold after its start, in milliseconds, and what it bears in a second meanwhile. */
+/** Duration of a cold start, in milliseconds, and the requests per second allowed during it. */
 const COLD_MS = 2_000;
 const COLD_PER_S = 14;
-const COLD_OVER = 1.5;
+const COLD_OVER_FACTOR = 1.5;
 const COLD_SLACK = 5;
-/** Most requests in one second, over all gateways, at a cold back end. */
-export const SOAK_COLD_BOUND = COLD_PER_S * COLD_OVER + COLD_SLACK;
+/** Maximum requests per second, from all gateways together, at a cold back end. */
+export const SOAK_MAX_COLD_STARTS = COLD_PER_S * COLD_OVER_FACTOR + COLD_SLACK;
 
 const PROGRAM = 'target/weirvale.cjs';
-const GRACE_S = 4;
+const STOP_GRACE_S = 4;
 const PORTS = { callers: 1, readiness: 2, peers: 3, storeProxy: 4, agent: 5, backend: 6, real: 7 };
 
-/** One program that can be signalled and started again. */
+/** A process that can be signalled and restarts after it exits. */
 export class SoakProcess {
-  /** Until when its requests may fail because of what was done to it, in milliseconds. */
-  disturbedUntilMs = 0;
+  /** End of the period in which its requests may fail because of a fault, in milliseconds. */
+  disruptedUntilMs = 0;
   private child: ChildProcess | undefined;
-  private isWanted = true;
+  private shouldRestart = true;
 
   constructor(
     readonly name: string,
@@ -65,37 +67,37 @@
     });
     this.child = child;
     child.on('exit', () => {
-      if (this.isWanted && this.child === child) {
-        setTimeout(() => this.isWanted && this.start(), 150);
+      if (this.shouldRestart && this.child === child) {
+        setTimeout(() => this.shouldRestart && this.start(), 150);
       }
     });
   }
 
-  /** Signals the process that this object started, by its id. */
+  /** Sends a signal to the process that this object started. */
   signal(name: NodeJS.Signals): void {
     this.child?.kill(name);
   }
 
   stop(): void {
-    this.isWanted = false;
+    this.shouldRestart = false;
     this.signal('SIGCONT');
     this.signal('SIGKILL');
   }
 }
 
-/** How long a back end that starts again under its name is away, in milliseconds. */
-const REBORN_AWAY_MS = 700;
+/** Downtime of a back end that restarts under its name, in milliseconds. */
+const RESTART_DOWNTIME_MS = 700;
 
-/** A standing order to send nothing to a back end's zone. */
+/** An evacuation of a back end's zone. */
 export interface SoakEvacuation {
-  /** Index of the one back end in the zone. */
+  /** Index of the back end whose zone is evacuated. */
   readonly index: number;
   readonly fromMs: number;
-  /** Infinity until it is taken back. */
+  /** Infinity while the evacuation is active. */
   untilMs: number;
 }
 
-/** Everything that a soak starts. */
+/** All processes and servers of a soak test. */
 export class SoakFleet {
   readonly store = new StandinStore();
   readonly gateways: SoakProcess[] = [];
@@ -104,36 +106,36 @@
   readonly backendProxies: LoopbackProxy[] = [];
   readonly backends: SoakBackend[] = [];
   readonly folder = mkdtempSync(join(tmpdir(), 'weirvale-soak-'));
-  /** When back ends announced that they leave, by id. */
-  readonly drainedAtMs = new Map<string, number>();
-  /** The homes that were put in force, oldest first. */
-  readonly homeChanges: HomeChange[] = [];
+  /** Time at which back ends announced that they are draining, by id. */
+  readonly drainingSinceMs = new Map<string, number>();
+  /** Changes of the allowed regions of the `moved` route, oldest first. */
+  readonly regionChanges: RegionChange[] = [];
   readonly evacuations: SoakEvacuation[] = [];
-  /** The configurations that were put in force, oldest first. */
+  /** Configurations that were written, oldest first. */
   readonly routeChanges: RouteChange[] = [];
-  private homesVersion = 0;
-  /** Back ends that were given another life so far. */
-  private replaced = 0;
+  private regionsVersion = 0;
+  /** Number of incarnations started by `replaceBackend`. */
+  private replacementCount = 0;
 
   constructor(
     private readonly sizes: SoakSizes,
     private readonly basePort: number,
     private readonly random: RandomSource,
-    private readonly onRun: (run: BackendRun) => void,
+    private readonly onExecution: (execution: Execution) => void,
   ) {}
 
-  /** Base URL of a gateway's callers' interface. */
+  /** Returns the address on which a gateway accepts callers. */
   callersAddress(index: number): { host: string; port: number } {
     return { host: gatewayHost(index), port: this.basePort + PORTS.callers };
   }
 
-  /** URL of a gateway's readiness. */
+  /** Returns the URL of a gateway's readiness endpoint. */
   readinessUrl(index: number): string {
     return `http://${gatewayHost(index)}:${this.basePort + PORTS.readiness}/-/ready`;
   }
 
   async start(): Promise<void> {
-    // Whatever ends the soak, nothing that it started outlives it.
+    // Kills the child processes however the soak test ends.
     process.once('exit', () => this.stop());
     const [storeHost, storePort] = (await this.store.start()).split(':');
     this.changeConfiguration();
@@ -149,23 +151,23 @@
   }
 
   stop(): void {
-    [...this.gateways, ...this.agents].forEach((each) => each.stop());
+    [...this.gateways, ...this.agents].forEach((child) => child.stop());
     [...this.storeProxies, ...this.backendProxies].forEach((proxy) => proxy.stop());
     this.backends.forEach((backend) => backend.stop());
     this.store.stop();
   }
 
-  /** Puts a new version of the configuration in force. */
+  /** Writes a configuration with other allowed regions and another route. */
   changeConfiguration(): void {
-    this.homesVersion += 1;
-    this.homeChanges.push({
+    this.regionsVersion += 1;
+    this.regionChanges.push({
       atMs: performance.now(),
-      regions: homesOfVersion(this.homesVersion),
+      regions: allowedRegionsOfVersion(this.regionsVersion),
     });
     this.changeRoutes();
   }
 
-  /** Puts a configuration in force that has another route and the same homes. */
+  /** Writes a configuration with another route and the same allowed regions. */
   changeRoutes(): void {
     const version = this.routeChanges.length + 1;
     this.routeChanges.push({ version, atMs: performance.now() });
@@ -182,16 +184,19 @@
       priority: 1,
       service: 'engines',
     });
-    const regions = homesOfVersion(this.homesVersion);
+    const regions = allowedRegionsOfVersion(this.regionsVersion);
     this.store.put('op/config', {
       version,
       routes: [
         route('safe', 'safe', false),
         route('unsafe', 'unsafe', false),
         route('stream', 'streaming', true),
-        { ...route(FIXED_HOME.name, 'safe', false), allowedRegions: FIXED_HOME.regions },
-        { ...route(MOVED_HOME, 'safe', false), allowedRegions: regions },
-        // Nobody serves it: an answer tells that the route is known, and no back end is troubled.
+        {
+          ...route(FIXED_REGION_ROUTE.name, 'safe', false),
+          allowedRegions: FIXED_REGION_ROUTE.regions,
+        },
+        { ...route(CHANGING_REGION_ROUTE, 'safe', false), allowedRegions: regions },
+        // Its service has no back end: a response shows whether the route is known, at no load.
         {
           ...route('asked', 'safe', false),
           pathPrefix: routePrefix(version),
@@ -209,11 +214,11 @@
           coldPerS: COLD_PER_S,
         },
       ],
-      tenants: [{ name: 'shop', apiKeys: [SOAK_KEY] }],
+      tenants: [{ name: 'shop', apiKeys: [SOAK_API_KEY] }],
     });
   }
 
-  /** Announces a back end. */
+  /** Writes the announcement of a back end to the store. */
   announce(index: number, state: 'ready' | 'draining'): void {
     const address = `${backendHost(index)}:${this.basePort + PORTS.backend}`;
     const { id, bornAtMs, coldUntilMs } = this.backends[index]!;
@@ -223,13 +228,13 @@
     this.store.announce(id, { address, ...fields, born: bornAtMs });
   }
 
-  /** A back end announces that it leaves; what was sent there later than the bound is a violation. */
+  /** Announces that a back end is draining; requests sent to it after the bound are violations. */
   drainBackend(index: number): void {
-    this.drainedAtMs.set(this.backends[index]!.id, performance.now());
+    this.drainingSinceMs.set(this.backends[index]!.id, performance.now());
     this.announce(index, 'draining');
   }
 
-  /** Operators evacuate a back end's zone; what is sent there later than the bound is a violation. */
+  /** Evacuates a back end's zone; requests sent there after the bound are violations. */
   evacuate(index: number): SoakEvacuation {
     const evacuation = { index, fromMs: performance.now(), untilMs: Infinity };
     this.evacuations.push(evacuation);
@@ -237,8 +242,8 @@
     return evacuation;
   }
 
-  /** Operators take the zone back, unless another order for it stands. */
-  takeBack(evacuation: SoakEvacuation): void {
+  /** Ends the evacuation of the zone, unless another evacuation of it is active. */
+  endEvacuation(evacuation: SoakEvacuation): void {
     evacuation.untilMs = performance.now();
     const zone = zoneOf(evacuation.index);
     const isOfZone = ({ index }: SoakEvacuation) => zoneOf(index) === zone;
@@ -247,46 +252,47 @@
     }
   }
 
-  /** The announcement of a back end lapses though it lives. */
-  lapseBackend(index: number): void {
+  /** Removes the announcement of a running back end, as if its lease had expired. */
+  expireAnnouncement(index: number): void {
     this.store.remove(`servers/${this.backends[index]!.id}`);
   }
 
-  /** The region of a back end, also of an incarnation that is gone. */
+  /** Returns the region of a back end, also for an earlier incarnation. */
   regionOfBackend(id: string): string {
     return SOAK_REGIONS[zoneOf(Number(/^e-(\d+)/.exec(id)![1]))]!;
   }
 
   /**
-   * Gives the back end at an address another life, every other time under the name that it has. That one's process
-   * is another, so its port is closed for a while first; the others answer that they are not meant.
+   * Starts another incarnation at a back end's address, every other time under the same name. With
+   * the same name it simulates a restart, so the port is closed for a while first; with another
+   * name the back end refuses requests for the previous one as misdirected.
    */
   replaceBackend(index: number): void {
     const backend = this.backends[index]!;
-    this.replaced += 1;
-    if (this.replaced % 2 === 0) {
+    this.replacementCount += 1;
+    if (this.replacementCount % 2 === 0) {
       this.store.remove(`servers/${backend.id}`);
       backend.id = `${backend.id}x`;
-      this.beginLife(index);
+      this.startIncarnation(index);
       return;
     }
     const port = this.basePort + PORTS.backend;
-    void this.backendProxies[index]!.closeFor(REBORN_AWAY_MS, backendHost(index), port);
-    setTimeout(() => this.beginLife(index), REBORN_AWAY_MS).unref();
+    void this.backendProxies[index]!.closeFor(RESTART_DOWNTIME_MS, backendHost(index), port);
+    setTimeout(() => this.startIncarnation(index), RESTART_DOWNTIME_MS).unref();
   }
 
-  private beginLife(index: number): void {
+  private startIncarnation(index: number): void {
     const backend = this.backends[index]!;
     backend.bornAtMs = Date.now();
-    // Whoever left under that name is another life.
-    this.drainedAtMs.delete(backend.id);
+    // The draining state belonged to the previous incarnation.
+    this.drainingSinceMs.delete(backend.id);
     backend.coldUntilMs = performance.now() + COLD_MS;
     this.announce(index, 'ready');
   }
 
   private async startBackend(index: number): Promise<void> {
-    const isLinkWell = () => this.backendProxies[index]?.mood === 'passes';
-    const backend = new SoakBackend(`e-${index}`, this.random, this.onRun, isLinkWell);
+    const isLinkHealthy = () => this.backendProxies[index]?.mood === 'passes';
+    const backend = new SoakBackend(`e-${index}`, this.random, this.onExecution, isLinkHealthy);
     await backend.start(backendHost(index), this.basePort + PORTS.real);
     const proxy = new LoopbackProxy(backendHost(index), this.basePort + PORTS.real);
     await proxy.start(backendHost(index), this.basePort + PORTS.backend);
@@ -317,8 +323,8 @@
       `seeds = ${this.seeds()}`,
       `store = ${at(PORTS.storeProxy)}`,
       'storeTimeoutMs = 700',
-      ...coldLimits(),
-      `stopGraceS = ${GRACE_S}`,
+      ...coldStartSettings(),
+      `stopGraceS = ${STOP_GRACE_S}`,
     ];
     return lines.join('\n');
   }
@@ -332,7 +338,7 @@
       `seeds = ${this.seeds()}`,
       '[engine]',
       `address = ${backendHost(index)}:${this.basePort + PORTS.real}`,
-      ...coldLimits(),
+      ...coldStartSettings(),
     ];
     return lines.join('\n');
   }
@@ -359,8 +365,8 @@
   }
 }
 
-function coldLimits(): string[] {
-  return ['[limits]', `coldOver = ${COLD_OVER}`, `coldSlack = ${COLD_SLACK}`];
+function coldStartSettings(): string[] {
+  return ['[limits]', `coldOver = ${COLD_OVER_FACTOR}`, `coldSlack = ${COLD_SLACK}`];
 }
 
 function gatewayHost(index: number): string {
--- a/bench/soak/soak-homes.ts
+++ b/bench/soak/soak-homes.ts
@@ -1,64 +1,74 @@
-/** Homes in a soak: a route whose home stays, one whose home follows the configuration, and where both ran. */
-import type { BackendRun } from './soak-backend.js';
+/**
+ * Checks allowed regions in a soak test: one route with fixed regions and one whose regions change.
+ */
+import type { Execution } from './soak-backend.js';
 
-/** Route whose home is the same in every configuration: no fault excuses a run elsewhere. */
-export const FIXED_HOME = { name: 'home', regions: ['a'] } as const;
-/** Route whose home changes with each configuration. */
-export const MOVED_HOME = 'moved';
+/**
+ * Route with the same regions in every configuration; an execution elsewhere is always a violation.
+ */
+export const FIXED_REGION_ROUTE = { name: 'home', regions: ['a'] } as const;
+/** Route whose allowed regions change with the configuration. */
+export const CHANGING_REGION_ROUTE = 'moved';
 /** Zones of the fleet. */
 export const SOAK_ZONES = ['a1', 'b1'] as const;
 /** Regions by zone. */
 export const SOAK_REGIONS: Readonly<Record<string, string>> = { a1: 'a', b1: 'b' };
 
-/** Homes that follow each other: each region by itself, and both. */
-const HOMES = [['a'], ['b'], ['a', 'b']] as const;
-/** Time after a change in which requests may still follow the one before, in milliseconds; as for leaving back ends. */
-const HOME_BOUND_MS = 2_200;
+/** Successive allowed regions: each region alone, then both. */
+const REGION_LISTS = [['a'], ['b'], ['a', 'b']] as const;
+/**
+ * Time after a change in which requests may still follow the previous regions, in milliseconds; the
+ * same bound as for draining back ends.
+ */
+const REGION_CHANGE_BOUND_MS = 2_200;
 
-/** The zone of a process or back end by its index. */
+/** Returns the zone of a process or back end by its index. */
 export function zoneOf(index: number): string {
   return SOAK_ZONES[index % SOAK_ZONES.length]!;
 }
 
-/** The home that moves, in one version of the configuration. */
-export function homesOfVersion(version: number): readonly string[] {
-  return HOMES[version % HOMES.length]!;
+/** Returns the allowed regions of `CHANGING_REGION_ROUTE` in a version of the configuration. */
+export function allowedRegionsOfVersion(version: number): readonly string[] {
+  return REGION_LISTS[version % REGION_LISTS.length]!;
 }
 
-/** A configuration came into force. */
-export interface HomeChange {
+/** A change of the allowed regions of `CHANGING_REGION_ROUTE`. */
+export interface RegionChange {
   readonly atMs: number;
   readonly regions: readonly string[];
 }
 
 /**
- * Requests that ran outside their homes.
+ * Reports executions outside the allowed regions of the request.
  *
- * @param changes - of the home that moves, oldest first; only gateways that no fault touched since one are
- *   held to it
+ * @param changes - of the route whose regions change, oldest first; a change applies only to
+ *   gateways without a fault since then
  */
-export function findOutsideHome(
-  runs: readonly BackendRun[],
-  changes: readonly HomeChange[],
+export function findOutsideRegions(
+  executions: readonly Execution[],
+  changes: readonly RegionChange[],
   regionOf: (backendId: string) => string,
-  isCalmSince: (requestId: string, sinceMs: number) => boolean,
+  isUndisruptedSince: (requestId: string, sinceMs: number) => boolean,
 ): string[] {
-  const mayRun = ({ path, requestId, atMs, backendId }: BackendRun) => {
+  const isAllowed = ({ path, requestId, atMs, backendId }: Execution) => {
     const region = regionOf(backendId);
-    if (path.startsWith(`/${FIXED_HOME.name}/`)) {
-      return FIXED_HOME.regions.some((home) => home === region);
+    if (path.startsWith(`/${FIXED_REGION_ROUTE.name}/`)) {
+      return FIXED_REGION_ROUTE.regions.some((allowedRegion) => allowedRegion === region);
     }
-    const binding = changes.filter((change) => change.atMs <= atMs - HOME_BOUND_MS).at(-1);
-    const isBound = path.startsWith(`/${MOVED_HOME}/`) && binding !== undefined;
-    if (!isBound || !isCalmSince(requestId, binding.atMs)) {
+    const activeChange = changes
+      .filter((change) => change.atMs <= atMs - REGION_CHANGE_BOUND_MS)
+      .at(-1);
+    const isRestricted =
+      path.startsWith(`/${CHANGING_REGION_ROUTE}/`) && activeChange !== undefined;
+    if (!isRestricted || !isUndisruptedSince(requestId, activeChange.atMs)) {
       return true;
     }
     return changes
-      .filter((change) => change.atMs >= binding.atMs && change.atMs <= atMs)
+      .filter((change) => change.atMs >= activeChange.atMs && change.atMs <= atMs)
       .some(({ regions }) => regions.includes(region));
   };
-  return runs
-    .filter((run) => !mayRun(run))
+  return executions
+    .filter((execution) => !isAllowed(execution))
     .map(({ requestId, backendId, path }) => {
       const region = regionOf(backendId);
       return `${requestId} (${path}) ran at ${backendId} in region ${region}, which is no home of it`;
--- a/bench/soak/soak-owed.ts
+++ b/bench/soak/soak-owed.ts
@@ -1,12 +1,18 @@
-/** Which requests of a soak could be served at all, given the homes and the evacuations that stood. */
+/** Determines which requests of a soak test had a zone to be served in. */
 import type { SoakEvacuation } from './soak-fleet.js';
-import { FIXED_HOME, MOVED_HOME, SOAK_REGIONS, SOAK_ZONES, zoneOf } from './soak-homes.js';
-import type { HomeChange } from './soak-homes.js';
+import {
+  FIXED_REGION_ROUTE,
+  CHANGING_REGION_ROUTE,
+  SOAK_REGIONS,
+  SOAK_ZONES,
+  zoneOf,
+} from './soak-homes.js';
+import type { RegionChange } from './soak-homes.js';
 
-/** Time for which an order or its end may still be followed here and there, in milliseconds. */
-const FOLLOWED_WITHIN_MS = 2_200;
+/** Time in which gateways may still follow the state before a change, in milliseconds. */
+const PROPAGATION_BOUND_MS = 2_200;
 
-/** What is looked at of a request. */
+/** The route and the times of a request. */
 export interface TimedRequest {
   readonly kind: string;
   readonly sentAtMs: number;
@@ -14,39 +20,42 @@
 }
 
 /**
- * Whether operators left the request a zone to be served in, from a while before it was sent to its end.
+ * Whether allowed regions and evacuations left the request a zone, from `PROPAGATION_BOUND_MS`
+ * before it was sent until its end.
  *
- * @param changes - homes of the route whose home moves, oldest first
+ * @param changes - of the route whose allowed regions change, oldest first
  */
-export function isOwed(
+export function isServable(
   request: TimedRequest,
-  changes: readonly HomeChange[],
+  changes: readonly RegionChange[],
   evacuations: readonly SoakEvacuation[],
 ): boolean {
-  const closed = evacuations
+  const evacuatedZones = evacuations
     .filter(({ fromMs, untilMs }) => {
-      const hasBegun = fromMs <= request.endedAtMs;
-      return hasBegun && untilMs + FOLLOWED_WITHIN_MS >= request.sentAtMs;
+      const hasStarted = fromMs <= request.endedAtMs;
+      return hasStarted && untilMs + PROPAGATION_BOUND_MS >= request.sentAtMs;
     })
     .map(({ index }) => zoneOf(index));
-  return homesDuring(request, changes).every((regions) =>
-    SOAK_ZONES.some((zone) => regions.includes(SOAK_REGIONS[zone]!) && !closed.includes(zone)),
+  return regionListsDuring(request, changes).every((regions) =>
+    SOAK_ZONES.some(
+      (zone) => regions.includes(SOAK_REGIONS[zone]!) && !evacuatedZones.includes(zone),
+    ),
   );
 }
 
-/** Every list of regions that may have bound the request. */
-function homesDuring(
+/** Returns every region list that may have applied to the request. */
+function regionListsDuring(
   { kind, sentAtMs, endedAtMs }: TimedRequest,
-  changes: readonly HomeChange[],
+  changes: readonly RegionChange[],
 ): Array<readonly string[]> {
-  if (kind === FIXED_HOME.name) {
-    return [FIXED_HOME.regions];
+  if (kind === FIXED_REGION_ROUTE.name) {
+    return [FIXED_REGION_ROUTE.regions];
   }
-  if (kind !== MOVED_HOME) {
+  if (kind !== CHANGING_REGION_ROUTE) {
     return [Object.values(SOAK_REGIONS)];
   }
-  const followedSinceMs = sentAtMs - FOLLOWED_WITHIN_MS;
-  const before = changes.filter(({ atMs }) => atMs <= followedSinceMs).at(-1);
-  const later = changes.filter(({ atMs }) => atMs > followedSinceMs && atMs <= endedAtMs);
-  return [...(before === undefined ? [] : [before]), ...later].map(({ regions }) => regions);
+  const effectiveSinceMs = sentAtMs - PROPAGATION_BOUND_MS;
+  const previous = changes.filter(({ atMs }) => atMs <= effectiveSinceMs).at(-1);
+  const later = changes.filter(({ atMs }) => atMs > effectiveSinceMs && atMs <= endedAtMs);
+  return [...(previous === undefined ? [] : [previous]), ...later].map(({ regions }) => regions);
 }
--- a/bench/soak/soak-routes.ts
+++ b/bench/soak/soak-routes.ts
@@ -1,96 +1,104 @@
 /**
- * A route that each configuration adds while it drops the one before; each gateway is asked for both, directly, so that
- * its answers tell which configuration is in force there.
+ * Checks that gateways apply configuration changes in time. Each configuration adds a route and
+ * removes the previous one; requests for both routes show which configuration is active at a
+ * gateway.
  */
 import { request } from 'undici';
 import type { SoakFleet } from './soak-fleet.js';
 
-/** A configuration that was put in force. */
+/** A configuration that was written to the store. */
 export interface RouteChange {
   readonly version: number;
   readonly atMs: number;
 }
 
-/** How a gateway that was asked for the routes of the two newest configurations answered. */
-export interface RouteAnswer {
+/** A gateway's responses to requests for the routes of the two newest configurations. */
+export interface RouteCheck {
   readonly gateway: string;
   readonly change: RouteChange;
-  readonly askedAtMs: number;
-  readonly added: GatewayAnswer;
-  readonly dropped: GatewayAnswer;
+  readonly sentAtMs: number;
+  readonly added: GatewayResponse;
+  readonly dropped: GatewayResponse;
 }
 
-/** An answer of a gateway. */
-export interface GatewayAnswer {
-  /** 0 without one. */
+/** A response of a gateway. */
+export interface GatewayResponse {
+  /** HTTP status; 0 without a response. */
   readonly status: number;
-  /** The reason that it names; empty without one. */
+  /** Refusal reason; empty if there is none. */
   readonly reason: string;
 }
 
-/** Time in which a change is in force at a gateway that nothing touched, in milliseconds. */
-const ROUTE_BOUND_MS = 2_200;
-const CHANGE_PAUSE_MS = 1_700;
-const ASK_PAUSE_MS = 250;
+/** Maximum time until a change is active at a gateway without faults, in milliseconds. */
+const ROUTE_CHANGE_BOUND_MS = 2_200;
+const CHANGE_INTERVAL_MS = 1_700;
+const CHECK_INTERVAL_MS = 250;
 const NOT_FOUND = 404;
-/** The reason of a refusal on a route that is known and that no back end serves. */
+/** Refusal reason on a configured route without back ends. */
 const KNOWN_ROUTE_REASON = 'no-backend';
 
-/** Path prefix of the route of a version. */
+/** Returns the path prefix of the route that a version adds. */
 export function routePrefix(version: number): string {
   return `/route-${version}/`;
 }
 
-/** What an answer says against a gateway; `disturbedUntilMs` is until when something excuses it. */
-export function findLateRoute(answer: RouteAnswer, disturbedUntilMs: number): string[] {
-  const { gateway, change, askedAtMs, added, dropped } = answer;
-  const isDue = askedAtMs > change.atMs + ROUTE_BOUND_MS && askedAtMs > disturbedUntilMs;
+/** Reports a gateway that applies a change too late; faults excuse it until `disruptedUntilMs`. */
+export function findLateRoute(check: RouteCheck, disruptedUntilMs: number): string[] {
+  const { gateway, change, sentAtMs, added, dropped } = check;
+  const isDue = sentAtMs > change.atMs + ROUTE_CHANGE_BOUND_MS && sentAtMs > disruptedUntilMs;
   const isUnknown = added.status === NOT_FOUND;
-  const isKept = dropped.reason === KNOWN_ROUTE_REASON;
-  return isDue && (isUnknown || isKept)
+  const isStillKnown = dropped.reason === KNOWN_ROUTE_REASON;
+  return isDue && (isUnknown || isStillKnown)
     ? [
-        `${gateway} did not follow configuration ${change.version} after ${Math.round(askedAtMs - change.atMs)} ms`,
+        `${gateway} did not apply configuration ${change.version} after ${Math.round(sentAtMs - change.atMs)} ms`,
       ]
     : [];
 }
 
-/** Changes the routes all the while and asks the gateways; returns how to end it. */
-export function changeRoutes(fleet: SoakFleet, onLate: (violations: string[]) => void): () => void {
-  const noted = new Set<string>();
-  const changing = setInterval(() => fleet.changeRoutes(), CHANGE_PAUSE_MS);
-  const asking = setInterval(() => {
+/** Changes the routes and checks the gateways periodically; returns a function that stops both. */
+export function startRouteChanges(
+  fleet: SoakFleet,
+  onLate: (violations: string[]) => void,
+): () => void {
+  const reported = new Set<string>();
+  const changeTimer = setInterval(() => fleet.changeRoutes(), CHANGE_INTERVAL_MS);
+  const checkTimer = setInterval(() => {
     const change = fleet.routeChanges.at(-1)!;
     fleet.gateways.forEach((gateway, index) => {
-      void askForRoutes(fleet, index, change).then((answer) => {
-        const late = findLateRoute(answer, gateway.disturbedUntilMs);
-        const name = `${index}/${change.version}`;
-        if (late.length > 0 && !noted.has(name)) {
-          noted.add(name);
-          onLate(late);
+      void checkRoutes(fleet, index, change).then((check) => {
+        const lateViolations = findLateRoute(check, gateway.disruptedUntilMs);
+        const checkKey = `${index}/${change.version}`;
+        if (lateViolations.length > 0 && !reported.has(checkKey)) {
+          reported.add(checkKey);
+          onLate(lateViolations);
         }
       });
     });
-  }, ASK_PAUSE_MS);
+  }, CHECK_INTERVAL_MS);
   return () => {
-    clearInterval(changing);
-    clearInterval(asking);
+    clearInterval(changeTimer);
+    clearInterval(checkTimer);
   };
 }
 
-async function askForRoutes(
+async function checkRoutes(
   fleet: SoakFleet,
   index: number,
   change: RouteChange,
-): Promise<RouteAnswer> {
-  const askedAtMs = performance.now();
+): Promise<RouteCheck> {
+  const sentAtMs = performance.now();
   const [added, dropped] = await Promise.all([
-    ask(fleet, index, change.version),
-    ask(fleet, index, change.version - 1),
+    requestRoute(fleet, index, change.version),
+    requestRoute(fleet, index, change.version - 1),
   ]);
-  return { gateway: `gateway-${index}`, change, askedAtMs, added, dropped };
+  return { gateway: `gateway-${index}`, change, sentAtMs, added, dropped };
 }
 
-async function ask(fleet: SoakFleet, index: number, version: number): Promise<GatewayAnswer> {
+async function requestRoute(
+  fleet: SoakFleet,
+  index: number,
+  version: number,
+): Promise<GatewayResponse> {
   const { host, port } = fleet.callersAddress(index);
   const url = `http://${host}:${port}${routePrefix(version)}x`;
   try {
--- a/bench/soak/soak-run.ts
+++ b/bench/soak/soak-run.ts
@@ -1,158 +1,178 @@
-/** One soak: callers press, faults strike, and the promises are checked from what callers and back ends saw. */
+/**
+ * A soak test: callers send requests while faults are injected, and the guarantees are checked from
+ * the observations of callers and back ends.
+ */
 import { Agent, request } from 'node:http';
 import { request as readinessOf } from 'undici';
 import { SeededRandom, randomInteger } from '../../src/random.js';
-import { expectedAnswer } from './soak-backend.js';
-import type { BackendRun } from './soak-backend.js';
-import { doFault, restoreStore } from './soak-faults.js';
-import { findOutsideHome } from './soak-homes.js';
-import { isOwed } from './soak-owed.js';
-import { changeRoutes } from './soak-routes.js';
-import { findUnheeded, makeStatement } from './soak-statements.js';
-import { SOAK_COLD_BOUND, SOAK_KEY, SOAK_TIMEOUT_MS, SoakFleet } from './soak-fleet.js';
+import { expectedResponse } from './soak-backend.js';
+import type { Execution } from './soak-backend.js';
+import { injectFault, restoreStoreFromBackup } from './soak-faults.js';
+import { findOutsideRegions } from './soak-homes.js';
+import { isServable } from './soak-owed.js';
+import { startRouteChanges } from './soak-routes.js';
+import { findIgnoredStatements, startStatement } from './soak-statements.js';
+import { SOAK_MAX_COLD_STARTS, SOAK_API_KEY, SOAK_TIMEOUT_MS, SoakFleet } from './soak-fleet.js';
 import type { SoakEvacuation, SoakSizes } from './soak-fleet.js';
 
-/** What a soak is to do. */
-export interface SoakPlan {
+/** Options of a soak test. */
+export interface SoakOptions {
   readonly seed: number;
   readonly sizes: SoakSizes;
   readonly callers: number;
-  /** Time with faults, in milliseconds. */
+  /** Duration of the faults, in milliseconds. */
   readonly faultsMs: number;
   readonly basePort: number;
-  /** Whether back ends say something of themselves. Default true. */
-  readonly hasStatements?: boolean;
-  /** Whether the store comes back from copies. Default false. */
-  readonly hasCopies?: boolean;
+  /** Whether back ends send statements (limits, departures, backoff). Default true. */
+  readonly sendsStatements?: boolean;
+  /** Whether the store is restored from backups. Default false. */
+  readonly restoresBackups?: boolean;
 }
 
-/** How a soak ended. */
+/** Results of a soak test. */
 export interface SoakReport {
   readonly seed: number;
   readonly requests: number;
   readonly answered: number;
   readonly faults: readonly string[];
   readonly violations: readonly string[];
-  /** Where the logs of its processes are. */
+  /** Folder that contains the processes' logs. */
   readonly folder: string;
 }
 
-type Kind = 'safe' | 'unsafe' | 'stream' | 'home' | 'moved';
+type RouteKind = 'safe' | 'unsafe' | 'stream' | 'home' | 'moved';
 
-/** One request as its caller saw it. */
-export interface SeenRequest {
+/** A request and its response as the caller observed them. */
+export interface ObservedRequest {
   readonly id: string;
-  readonly kind: Kind;
+  readonly kind: RouteKind;
   readonly gateway: number;
   readonly sentAtMs: number;
   endedAtMs: number;
-  /** 0 when no whole answer came. */
+  /** HTTP status; 0 without a complete response. */
   status: number;
   body: string;
 }
 
-/** Pause between two statements of back ends, in milliseconds. */
-const STATEMENT_PAUSE_MS = 2_500;
-/** Pause between two returns of the store from a copy, in milliseconds. */
-const COPY_PAUSE_MS = 3_500;
+/** Interval between statements of back ends, in milliseconds. */
+const STATEMENT_INTERVAL_MS = 2_500;
+/** Interval between restores of the store, in milliseconds. */
+const RESTORE_INTERVAL_MS = 3_500;
 const RECOVERY_MS = 4_500;
-const CALM_MS = 1_500;
-const CALM_SHARE = 0.95;
-const LATE_MS = 700;
-/** Time after the announcement of a leave in which requests may still arrive, in milliseconds. */
+const FAULT_FREE_MS = 1_500;
+const MIN_FAULT_FREE_SUCCESS = 0.95;
+const OVERDUE_TOLERANCE_MS = 700;
+/** Time after a back end announces draining in which requests may still arrive, in milliseconds. */
 const DRAIN_BOUND_MS = 2_200;
 /** Time after an evacuation in which requests may still arrive, in milliseconds. */
 const EVACUATION_BOUND_MS = 2_200;
-/** A second, less what this process may be late to see a request in, in milliseconds. */
+/** One second minus the delay with which this process may observe a request, in milliseconds. */
 const COLD_WINDOW_MS = 950;
-const PROMISE_STATUSES = new Set([408, 421, 429, 503]);
+const NOT_EXECUTED_STATUSES = new Set([408, 421, 429, 503]);
 
-/** Lets the store come back from copies, beside the faults. */
-function restoreAgain(fleet: SoakFleet, seed: number, faults: string[]) {
+/** Restores the store from backups periodically, in parallel to the faults. */
+function startRestores(fleet: SoakFleet, seed: number, faults: string[]) {
   const random = new SeededRandom(seed + 5);
-  return setInterval(() => faults.push(restoreStore(fleet, random)), COPY_PAUSE_MS);
+  return setInterval(() => faults.push(restoreStoreFromBackup(fleet, random)), RESTORE_INTERVAL_MS);
 }
 
-/** Runs one soak. */
-export async function runSoak(plan: SoakPlan): Promise<SoakReport> {
-  const random = new SeededRandom(plan.seed);
-  const runs: BackendRun[] = [];
-  const seen: SeenRequest[] = [];
-  const late: string[] = [];
+/** Runs one soak test. */
+export async function runSoak(options: SoakOptions): Promise<SoakReport> {
+  const random = new SeededRandom(options.seed);
+  const executions: Execution[] = [];
+  const observed: ObservedRequest[] = [];
+  const lateViolations: string[] = [];
   const faults: string[] = [];
-  const fleet = new SoakFleet(plan.sizes, plan.basePort, new SeededRandom(plan.seed + 1), (run) => {
-    runs.push(run);
-    const gateway = fleet.gateways[gatewayOf(run.requestId, plan.sizes.gateways)]!;
-    late.push(...findInEvacuated(run, fleet.evacuations, gateway.disturbedUntilMs));
-  });
-  fleet.store.epoch = plan.hasCopies === true ? 1 : undefined;
+  const fleet = new SoakFleet(
+    options.sizes,
+    options.basePort,
+    new SeededRandom(options.seed + 1),
+    (execution) => {
+      executions.push(execution);
+      const gateway = fleet.gateways[gatewayOf(execution.requestId, options.sizes.gateways)]!;
+      lateViolations.push(
+        ...findSentToEvacuated(execution, fleet.evacuations, gateway.disruptedUntilMs),
+      );
+    },
+  );
+  fleet.store.epoch = options.restoresBackups === true ? 1 : undefined;
   await fleet.start();
-  await waitUntilReady(fleet, plan.sizes.gateways);
-  const stopAtMs = performance.now() + plan.faultsMs + RECOVERY_MS + CALM_MS;
-  const callers = Array.from({ length: plan.callers }, (_none, index) =>
-    press(fleet, index, plan.sizes.gateways, stopAtMs, seen, late),
+  await waitUntilReady(fleet, options.sizes.gateways);
+  const stopAtMs = performance.now() + options.faultsMs + RECOVERY_MS + FAULT_FREE_MS;
+  const callers = Array.from({ length: options.callers }, (_none, index) =>
+    runCaller(fleet, index, options.sizes.gateways, stopAtMs, observed, lateViolations),
+  );
+  const stopRouteChanges = startRouteChanges(fleet, (violations) =>
+    lateViolations.push(...violations),
   );
-  const endRoutes = changeRoutes(fleet, (violations) => late.push(...violations));
-  const faultsEndAtMs = performance.now() + plan.faultsMs;
-  const statements =
-    plan.hasStatements === false ? undefined : makeStatements(fleet, plan.seed, faults);
-  const copies = plan.hasCopies === true ? restoreAgain(fleet, plan.seed, faults) : undefined;
+  const faultsEndAtMs = performance.now() + options.faultsMs;
+  const statementTimer =
+    options.sendsStatements === false ? undefined : startStatements(fleet, options.seed, faults);
+  const restoreTimer =
+    options.restoresBackups === true ? startRestores(fleet, options.seed, faults) : undefined;
   while (performance.now() < faultsEndAtMs) {
     await sleepMs(randomInteger(random, 100, 700));
-    faults.push(doFault(fleet, random));
+    faults.push(injectFault(fleet, random));
   }
-  clearInterval(statements);
-  clearInterval(copies);
+  clearInterval(statementTimer);
+  clearInterval(restoreTimer);
   await Promise.all(callers);
-  endRoutes();
+  stopRouteChanges();
   fleet.stop();
-  const calmFromMs = stopAtMs - CALM_MS;
-  const isCalmSince = (requestId: string, sinceMs: number) =>
-    fleet.gateways[gatewayOf(requestId, plan.sizes.gateways)]!.disturbedUntilMs < sinceMs;
+  const faultFreeFromMs = stopAtMs - FAULT_FREE_MS;
+  const isUndisruptedSince = (requestId: string, sinceMs: number) =>
+    fleet.gateways[gatewayOf(requestId, options.sizes.gateways)]!.disruptedUntilMs < sinceMs;
   const violations = [
-    ...late,
-    ...findViolations(seen, runs, calmFromMs, (one) =>
-      isOwed(one, fleet.homeChanges, fleet.evacuations),
+    ...lateViolations,
+    ...findViolations(observed, executions, faultFreeFromMs, (sent) =>
+      isServable(sent, fleet.regionChanges, fleet.evacuations),
     ),
-    ...findLateForLeaving(runs, fleet.drainedAtMs, isCalmSince),
-    ...findOutsideHome(runs, fleet.homeChanges, (id) => fleet.regionOfBackend(id), isCalmSince),
-    ...findRushes(runs),
-    ...findUnheededStatements(fleet, seen, plan.sizes.gateways, isCalmSince),
+    ...findSentToLeaving(executions, fleet.drainingSinceMs, isUndisruptedSince),
+    ...findOutsideRegions(
+      executions,
+      fleet.regionChanges,
+      (id) => fleet.regionOfBackend(id),
+      isUndisruptedSince,
+    ),
+    ...findColdOverloads(executions),
+    ...findIgnoredInFleet(fleet, observed, options.sizes.gateways, isUndisruptedSince),
   ];
-  const answered = seen.filter(({ status }) => status === 200).length;
+  const answered = observed.filter(({ status }) => status === 200).length;
   const { folder } = fleet;
-  return { seed: plan.seed, requests: seen.length, answered, faults, violations, folder };
+  return { seed: options.seed, requests: observed.length, answered, faults, violations, folder };
 }
 
-/** Statements come by a draw of their own, so that the faults of a seed stay the same. */
-function makeStatements(fleet: SoakFleet, seed: number, faults: string[]): NodeJS.Timeout {
+/** Uses a random source of its own, so that statements don't change the faults of a seed. */
+function startStatements(fleet: SoakFleet, seed: number, faults: string[]): NodeJS.Timeout {
   const random = new SeededRandom(seed + 2);
-  return setInterval(() => faults.push(makeStatement(fleet, random)), STATEMENT_PAUSE_MS);
+  return setInterval(() => faults.push(startStatement(fleet, random)), STATEMENT_INTERVAL_MS);
 }
 
-function findUnheededStatements(
+function findIgnoredInFleet(
   fleet: SoakFleet,
-  seen: readonly SeenRequest[],
+  observed: readonly ObservedRequest[],
   gateways: number,
-  isCalmSince: (requestId: string, sinceMs: number) => boolean,
+  isUndisruptedSince: (requestId: string, sinceMs: number) => boolean,
 ): string[] {
-  const sentAtMs = new Map(seen.map((one) => [one.id, one.sentAtMs]));
-  const ports = {
+  const sentAtMs = new Map(observed.map((sent) => [sent.id, sent.sentAtMs]));
+  const context = {
     gatewayOf: (requestId: string) => gatewayOf(requestId, gateways),
     sentAtMs: (requestId: string) => sentAtMs.get(requestId) ?? -Infinity,
-    isCalmSince,
+    isUndisruptedSince,
   };
-  return fleet.backends.flatMap(({ statementRecords }) =>
-    [...statementRecords].flatMap(([life, record]) => findUnheeded(life, record, ports)),
+  return fleet.backends.flatMap(({ statementLogs }) =>
+    [...statementLogs].flatMap(([incarnation, log]) =>
+      findIgnoredStatements(incarnation, log, context),
+    ),
   );
 }
 
 async function waitUntilReady(fleet: SoakFleet, gateways: number): Promise<void> {
   for (let index = 0; index < gateways; index += 1) {
     for (;;) {
-      const answer = await readinessOf(fleet.readinessUrl(index)).catch(() => undefined);
-      await answer?.body.dump();
-      if (answer?.statusCode === 200) {
+      const response = await readinessOf(fleet.readinessUrl(index)).catch(() => undefined);
+      await response?.body.dump();
+      if (response?.statusCode === 200) {
         break;
       }
       await sleepMs(50);
@@ -160,24 +180,24 @@
   }
 }
 
-/** One caller: keeps its connection as long as it lasts and sends one request after the other. */
-async function press(
+/** Simulates a caller that sends sequential requests over one persistent connection. */
+async function runCaller(
   fleet: SoakFleet,
   caller: number,
   gateways: number,
   stopAtMs: number,
-  seen: SeenRequest[],
-  late: string[],
+  observed: ObservedRequest[],
+  violations: string[],
 ): Promise<void> {
   const agent = new Agent({ keepAlive: true, maxSockets: 1 });
-  const kinds: readonly Kind[] = ['safe', 'unsafe', 'stream', 'home', 'moved'];
+  const kinds: readonly RouteKind[] = ['safe', 'unsafe', 'stream', 'home', 'moved'];
   const gateway = caller % gateways;
   for (let number = 0; performance.now() < stopAtMs; number += 1) {
     const kind = kinds[(caller + number) % kinds.length]!;
-    const one = await send(fleet, agent, `c${caller}-${number}`, kind, gateway);
-    seen.push(one);
-    late.push(...findHeld(one, fleet.gateways[gateway]!.disturbedUntilMs));
-    await sleepMs(one.status === 0 ? 100 : 20);
+    const sent = await send(fleet, agent, `c${caller}-${number}`, kind, gateway);
+    observed.push(sent);
+    violations.push(...findOverdue(sent, fleet.gateways[gateway]!.disruptedUntilMs));
+    await sleepMs(sent.status === 0 ? 100 : 20);
   }
   agent.destroy();
 }
@@ -186,90 +206,93 @@
   fleet: SoakFleet,
   agent: Agent,
   id: string,
-  kind: Kind,
+  kind: RouteKind,
   gateway: number,
-): Promise<SeenRequest> {
+): Promise<ObservedRequest> {
   const sentAtMs = performance.now();
-  const one: SeenRequest = { id, kind, gateway, sentAtMs, endedAtMs: 0, status: 0, body: '' };
+  const sent: ObservedRequest = { id, kind, gateway, sentAtMs, endedAtMs: 0, status: 0, body: '' };
   return new Promise((resolve) => {
     const end = (status: number) => {
-      if (one.endedAtMs === 0) {
-        one.endedAtMs = performance.now();
-        one.status = status;
-        resolve(one);
+      if (sent.endedAtMs === 0) {
+        sent.endedAtMs = performance.now();
+        sent.status = status;
+        resolve(sent);
       }
     };
-    const call = request({
+    const clientRequest = request({
       ...fleet.callersAddress(gateway),
       agent,
       method: 'POST',
       path: `/${kind}/${id}`,
       headers: {
         Host: 'soak.example',
-        Authorization: `Bearer ${SOAK_KEY}`,
+        Authorization: `Bearer ${SOAK_API_KEY}`,
         'X-Weirvale-Attempt-Id': id,
         'X-Weirvale-Deadline-Ms': SOAK_TIMEOUT_MS,
         'X-Weirvale-Token-Counts': '100,24',
       },
     });
-    call.setTimeout(SOAK_TIMEOUT_MS * 2, () => call.destroy());
-    call.on('error', () => end(0));
-    call.on('response', (response) => {
-      response.on('data', (bytes: Buffer) => (one.body += bytes.toString()));
+    clientRequest.setTimeout(SOAK_TIMEOUT_MS * 2, () => clientRequest.destroy());
+    clientRequest.on('error', () => end(0));
+    clientRequest.on('response', (response) => {
+      response.on('data', (bytes: Buffer) => (sent.body += bytes.toString()));
       response.on('end', () => end(response.complete ? (response.statusCode ?? 0) : 0));
       response.on('error', () => end(0));
       response.on('close', () => end(0));
     });
-    call.end('body');
+    clientRequest.end('body');
   });
 }
 
-/** A request that a gateway, which no fault touched since it was sent, held beyond its time. */
-export function findHeld(one: SeenRequest, disturbedUntilMs: number): string[] {
-  const heldMs = one.endedAtMs - one.sentAtMs;
-  const isLate = heldMs > SOAK_TIMEOUT_MS + LATE_MS && disturbedUntilMs <= one.sentAtMs;
+/** Reports a request that a gateway without faults since it was sent held beyond its deadline. */
+export function findOverdue(sent: ObservedRequest, disruptedUntilMs: number): string[] {
+  const heldMs = sent.endedAtMs - sent.sentAtMs;
+  const isLate =
+    heldMs > SOAK_TIMEOUT_MS + OVERDUE_TOLERANCE_MS && disruptedUntilMs <= sent.sentAtMs;
   return isLate
-    ? [`${one.id} (${one.kind}) was held for ${Math.round(heldMs)} ms by an untouched gateway`]
+    ? [
+        `${sent.id} (${sent.kind}) was held for ${Math.round(heldMs)} ms by a gateway without faults`,
+      ]
     : [];
 }
 
-/** The gateway that a caller presses, by the id of one of its requests. */
+/** Returns the index of the gateway that a request was sent to, by the request id. */
 function gatewayOf(requestId: string, gateways: number): number {
   return Number(/^c(\d+)-/.exec(requestId)![1]) % gateways;
 }
 
-/** Requests that a back end was given later than the bound after it announced that it leaves. */
-export function findLateForLeaving(
-  runs: readonly BackendRun[],
-  drainedAtMs: ReadonlyMap<string, number>,
-  isCalmSince: (requestId: string, sinceMs: number) => boolean,
+/** Reports requests that a back end executed later than the bound after it announced draining. */
+export function findSentToLeaving(
+  executions: readonly Execution[],
+  drainingSinceMs: ReadonlyMap<string, number>,
+  isUndisruptedSince: (requestId: string, sinceMs: number) => boolean,
 ): string[] {
-  return runs.flatMap(({ requestId, backendId, atMs }) => {
-    const drained = drainedAtMs.get(backendId);
-    const isLate = drained !== undefined && atMs > drained + DRAIN_BOUND_MS;
-    return isLate && isCalmSince(requestId, drained)
+  return executions.flatMap(({ requestId, backendId, atMs }) => {
+    const drainingAtMs = drainingSinceMs.get(backendId);
+    const isLate = drainingAtMs !== undefined && atMs > drainingAtMs + DRAIN_BOUND_MS;
+    return isLate && isUndisruptedSince(requestId, drainingAtMs)
       ? [
-          `${requestId} ran at ${backendId} ${Math.round(atMs - drained)} ms after it said it leaves`,
+          `${requestId} ran at ${backendId} ${Math.round(atMs - drainingAtMs)} ms after it announced that it is draining`,
         ]
       : [];
   });
 }
 
 /**
- * A run in a zone later than the bound after its evacuation. Looked for while the soak runs: what a fault
- * did to the gateway before has to be over by then, and later faults say nothing of it.
+ * Reports an execution in a zone later than the bound after its evacuation. Called during the soak
+ * test, since only faults of the gateway before the execution excuse it.
  */
-export function findInEvacuated(
-  { requestId, backendId, atMs }: BackendRun,
+export function findSentToEvacuated(
+  { requestId, backendId, atMs }: Execution,
   evacuations: readonly SoakEvacuation[],
-  disturbedUntilMs: number,
+  disruptedUntilMs: number,
 ): string[] {
   return evacuations
     .filter(({ index, fromMs, untilMs }) => {
-      // Incarnations at one address have longer and longer ids.
-      const isThere = backendId.replaceAll('x', '') === `e-${index}`;
-      const sinceMs = Math.max(fromMs + EVACUATION_BOUND_MS, disturbedUntilMs);
-      return isThere && atMs > sinceMs && atMs < untilMs;
+      // Each new name at an address appends an `x` to the previous id.
+      const isInZone = backendId.replaceAll('x', '') === `e-${index}`;
+      const sinceMs = Math.max(fromMs + EVACUATION_BOUND_MS, disruptedUntilMs);
+      return isInZone && atMs > sinceMs && atMs < untilMs;
     })
     .map(
       ({ fromMs }) =>
@@ -277,62 +300,69 @@
     );
 }
 
-/** Cold back ends that were sent more than the bound in one second. */
-export function findRushes(runs: readonly BackendRun[]): string[] {
-  const byBackend = new Map<string, number[]>();
-  for (const { backendId, atMs, countsAsColdStart } of runs) {
+/** Reports cold back ends that executed more requests per second than `SOAK_MAX_COLD_STARTS`. */
+export function findColdOverloads(executions: readonly Execution[]): string[] {
+  const startTimesByBackend = new Map<string, number[]>();
+  for (const { backendId, atMs, countsAsColdStart } of executions) {
     if (countsAsColdStart) {
-      byBackend.set(backendId, [...(byBackend.get(backendId) ?? []), atMs]);
+      startTimesByBackend.set(backendId, [...(startTimesByBackend.get(backendId) ?? []), atMs]);
     }
   }
-  return [...byBackend].flatMap(([backendId, times]) => {
-    const most = Math.max(...times.map((atMs) => countFrom(times, atMs)));
-    return most > SOAK_COLD_BOUND
-      ? [`${backendId} got ${most} requests in a second while cold`]
+  return [...startTimesByBackend].flatMap(([backendId, startTimes]) => {
+    const peakCount = Math.max(...startTimes.map((atMs) => countWindowFrom(startTimes, atMs)));
+    return peakCount > SOAK_MAX_COLD_STARTS
+      ? [`${backendId} got ${peakCount} requests in a second while cold`]
       : [];
   });
 }
 
-function countFrom(times: readonly number[], fromMs: number): number {
+function countWindowFrom(times: readonly number[], fromMs: number): number {
   return times.filter((atMs) => atMs >= fromMs && atMs < fromMs + COLD_WINDOW_MS).length;
 }
 
-/** The promises that were broken, from what callers and back ends saw. */
+/** Reports violated guarantees, from the observations of callers and back ends. */
 export function findViolations(
-  seen: readonly SeenRequest[],
-  runs: readonly BackendRun[],
-  calmFromMs: number,
-  mayBeServed: (request: SeenRequest) => boolean = () => true,
+  observed: readonly ObservedRequest[],
+  executions: readonly Execution[],
+  faultFreeFromMs: number,
+  isRequestServable: (request: ObservedRequest) => boolean = () => true,
 ): string[] {
-  const runsById = new Map<string, BackendRun[]>();
-  for (const run of runs) {
-    runsById.set(run.requestId, [...(runsById.get(run.requestId) ?? []), run]);
+  const executionsById = new Map<string, Execution[]>();
+  for (const execution of executions) {
+    executionsById.set(execution.requestId, [
+      ...(executionsById.get(execution.requestId) ?? []),
+      execution,
+    ]);
   }
   const violations: string[] = [];
-  for (const one of seen) {
-    violations.push(...checkRequest(one, runsById.get(one.id) ?? []));
+  for (const sent of observed) {
+    violations.push(...checkRequest(sent, executionsById.get(sent.id) ?? []));
   }
-  const calm = seen.filter((one) => one.sentAtMs >= calmFromMs && mayBeServed(one));
-  const well = calm.filter(({ status }) => status === 200).length;
-  if (calm.length === 0 || well / calm.length < CALM_SHARE) {
-    violations.push(`after the faults only ${well} of ${calm.length} requests were served`);
+  const faultFree = observed.filter(
+    (sent) => sent.sentAtMs >= faultFreeFromMs && isRequestServable(sent),
+  );
+  const succeeded = faultFree.filter(({ status }) => status === 200).length;
+  if (faultFree.length === 0 || succeeded / faultFree.length < MIN_FAULT_FREE_SUCCESS) {
+    violations.push(
+      `after the faults only ${succeeded} of ${faultFree.length} requests were served`,
+    );
   }
   return violations;
 }
 
-function checkRequest(one: SeenRequest, runs: readonly BackendRun[]): string[] {
+function checkRequest(sent: ObservedRequest, executions: readonly Execution[]): string[] {
   const violations: string[] = [];
-  if (one.kind === 'unsafe' && runs.length > 1) {
-    violations.push(`${one.id} may not be repeated and ran ${runs.length} times`);
+  if (sent.kind === 'unsafe' && executions.length > 1) {
+    violations.push(`${sent.id} may not be repeated and ran ${executions.length} times`);
   }
-  if (one.kind === 'unsafe' && PROMISE_STATUSES.has(one.status) && runs.length > 0) {
-    violations.push(`${one.id} was told ${one.status} and ran`);
+  if (sent.kind === 'unsafe' && NOT_EXECUTED_STATUSES.has(sent.status) && executions.length > 0) {
+    violations.push(`${sent.id} was told ${sent.status} and ran`);
   }
-  if (one.status === 200 && one.body !== expectedAnswer(one.id, one.kind === 'stream')) {
-    violations.push(`${one.id} was given an answer as whole that is not its own or not whole`);
+  if (sent.status === 200 && sent.body !== expectedResponse(sent.id, sent.kind === 'stream')) {
+    violations.push(`${sent.id} was answered with a body that is not its own or not complete`);
   }
-  if (runs.some(({ tenant }) => tenant !== 'shop')) {
-    violations.push(`${one.id} ran under another tenant`);
+  if (executions.some(({ tenant }) => tenant !== 'shop')) {
+    violations.push(`${sent.id} ran under another tenant`);
   }
   return violations;
 }
--- a/bench/soak/soak-statements.ts
+++ b/bench/soak/soak-statements.ts
@@ -1,107 +1,115 @@
-/** What back ends of a soak say of themselves, and the checks of what they then receive. */
+/**
+ * Statements of simulated back ends in response headers, and checks that gateways follow them: a
+ * limit on requests per second, a planned departure, or a backoff (`rest`, sent as Retry-After).
+ */
 import { randomInteger } from '../../src/random.js';
 import type { RandomSource } from '../../src/random.js';
 import type { SoakFleet } from './soak-fleet.js';
 
-/** What the answers of a back end say. */
+/** The statement in a back end's responses. */
 export type SoakStatement =
   | { readonly kind: 'limit'; readonly perS: number }
   | { readonly kind: 'leaving' }
   | { readonly kind: 'rest'; readonly untilMs: number };
 
-/** A request that reached a back end. */
+/** The arrival of a request at a back end. */
 export interface SoakArrival {
   readonly requestId: string;
   readonly atMs: number;
 }
 
-/** A statement that an answer to a request carried. */
-export interface SoakTold extends SoakArrival {
+/** A statement in the response to a request. */
+export interface SentStatement extends SoakArrival {
   readonly statement: SoakStatement;
 }
 
-/** What one life of a back end said and received. */
-export interface StatementRecord {
+/** Arrivals and sent statements of one incarnation of a back end. */
+export interface StatementLog {
   readonly arrivals: SoakArrival[];
-  readonly told: SoakTold[];
+  readonly statements: SentStatement[];
 }
 
-/** What a check asks of the soak. */
-export interface StatementCheckPorts {
-  /** The gateway that a request was sent to. */
+/** Information about requests and faults for the checks. */
+export interface StatementCheckContext {
+  /** Returns the index of the gateway that a request was sent to. */
   gatewayOf(requestId: string): number;
-  /** When its caller sent it, in milliseconds. */
+  /** Returns the time at which the caller sent the request, in milliseconds. */
   sentAtMs(requestId: string): number;
-  /** Whether no fault touched that gateway from a moment on. */
-  isCalmSince(requestId: string, sinceMs: number): boolean;
+  /** Whether the gateway of the request has had no fault since `sinceMs`. */
+  isUndisruptedSince(requestId: string, sinceMs: number): boolean;
 }
 
-/** Limits that are named, in requests a second. */
+/** Limits in statements, in requests per second. */
 const LIMITS = [1, 3, 6];
-const LIMIT_MS = 7_000;
-const REST_MS = 1_500;
-const LEAVE_MS = 4_000;
-const LIMIT_BINDS_MS = 3_000;
+const LIMIT_DURATION_MS = 7_000;
+const BACKOFF_DURATION_MS = 1_500;
+const LEAVE_DURATION_MS = 4_000;
+const LIMIT_EFFECTIVE_MS = 3_000;
 const LIMIT_WINDOW_MS = 4_000;
-const LIMIT_OVER = 1.5;
+const LIMIT_OVER_FACTOR = 1.5;
 const LIMIT_SLACK = 5;
-const LEAVING_HEED_MS = 2_200;
-const HEED_MS = 500;
-const MOST_IN_REST = 2;
+const LEAVING_EFFECTIVE_MS = 2_200;
+const STATEMENT_EFFECTIVE_MS = 500;
+const MAX_DURING_BACKOFF = 2;
 
-/** Lets one back end say something of itself for a while; returns what. */
-export function makeStatement(fleet: SoakFleet, random: RandomSource): string {
+/** Lets a random back end send a statement for a while; returns a description. */
+export function startStatement(fleet: SoakFleet, random: RandomSource): string {
   const index = randomInteger(random, 0, fleet.backends.length - 1);
   const backend = fleet.backends[index]!;
   const kind = (['limit', 'leaving', 'rest'] as const)[randomInteger(random, 0, 2)]!;
   if (backend.statement !== undefined) {
-    return `back end ${index} goes on with its statement`;
+    return `back end ${index} already sends a statement`;
   }
   const end = () => (backend.statement = undefined);
   if (kind === 'limit') {
     const perS = LIMITS[randomInteger(random, 0, LIMITS.length - 1)]!;
     backend.statement = { kind, perS };
-    setTimeout(end, LIMIT_MS).unref();
-    return `back end ${index} names a limit of ${perS}`;
+    setTimeout(end, LIMIT_DURATION_MS).unref();
+    return `back end ${index} states a limit of ${perS} requests/s`;
   }
   if (kind === 'rest') {
-    backend.statement = { kind, untilMs: performance.now() + REST_MS };
-    setTimeout(end, REST_MS).unref();
-    return `back end ${index} asks for a rest`;
+    backend.statement = { kind, untilMs: performance.now() + BACKOFF_DURATION_MS };
+    setTimeout(end, BACKOFF_DURATION_MS).unref();
+    return `back end ${index} requests backoff`;
   }
   backend.statement = { kind };
   const leave = () => {
     end();
     fleet.replaceBackend(index);
   };
-  setTimeout(leave, LEAVE_MS).unref();
-  return `back end ${index} leaves by its answers alone`;
+  setTimeout(leave, LEAVE_DURATION_MS).unref();
+  return `back end ${index} states that it is leaving, in responses only`;
 }
 
-/** Statements that were not heeded, of one life of a back end. */
-export function findUnheeded(
+/** Reports statements that gateways did not follow, for one incarnation of a back end. */
+export function findIgnoredStatements(
   backendId: string,
-  record: StatementRecord,
-  ports: StatementCheckPorts,
+  log: StatementLog,
+  context: StatementCheckContext,
 ): string[] {
   return [
-    ...findLate(backendId, record, ports),
-    ...findInRest(backendId, record, ports),
-    ...findOverLimit(backendId, record, ports),
+    ...findSentToLeaving(backendId, log, context),
+    ...findSentDuringBackoff(backendId, log, context),
+    ...findOverLimit(backendId, log, context),
   ];
 }
 
-/** Requests that were sent too late to a back end whose answer had told their gateway that it leaves. */
-function findLate(
+/**
+ * Reports requests sent too long after their gateway learned from a statement that the back end is
+ * leaving.
+ */
+function findSentToLeaving(
   backendId: string,
-  { arrivals, told }: StatementRecord,
-  ports: StatementCheckPorts,
+  { arrivals, statements }: StatementLog,
+  context: StatementCheckContext,
 ): string[] {
-  const leaving = told.filter(({ statement }) => statement.kind === 'leaving');
+  const leavingStatements = statements.filter(({ statement }) => statement.kind === 'leaving');
   return arrivals.flatMap(({ requestId }) => {
-    const first = firstTo(leaving, requestId, ports);
-    const lateMs = ports.sentAtMs(requestId) - (first ?? Infinity);
-    return first !== undefined && lateMs > LEAVING_HEED_MS && ports.isCalmSince(requestId, first)
+    const firstAtMs = firstStatementTo(leavingStatements, requestId, context);
+    const lateMs = context.sentAtMs(requestId) - (firstAtMs ?? Infinity);
+    return firstAtMs !== undefined &&
+      lateMs > LEAVING_EFFECTIVE_MS &&
+      context.isUndisruptedSince(requestId, firstAtMs)
       ? [
           `${requestId} reached ${backendId} ${Math.round(lateMs)} ms after its answer said that it leaves`,
         ]
@@ -109,34 +117,36 @@
   });
 }
 
-function findInRest(
+function findSentDuringBackoff(
   backendId: string,
-  { arrivals, told }: StatementRecord,
-  ports: StatementCheckPorts,
+  { arrivals, statements }: StatementLog,
+  context: StatementCheckContext,
 ): string[] {
-  return told.flatMap(({ requestId, atMs, statement }) => {
-    if (statement.kind !== 'rest' || !ports.isCalmSince(requestId, atMs)) {
+  return statements.flatMap(({ requestId, atMs, statement }) => {
+    if (statement.kind !== 'rest' || !context.isUndisruptedSince(requestId, atMs)) {
       return [];
     }
-    const within = arrivals.filter(
+    const duringBackoff = arrivals.filter(
       (arrival) =>
-        ports.gatewayOf(arrival.requestId) === ports.gatewayOf(requestId) &&
-        arrival.atMs > atMs + HEED_MS &&
+        context.gatewayOf(arrival.requestId) === context.gatewayOf(requestId) &&
+        arrival.atMs > atMs + STATEMENT_EFFECTIVE_MS &&
         arrival.atMs < statement.untilMs,
     );
-    return within.length > MOST_IN_REST
-      ? [`${backendId} got ${within.length} requests of a gateway that it had asked for a rest`]
+    return duringBackoff.length > MAX_DURING_BACKOFF
+      ? [
+          `${backendId} got ${duringBackoff.length} requests during a backoff from a gateway that had received it`,
+        ]
       : [];
   });
 }
 
 function findOverLimit(
   backendId: string,
-  { arrivals, told }: StatementRecord,
-  ports: StatementCheckPorts,
+  { arrivals, statements }: StatementLog,
+  context: StatementCheckContext,
 ): string[] {
-  const limits = told.flatMap(({ statement, ...rest }) =>
-    statement.kind === 'limit' ? [{ ...rest, perS: statement.perS }] : [],
+  const limits = statements.flatMap(({ statement, ...sent }) =>
+    statement.kind === 'limit' ? [{ ...sent, perS: statement.perS }] : [],
   );
   const [first] = limits;
   const last = limits.at(-1);
@@ -144,28 +154,31 @@
     return [];
   }
   const counted = arrivals.filter(({ requestId, atMs }) => {
-    const toldAtMs = firstTo(limits, requestId, ports);
-    const isBound = toldAtMs !== undefined && atMs >= toldAtMs + HEED_MS;
-    const isInTime = atMs >= first.atMs + LIMIT_BINDS_MS && atMs <= last.atMs;
-    return isBound && isInTime && ports.isCalmSince(requestId, toldAtMs);
+    const statedAtMs = firstStatementTo(limits, requestId, context);
+    const isLimited = statedAtMs !== undefined && atMs >= statedAtMs + STATEMENT_EFFECTIVE_MS;
+    const isInTime = atMs >= first.atMs + LIMIT_EFFECTIVE_MS && atMs <= last.atMs;
+    return isLimited && isInTime && context.isUndisruptedSince(requestId, statedAtMs);
   });
-  const most = Math.max(0, ...counted.map(({ atMs }) => countWindow(counted, atMs)));
+  const peakCount = Math.max(0, ...counted.map(({ atMs }) => countInWindow(counted, atMs)));
   const allowed =
-    Math.max(...limits.map(({ perS }) => perS)) * (LIMIT_WINDOW_MS / 1_000) * LIMIT_OVER;
-  return most > allowed + LIMIT_SLACK
-    ? [`${backendId} got ${most} requests in 4 s with a limit, ${allowed + LIMIT_SLACK} allowed`]
+    Math.max(...limits.map(({ perS }) => perS)) * (LIMIT_WINDOW_MS / 1_000) * LIMIT_OVER_FACTOR;
+  return peakCount > allowed + LIMIT_SLACK
+    ? [
+        `${backendId} got ${peakCount} requests in 4 s with a limit, ${allowed + LIMIT_SLACK} allowed`,
+      ]
     : [];
 }
 
-function countWindow(arrivals: readonly SoakArrival[], fromMs: number): number {
+function countInWindow(arrivals: readonly SoakArrival[], fromMs: number): number {
   return arrivals.filter(({ atMs }) => atMs >= fromMs && atMs <= fromMs + LIMIT_WINDOW_MS).length;
 }
 
-/** When the gateway of a request was told first, in milliseconds. */
-function firstTo(
-  told: readonly SoakArrival[],
+/** Returns when a statement was first sent to the request's gateway, in milliseconds. */
+function firstStatementTo(
+  statements: readonly SoakArrival[],
   requestId: string,
-  { gatewayOf }: StatementCheckPorts,
+  { gatewayOf }: StatementCheckContext,
 ): number | undefined {
-  return told.find((one) => gatewayOf(one.requestId) === gatewayOf(requestId))?.atMs;
+  return statements.find((statement) => gatewayOf(statement.requestId) === gatewayOf(requestId))
+    ?.atMs;
 }
