--- a/bench/soak/statement-run.ts
+++ b/bench/soak/statement-run.ts
@@ -1,6 +1,7 @@
 /**
- * Real gateways on loopback before back ends of which some say something of themselves in their answers: a limit, that
- * they leave, that they want a rest; or fail whatever they are given. What those back ends receive is counted.
+ * Runs gateway processes on loopback while some back ends send statements in their responses (a
+ * limit, a planned departure, a backoff) or fail every request, and counts what those back ends
+ * receive.
  */
 import { createServer, request as httpRequest, Agent } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -9,82 +10,87 @@
 import { StandinStore } from '../../test/support/platform-standin.js';
 import { GatewayProcesses } from './gateway-processes.js';
 
-/** What the back ends in trouble do with requests. */
-export type BackendTrouble =
-  /** They serve them and name a limit. */
+/** How faulty back ends respond to requests. */
+export type BackendFault =
+  /** Serves requests and states a limit. */
   | 'limit'
-  /** They serve them and say that they leave; their announcements do not. */
+  /** Serves requests and states that it is leaving, which its announcement does not show. */
   | 'leaving'
-  /** They turn all away at once and ask for a rest. */
+  /** Refuses all requests at once with Retry-After. */
   | 'rest'
-  /** They turn all away at once. */
+  /** Refuses all requests at once. */
   | 'shed'
-  /** They answer all at once with an error of their own. */
+  /** Responds to all requests at once with status 500. */
   | 'error'
-  /** They reset all connections at once. */
+  /** Resets the connection of every request at once. */
   | 'reset';
 
-/** One run of a fleet. */
+/** Options of a run. */
 export interface StatementRunOptions {
-  readonly trouble: BackendTrouble;
+  readonly fault: BackendFault;
   readonly gateways: number;
-  /** Whether an agent stands beside each back end, which is an engine then. */
+  /** Whether each back end is an engine with a slot agent. */
   readonly hasAgents: boolean;
-  /** Back ends in trouble, of `BACKENDS`. */
-  readonly inTrouble: number;
+  /** Number of faulty back ends, out of `BACKEND_COUNT`. */
+  readonly faultyCount: number;
   readonly limitPerS?: number;
-  /** Requests a second from all callers. Default 100. */
+  /** Requests per second from all callers. Default 100. */
   readonly requestsPerS?: number;
   /** Whether gateways are killed in turn, one every half second. */
   readonly killsGateways?: boolean;
-  /** Time after which the back ends are well again, in milliseconds; never where it is missing. */
-  readonly wellAfterMs?: number;
+  /** Time after which the back ends recover, in milliseconds; undefined if they do not. */
+  readonly recoverAfterMs?: number;
   readonly seed: number;
-  /** Time in trouble, in milliseconds. */
+  /** Duration of the fault, in milliseconds. */
   readonly lengthMs: number;
-  /** First of the ports; each host uses a few. */
+  /** First port; each host uses several. */
   readonly basePort: number;
 }
 
-/** What was seen. */
+/** Results of a run. */
 export interface StatementRunReport {
-  /** Most requests in a window at a back end that had named a limit, from gateways that it had told. */
+  /**
+   * Peak requests in a window at a back end with a limit, from gateways that had received the
+   * limit.
+   */
   readonly limitWorst: number;
   readonly limitAllowed: number;
-  /** What a back end with a limit got after the first seconds, as a share of it. */
+  /** Request rate at a back end once its limit is effective, as a fraction of the limit. */
   readonly limitUsed: number;
-  /** Requests that were sent by callers later than they might be and reached a back end that had told their gateway that it leaves. */
+  /**
+   * Requests that reached a leaving back end too long after its statement reached their gateway.
+   */
   readonly lateToLeaving: number;
-  /** Most requests of one gateway within a rest that it had been asked for. */
+  /** Peak requests from one gateway during a backoff that it had received. */
   readonly restWorst: number;
-  /** Share of callers that were served while there was trouble. */
+  /** Fraction of requests that were served during the fault. */
   readonly served: number;
-  /** Requests that reached back ends in trouble once they were well again, a second. */
+  /** Requests per second at the faulty back ends after their recovery. */
   readonly wellPerS: number;
   readonly folder: string;
 }
 
-/** Back ends of a fleet. */
-export const BACKENDS = 6;
+/** Number of back ends of a fleet. */
+export const BACKEND_COUNT = 6;
 const SLOTS = 8;
-const WORK_MS = 90;
-const REST_S = 3;
-/** From the first answer that names a limit to the moment from which a limit binds, in milliseconds. */
-const LIMIT_BINDS_MS = 3_000;
+const SERVICE_MS = 90;
+const BACKOFF_S = 3;
+/** Time from the first response with a limit until the limit is effective, in milliseconds. */
+const LIMIT_EFFECTIVE_MS = 3_000;
 const LIMIT_WINDOW_MS = 4_000;
-const LIMIT_OVER = 1.5;
+const LIMIT_OVER_FACTOR = 1.5;
 const LIMIT_SLACK = 5;
-/** Time until a gateway heeds that a back end leaves, in milliseconds. */
-const LEAVING_HEED_MS = 2_000;
-/** Time until a gateway heeds what it was told, in milliseconds. */
-const HEED_MS = 500;
+/** Time until a gateway stops sending to a leaving back end, in milliseconds. */
+const LEAVING_EFFECTIVE_MS = 2_000;
+/** Time until a gateway follows a limit or a backoff, in milliseconds. */
+const STATEMENT_EFFECTIVE_MS = 500;
 const SETTLE_MS = 4_000;
-const KILL_TURN_MS = 500;
-const ASK_STEP_MS = 5;
+const KILL_INTERVAL_MS = 500;
+const SEND_INTERVAL_MS = 5;
 const MS_PER_S = 1_000;
-const UNSAFE_SHARE = 1 / 3;
+const UNSAFE_FRACTION = 1 / 3;
 
-interface Asked {
+interface SentRequest {
   readonly gateway: number;
   readonly sentAtMs: number;
   status: number;
@@ -96,33 +102,33 @@
   readonly atMs: number;
 }
 
-/** Plays one run and reports. */
+/** Runs one scenario and returns its results. */
 export async function runStatements(options: StatementRunOptions): Promise<StatementRunReport> {
   const run = new StatementRun(options);
   try {
-    return await run.play();
+    return await run.run();
   } finally {
     run.stop();
   }
 }
 
-class TroubledBackend {
+class FaultyBackend {
   readonly arrivals: Arrival[] = [];
-  firstSaidAtMs = Infinity;
-  /** When each gateway was told first, and each time. */
-  readonly toldAtMs = new Map<number, number>();
-  readonly restsAsked: Array<{ readonly gateway: number; readonly atMs: number }> = [];
-
-  noteTold(gateway: number, nowMs: number): void {
-    this.firstSaidAtMs = Math.min(this.firstSaidAtMs, nowMs);
-    if (!this.toldAtMs.has(gateway)) {
-      this.toldAtMs.set(gateway, nowMs);
+  firstStatementAtMs = Infinity;
+  /** Time of the first statement to each gateway. */
+  readonly statementAtMsByGateway = new Map<number, number>();
+  readonly backoffStatements: Array<{ readonly gateway: number; readonly atMs: number }> = [];
+
+  recordStatement(gateway: number, nowMs: number): void {
+    this.firstStatementAtMs = Math.min(this.firstStatementAtMs, nowMs);
+    if (!this.statementAtMsByGateway.has(gateway)) {
+      this.statementAtMsByGateway.set(gateway, nowMs);
     }
   }
 
-  /** Whether the gateway had been told `ms` before. */
-  wasTold({ gateway, atMs }: Arrival, ms: number): boolean {
-    return (this.toldAtMs.get(gateway) ?? Infinity) + ms <= atMs;
+  /** Whether a request arrived at least `ms` after the first statement to its gateway. */
+  isAfterStatement({ gateway, atMs }: Arrival, ms: number): boolean {
+    return (this.statementAtMsByGateway.get(gateway) ?? Infinity) + ms <= atMs;
   }
 }
 
@@ -131,12 +137,12 @@
   private readonly store = new StandinStore();
   private readonly processes: GatewayProcesses;
   private readonly servers: Server[] = [];
-  private readonly asked = new Map<string, Asked>();
-  private readonly troubled = new Map<number, TroubledBackend>();
-  private readonly running = new Map<number, number>();
+  private readonly requests = new Map<string, SentRequest>();
+  private readonly faultyBackends = new Map<number, FaultyBackend>();
+  private readonly runningCounts = new Map<number, number>();
   private readonly agent = new Agent({ keepAlive: true, maxSockets: 64 });
   private readonly timers = new Set<NodeJS.Timeout>();
-  private troubleFromMs = Infinity;
+  private faultFromMs = Infinity;
 
   constructor(private readonly options: StatementRunOptions) {
     this.random = new SeededRandom(options.seed);
@@ -146,27 +152,27 @@
       basePort,
       folderName: 'statements',
     });
-    for (let index = 0; index < options.inTrouble; index += 1) {
-      this.troubled.set(index, new TroubledBackend());
+    for (let index = 0; index < options.faultyCount; index += 1) {
+      this.faultyBackends.set(index, new FaultyBackend());
     }
   }
 
-  async play(): Promise<StatementRunReport> {
+  async run(): Promise<StatementRunReport> {
     process.once('exit', () => this.stop());
     const store = await this.store.start();
     this.configure();
-    for (let index = 0; index < BACKENDS; index += 1) {
+    for (let index = 0; index < BACKEND_COUNT; index += 1) {
       await this.startBackend(index);
     }
     for (let index = 0; index < this.options.gateways; index += 1) {
-      this.processes.startGateway(store, { lines: this.agentPortLines });
+      this.processes.startGateway(store, { settingsLines: this.agentPortSettings });
     }
-    await this.processes.untilReady();
+    await this.processes.waitUntilReady();
     await delay(SETTLE_MS);
-    this.every(ASK_STEP_MS, () => this.askDue());
+    this.runEvery(SEND_INTERVAL_MS, () => this.sendDue());
     await delay(MS_PER_S);
-    this.troubleFromMs = performance.now();
-    this.beginKills();
+    this.faultFromMs = performance.now();
+    this.startKills();
     await delay(this.options.lengthMs);
     const untilMs = performance.now();
     this.stopTimers();
@@ -185,11 +191,13 @@
     this.store.stop();
   }
 
-  private beginKills(): void {
-    let turn = 0;
+  private startKills(): void {
+    let nextIndex = 0;
     if (this.options.killsGateways === true) {
       const { gateways } = this.processes;
-      this.every(KILL_TURN_MS, () => gateways[turn++ % gateways.length]!.signal('SIGKILL'));
+      this.runEvery(KILL_INTERVAL_MS, () =>
+        gateways[nextIndex++ % gateways.length]!.signal('SIGKILL'),
+      );
     }
   }
 
@@ -198,8 +206,8 @@
     this.timers.clear();
   }
 
-  private every(periodMs: number, act: () => void): void {
-    this.timers.add(setInterval(act, periodMs));
+  private runEvery(periodMs: number, action: () => void): void {
+    this.timers.add(setInterval(action, periodMs));
   }
 
   private configure(): void {
@@ -227,13 +235,15 @@
     });
   }
 
-  private get isTroubled(): boolean {
-    const sinceMs = performance.now() - this.troubleFromMs;
-    return sinceMs >= 0 && sinceMs < (this.options.wellAfterMs ?? Infinity);
+  private get isFaultActive(): boolean {
+    const sinceMs = performance.now() - this.faultFromMs;
+    return sinceMs >= 0 && sinceMs < (this.options.recoverAfterMs ?? Infinity);
   }
 
   private async startBackend(index: number): Promise<void> {
-    const server = createServer((request, response) => this.receive(index, request, response));
+    const server = createServer((request, response) =>
+      this.handleRequest(index, request, response),
+    );
     server.keepAliveTimeout = 10_000;
     const port = this.options.basePort + 6;
     await new Promise<void>((resolve) => server.listen(port, backendHost(index), resolve));
@@ -241,14 +251,14 @@
     const address = `${backendHost(index)}:${port}`;
     this.store.announce(`w-${index}`, { address, service: 'workers', slots: SLOTS, zone: 'z0' });
     if (this.options.hasAgents) {
-      this.processes.startOther(`agent-${index}`, this.agentSettings(index, address));
+      this.processes.startOtherProcess(`agent-${index}`, this.agentSettings(index, address));
     }
   }
 
-  private receive(index: number, request: IncomingMessage, response: ServerResponse): void {
+  private handleRequest(index: number, request: IncomingMessage, response: ServerResponse): void {
     request.resume();
     if (request.url === '/-/report') {
-      response.end(JSON.stringify({ waiting: 0, running: this.running.get(index) ?? 0 }));
+      response.end(JSON.stringify({ waiting: 0, running: this.runningCounts.get(index) ?? 0 }));
       return;
     }
     const requestId = String(request.headers['x-weirvale-attempt-id']);
@@ -258,44 +268,44 @@
       response.end();
       return;
     }
-    const troubled = this.troubled.get(index);
-    if (troubled === undefined || this.troubleFromMs > performance.now()) {
+    const faulty = this.faultyBackends.get(index);
+    if (faulty === undefined || this.faultFromMs > performance.now()) {
       this.serve(index, response);
       return;
     }
-    const { gateway, sentAtMs } = this.asked.get(requestId)!;
-    troubled.arrivals.push({ gateway, sentAtMs, atMs: performance.now() });
-    if (this.isTroubled) {
-      this.answerInTrouble(index, troubled, gateway, request, response);
+    const { gateway, sentAtMs } = this.requests.get(requestId)!;
+    faulty.arrivals.push({ gateway, sentAtMs, atMs: performance.now() });
+    if (this.isFaultActive) {
+      this.handleDuringFault(index, faulty, gateway, request, response);
     } else {
       this.serve(index, response);
     }
   }
 
-  private answerInTrouble(
+  private handleDuringFault(
     index: number,
-    troubled: TroubledBackend,
+    faulty: FaultyBackend,
     gateway: number,
     request: IncomingMessage,
     response: ServerResponse,
   ): void {
     const nowMs = performance.now();
-    const { trouble, limitPerS = 2.4 } = this.options;
-    if (trouble === 'limit') {
+    const { fault, limitPerS = 2.4 } = this.options;
+    if (fault === 'limit') {
       response.setHeader('Server-Limit', `${limitPerS}`);
-      this.serve(index, response, () => troubled.noteTold(gateway, performance.now()));
-    } else if (trouble === 'leaving') {
+      this.serve(index, response, () => faulty.recordStatement(gateway, performance.now()));
+    } else if (fault === 'leaving') {
       response.setHeader('Server-Leaving', '1');
-      this.serve(index, response, () => troubled.noteTold(gateway, performance.now()));
-    } else if (trouble === 'error') {
+      this.serve(index, response, () => faulty.recordStatement(gateway, performance.now()));
+    } else if (fault === 'error') {
       response.writeHead(500);
       response.end();
-    } else if (trouble === 'reset') {
+    } else if (fault === 'reset') {
       request.socket.resetAndDestroy();
     } else {
-      if (trouble === 'rest') {
-        troubled.restsAsked.push({ gateway, atMs: nowMs });
-        response.setHeader('Retry-After', `${REST_S}`);
+      if (fault === 'rest') {
+        faulty.backoffStatements.push({ gateway, atMs: nowMs });
+        response.setHeader('Retry-After', `${BACKOFF_S}`);
       }
       response.writeHead(503, { 'X-Weirvale-Not-Executed': '1' });
       response.end();
@@ -303,16 +313,16 @@
   }
 
   private serve(index: number, response: ServerResponse, onServed = () => undefined as void): void {
-    this.running.set(index, (this.running.get(index) ?? 0) + 1);
+    this.runningCounts.set(index, (this.runningCounts.get(index) ?? 0) + 1);
     setTimeout(() => {
-      this.running.set(index, this.running.get(index)! - 1);
+      this.runningCounts.set(index, this.runningCounts.get(index)! - 1);
       onServed();
       response.end('done');
-    }, WORK_MS);
+    }, SERVICE_MS);
   }
 
-  /** Where gateways reach the agents beside back ends. */
-  private get agentPortLines(): readonly string[] {
+  /** Gateway settings for the port of the slot agents. */
+  private get agentPortSettings(): readonly string[] {
     return ['[listen]', `slotAgentPort = ${this.options.basePort + 5}`];
   }
 
@@ -332,22 +342,26 @@
     ];
   }
 
-  private askDue(): void {
+  private sendDue(): void {
     const { requestsPerS = 100 } = this.options;
-    for (let due = (requestsPerS * ASK_STEP_MS) / MS_PER_S; due > 0; due -= 1) {
-      if (this.random.next() < due) {
-        this.ask();
+    for (
+      let expectedCount = (requestsPerS * SEND_INTERVAL_MS) / MS_PER_S;
+      expectedCount > 0;
+      expectedCount -= 1
+    ) {
+      if (this.random.next() < expectedCount) {
+        this.sendRequest();
       }
     }
   }
 
-  private ask(): void {
-    const id = `c-${this.asked.size}`;
+  private sendRequest(): void {
+    const id = `c-${this.requests.size}`;
     const gateway = Math.floor(this.random.next() * this.options.gateways);
-    const route = this.random.next() < UNSAFE_SHARE ? 'unsafe' : 'safe';
-    const asked: Asked = { gateway, sentAtMs: performance.now(), status: 0 };
-    this.asked.set(id, asked);
-    const sent = httpRequest(
+    const route = this.random.next() < UNSAFE_FRACTION ? 'unsafe' : 'safe';
+    const record: SentRequest = { gateway, sentAtMs: performance.now(), status: 0 };
+    this.requests.set(id, record);
+    const clientRequest = httpRequest(
       {
         host: this.processes.hostOf(gateway),
         port: this.options.basePort + 1,
@@ -360,75 +374,82 @@
         },
       },
       (response) => {
-        asked.status = response.statusCode ?? 0;
+        record.status = response.statusCode ?? 0;
         response.resume();
         response.on('error', () => undefined);
       },
     );
-    sent.on('error', () => undefined);
-    sent.end();
+    clientRequest.on('error', () => undefined);
+    clientRequest.end();
   }
 
   private report(untilMs: number): StatementRunReport {
-    const { limitPerS = 2.4, wellAfterMs } = this.options;
-    const troubled = [...this.troubled.values()];
-    const all = [...this.asked.values()].filter(
-      ({ sentAtMs }) => sentAtMs >= this.troubleFromMs && sentAtMs <= untilMs,
+    const { limitPerS = 2.4, recoverAfterMs } = this.options;
+    const faulty = [...this.faultyBackends.values()];
+    const duringFault = [...this.requests.values()].filter(
+      ({ sentAtMs }) => sentAtMs >= this.faultFromMs && sentAtMs <= untilMs,
     );
-    const wellFromMs = this.troubleFromMs + (wellAfterMs ?? Infinity);
-    const well = troubled.flatMap(({ arrivals }) =>
-      arrivals.filter(({ atMs }) => atMs >= wellFromMs && atMs <= untilMs),
+    const recoveredFromMs = this.faultFromMs + (recoverAfterMs ?? Infinity);
+    const afterRecovery = faulty.flatMap(({ arrivals }) =>
+      arrivals.filter(({ atMs }) => atMs >= recoveredFromMs && atMs <= untilMs),
     );
     return {
-      limitWorst: Math.max(0, ...troubled.map((each) => worstOfLimit(each, wellFromMs))),
-      limitAllowed: (LIMIT_WINDOW_MS / MS_PER_S) * limitPerS * LIMIT_OVER + LIMIT_SLACK,
+      limitWorst: Math.max(
+        0,
+        ...faulty.map((backend) => maxInLimitWindow(backend, recoveredFromMs)),
+      ),
+      limitAllowed: (LIMIT_WINDOW_MS / MS_PER_S) * limitPerS * LIMIT_OVER_FACTOR + LIMIT_SLACK,
       limitUsed:
-        Math.min(...troubled.map((each) => useOf(each, Math.min(untilMs, wellFromMs)))) / limitPerS,
-      lateToLeaving: troubled.reduce((sum, each) => sum + lateTo(each), 0),
-      restWorst: Math.max(0, ...troubled.map(worstOfRests)),
-      served: all.filter(({ status }) => status === 200).length / all.length,
-      wellPerS: (well.length / (untilMs - wellFromMs)) * MS_PER_S,
+        Math.min(
+          ...faulty.map((backend) => rateUnderLimit(backend, Math.min(untilMs, recoveredFromMs))),
+        ) / limitPerS,
+      lateToLeaving: faulty.reduce((sum, backend) => sum + countLateToLeaving(backend), 0),
+      restWorst: Math.max(0, ...faulty.map(maxDuringBackoff)),
+      served: duringFault.filter(({ status }) => status === 200).length / duringFault.length,
+      wellPerS: (afterRecovery.length / (untilMs - recoveredFromMs)) * MS_PER_S,
       folder: this.processes.folder,
     };
   }
 }
 
-/** Most arrivals in a window at a back end with a limit, of gateways that it had told. */
-function worstOfLimit(troubled: TroubledBackend, untilMs: number): number {
-  const bindsFromMs = troubled.firstSaidAtMs + LIMIT_BINDS_MS;
-  const counted = troubled.arrivals
-    .filter((arrival) => arrival.atMs >= bindsFromMs && arrival.atMs < untilMs)
-    .filter((arrival) => troubled.wasTold(arrival, HEED_MS))
+/**
+ * Returns the peak arrivals in a window at a back end, from gateways that had received its limit.
+ */
+function maxInLimitWindow(faulty: FaultyBackend, untilMs: number): number {
+  const effectiveFromMs = faulty.firstStatementAtMs + LIMIT_EFFECTIVE_MS;
+  const counted = faulty.arrivals
+    .filter((arrival) => arrival.atMs >= effectiveFromMs && arrival.atMs < untilMs)
+    .filter((arrival) => faulty.isAfterStatement(arrival, STATEMENT_EFFECTIVE_MS))
     .map(({ atMs }) => atMs);
-  return counted.reduce((worst, fromMs) => {
+  return counted.reduce((max, fromMs) => {
     const within = counted.filter((atMs) => atMs >= fromMs && atMs <= fromMs + LIMIT_WINDOW_MS);
-    return Math.max(worst, within.length);
+    return Math.max(max, within.length);
   }, 0);
 }
 
-/** Arrivals a second once the limit binds. */
-function useOf({ arrivals, firstSaidAtMs }: TroubledBackend, untilMs: number): number {
-  const fromMs = firstSaidAtMs + LIMIT_BINDS_MS;
+/** Returns the arrivals per second once the limit is effective. */
+function rateUnderLimit({ arrivals, firstStatementAtMs }: FaultyBackend, untilMs: number): number {
+  const fromMs = firstStatementAtMs + LIMIT_EFFECTIVE_MS;
   const counted = arrivals.filter(({ atMs }) => atMs >= fromMs && atMs <= untilMs);
   return (counted.length / (untilMs - fromMs)) * MS_PER_S;
 }
 
-function lateTo(troubled: TroubledBackend): number {
-  return troubled.arrivals.filter(
+function countLateToLeaving(faulty: FaultyBackend): number {
+  return faulty.arrivals.filter(
     ({ gateway, sentAtMs }) =>
-      sentAtMs > (troubled.toldAtMs.get(gateway) ?? Infinity) + LEAVING_HEED_MS,
+      sentAtMs > (faulty.statementAtMsByGateway.get(gateway) ?? Infinity) + LEAVING_EFFECTIVE_MS,
   ).length;
 }
 
-function worstOfRests({ restsAsked, arrivals }: TroubledBackend): number {
-  return restsAsked.reduce((worst, rest) => {
+function maxDuringBackoff({ backoffStatements, arrivals }: FaultyBackend): number {
+  return backoffStatements.reduce((max, backoff) => {
     const within = arrivals.filter(
       ({ gateway, atMs }) =>
-        gateway === rest.gateway &&
-        atMs > rest.atMs + HEED_MS &&
-        atMs < rest.atMs + REST_S * MS_PER_S,
+        gateway === backoff.gateway &&
+        atMs > backoff.atMs + STATEMENT_EFFECTIVE_MS &&
+        atMs < backoff.atMs + BACKOFF_S * MS_PER_S,
     );
-    return Math.max(worst, within.length);
+    return Math.max(max, within.length);
   }, 0);
 }
 
--- a/bench/statements.ts
+++ b/bench/statements.ts
@@ -1,42 +1,49 @@
-/** Runs fleets before back ends that speak of themselves: `node dist/bench/statements.js --troubles limit`; stops by itself. */
+/**
+ * Checks how gateways follow the statements (limits, departures, backoff) in back ends' responses,
+ * then exits: `node dist/bench/statements.js --troubles limit`.
+ */
 import { Command } from 'commander';
 import { runStatements } from './soak/statement-run.js';
-import type { BackendTrouble } from './soak/statement-run.js';
+import type { BackendFault } from './soak/statement-run.js';
 
-const ALL: readonly BackendTrouble[] = ['limit', 'leaving', 'rest', 'shed', 'error', 'reset'];
+const ALL_FAULTS: readonly BackendFault[] = ['limit', 'leaving', 'rest', 'shed', 'error', 'reset'];
 
 const program = new Command('statements')
-  .description('what back ends say of themselves, over real gateways on loopback')
-  .option('--troubles <list>', `of ${ALL.join(', ')}`, ALL.join(','))
+  .description('checks how gateway processes on loopback follow the statements of back ends')
+  .option(
+    '--troubles <list>',
+    `comma-separated faults of back ends: ${ALL_FAULTS.join(', ')}`,
+    ALL_FAULTS.join(','),
+  )
   .option('--gateways <count>', 'gateways', '3')
-  .option('--agents', 'an agent beside each back end')
-  .option('--troubled <count>', 'back ends in trouble, of six', '1')
-  .option('--limit <perS>', 'limit that is named, in requests a second', '2.4')
-  .option('--load <perS>', 'requests a second', '100')
-  .option('--kills', 'gateways are killed in turn')
-  .option('--well <seconds>', 'time after which the back ends are well again')
-  .option('--runs <count>', 'runs of each', '1')
+  .option('--agents', 'run a slot agent next to each back end')
+  .option('--troubled <count>', 'faulty back ends, out of six', '1')
+  .option('--limit <perS>', 'stated limit, in requests per second', '2.4')
+  .option('--load <perS>', 'requests per second', '100')
+  .option('--kills', 'kill the gateways in turn')
+  .option('--well <seconds>', 'time after which the back ends recover')
+  .option('--runs <count>', 'runs of each fault', '1')
   .option('--from <seed>', 'first seed', '1')
-  .option('--seconds <count>', 'time in trouble', '12')
+  .option('--seconds <count>', 'duration of the fault', '12')
   .option('--port <base>', 'first port', '27000');
 program.parse();
 const options = program.opts<Record<string, string | boolean>>();
-for (const trouble of String(options['troubles']).split(',') as BackendTrouble[]) {
+for (const fault of String(options['troubles']).split(',') as BackendFault[]) {
   for (let run = 0; run < Number(options['runs']); run += 1) {
     const report = await runStatements({
-      trouble,
+      fault,
       gateways: Number(options['gateways']),
       hasAgents: options['agents'] === true,
-      inTrouble: Number(options['troubled']),
+      faultyCount: Number(options['troubled']),
       limitPerS: Number(options['limit']),
       requestsPerS: Number(options['load']),
       killsGateways: options['kills'] === true,
-      ...(options['well'] === undefined ? {} : { wellAfterMs: Number(options['well']) * 1_000 }),
+      ...(options['well'] === undefined ? {} : { recoverAfterMs: Number(options['well']) * 1_000 }),
       seed: Number(options['from']) + run,
       lengthMs: Number(options['seconds']) * 1_000,
       basePort: Number(options['port']) + (run % 10) * 10,
     });
-    console.log(trouble, JSON.stringify(report));
+    console.log(fault, JSON.stringify(report));
   }
 }
 process.exit(0);
--- a/bench/store-changes.ts
+++ b/bench/store-changes.ts
@@ -1,6 +1,6 @@
 /**
- * Plays fleets that learn the store's changes beside troubles on a virtual clock, a seed each, and prints the
- * gateways that learned a change too late, with what happened before.
+ * Simulates, for each seed, a fleet that replicates the store's records under random faults on a
+ * virtual clock. Prints the gateways that applied a change too late, and the events before.
  */
 import { Command } from 'commander';
 import { runTroubled } from '../test/support/fleet-troubles.js';
@@ -13,14 +13,14 @@
 }
 
 const MS_PER_S = 1_000;
-const MAX_STORY_LINES = 12;
+const MAX_EVENT_LINES = 12;
 
 const program = new Command()
-  .description('Changes of the store beside troubles, on a virtual clock.')
+  .description('Simulates the replication of store changes under faults, on a virtual clock.')
   .option('--from <seed>', 'first seed', '1')
   .option('--seeds <count>', 'number of seeds', '50')
   .option('--gateways <count>', 'gateways of each fleet', '27')
-  .option('--seconds <time>', 'time with troubles', '40')
+  .option('--seconds <time>', 'duration of the faults', '40')
   .parse();
 
 const { from, seeds, gateways, seconds } = program.opts<Options>();
@@ -32,20 +32,20 @@
     lengthMs: Number(seconds) * MS_PER_S,
     needsAcknowledgement: seed % 2 === 0,
   });
-  const first = late[0];
+  const firstLate = late[0];
   if (lateForOrders.length > 0) {
-    failed += first === undefined ? 1 : 0;
+    failed += firstLate === undefined ? 1 : 0;
     console.log(`seed ${seed}: ${lateForOrders.join('; ')}`);
     console.log(story.join('\n'));
   }
-  if (first !== undefined) {
+  if (firstLate !== undefined) {
     failed += 1;
-    const before = story.filter((line) => Number.parseInt(line, 10) <= first.atMs);
-    const { gateway, change, atMs } = first;
+    const precedingEvents = story.filter((line) => Number.parseInt(line, 10) <= firstLate.atMs);
+    const { gateway, change, atMs } = firstLate;
     console.log(
       `seed ${seed}: ${late.length} late, first ${gateway} with ${change.version} at ${atMs} ms:`,
     );
-    console.log(before.slice(-MAX_STORY_LINES).join('\n'));
+    console.log(precedingEvents.slice(-MAX_EVENT_LINES).join('\n'));
   }
 }
 console.log(`${seeds} seeds of ${gateways} gateways, ${failed} with late gateways`);
