--- a/src/ini-sections.ts
+++ b/src/ini-sections.ts
@@ -1,22 +1,22 @@
-/** Sections and pairs of an INI file with the lines they stand on, which `ini` itself does not keep. */
+/** Parses INI files into sections with line numbers, which the `ini` package does not provide. */
 import { parse } from 'ini';
 
-/** One `key = value` of a section. */
+/** One `key = value` pair. */
 export interface IniPair {
   readonly key: string;
   readonly value: string;
-  /** Line in the file, from 1. */
+  /** 1-based line number. */
   readonly line: number;
 }
 
-/** One section; pairs before the first header stand in a section with an empty name. */
+/** One section; pairs before the first header belong to a section with an empty name. */
 export interface IniSection {
   readonly name: string;
   readonly line: number;
   readonly pairs: readonly IniPair[];
 }
 
-/** Reads `text`; values come from `ini`, line by line, so that each keeps its line number. */
+/** Parses `text` with the `ini` package one line at a time, to keep the line numbers. */
 export function parseIniSections(text: string): IniSection[] {
   const sections: Array<{ name: string; line: number; pairs: IniPair[] }> = [];
   let current = { name: '', line: 1, pairs: [] as IniPair[] };
--- a/src/key-value/errors.ts
+++ b/src/key-value/errors.ts
@@ -1,15 +1,15 @@
-/** Failures of the platform's services. */
+/** Errors of calls to the platform's services. */
 import { WeirvaleError } from '../request/errors.js';
 
-/** The service refused or could not be reached: the call had no effect. */
+/** The service was unreachable or rejected the call; the call had no effect. */
 export class PlatformUnavailableError extends WeirvaleError {
   readonly code = 'platform-unavailable';
 }
 
-/** The answer was lost: the call may have taken effect. */
+/** The response was lost; the call may have taken effect. */
 export class PlatformAnswerLostError extends WeirvaleError {
   readonly code = 'platform-answer-lost';
 }
 
-/** Any failure of a platform call. */
+/** Any error of a platform call. */
 export type PlatformError = PlatformUnavailableError | PlatformAnswerLostError;
--- a/src/key-value/http-key-value.ts
+++ b/src/key-value/http-key-value.ts
@@ -1,4 +1,4 @@
-/** The platform's key-value service over HTTP. */
+/** HTTP client of the platform's key-value service. */
 import { request } from 'undici';
 import { z } from 'zod';
 import { err, ok } from '../result.js';
@@ -22,7 +22,7 @@
 
 const HTTP_OK = 200;
 
-/** The platform's key-value service over HTTP. */
+/** Calls the platform's key-value service over HTTP. */
 export class HttpKeyValueClient implements KeyValueClient {
   constructor(
     private readonly baseUrl: string,
@@ -30,8 +30,8 @@
   ) {}
 
   async get(key: string): Promise<Result<KeyValueEntry | undefined, PlatformError>> {
-    const answer = await this.call({ operation: 'get', key }, this.timeoutMs, getSchema);
-    return answer.ok ? ok(answer.val.entry ?? undefined) : err(answer.val);
+    const response = await this.call({ operation: 'get', key }, this.timeoutMs, getSchema);
+    return response.ok ? ok(response.val.entry ?? undefined) : err(response.val);
   }
 
   async compareAndSwap(
@@ -40,11 +40,11 @@
     value: unknown,
   ): Promise<Result<SwapOutcome, PlatformError>> {
     const body = { operation: 'compare-and-swap', key, expectedRevision, value };
-    const answer = await this.call(body, this.timeoutMs, swapSchema);
-    if (!answer.ok) {
-      return err(answer.val);
+    const response = await this.call(body, this.timeoutMs, swapSchema);
+    if (!response.ok) {
+      return err(response.val);
     }
-    const { swapped, revision, current } = answer.val;
+    const { swapped, revision, current } = response.val;
     return swapped
       ? ok({ swapped: true, revision: revision ?? 0 })
       : ok({ swapped: false, current: current ?? undefined });
@@ -56,8 +56,8 @@
     waitMs: number,
   ): Promise<Result<KeyValueEntry | undefined, PlatformError>> {
     const body = { operation: 'watch', key, afterRevision, waitMs };
-    const answer = await this.call(body, waitMs + this.timeoutMs, getSchema);
-    return answer.ok ? ok(answer.val.entry ?? undefined) : err(answer.val);
+    const response = await this.call(body, waitMs + this.timeoutMs, getSchema);
+    return response.ok ? ok(response.val.entry ?? undefined) : err(response.val);
   }
 
   async acquireLease(
@@ -66,8 +66,8 @@
     durationMs: number,
   ): Promise<Result<LeaseGrant | undefined, PlatformError>> {
     const body = { operation: 'acquire-lease', name, holder, durationMs };
-    const answer = await this.call(body, this.timeoutMs, leaseSchema);
-    return answer.ok ? ok(answer.val.grant ?? undefined) : err(answer.val);
+    const response = await this.call(body, this.timeoutMs, leaseSchema);
+    return response.ok ? ok(response.val.grant ?? undefined) : err(response.val);
   }
 
   private async call<Schema extends z.ZodType>(
@@ -85,7 +85,11 @@
       });
       const text = await response.body.text();
       if (response.statusCode !== HTTP_OK) {
-        return err(new PlatformUnavailableError(`the service answered ${response.statusCode}`));
+        return err(
+          new PlatformUnavailableError(
+            `the key-value service responded with status ${response.statusCode}`,
+          ),
+        );
       }
       return ok(schema.parse(JSON.parse(text)));
     } catch (cause) {
@@ -94,10 +98,13 @@
   }
 }
 
-/** A connection that was refused did nothing; after any other failure the call may have had effect. */
+/**
+ * Maps a transport error: only after a refused connection is it certain that the call had no
+ * effect.
+ */
 function classify(cause: unknown): PlatformError {
   const isRefused = (cause as { code?: string }).code === 'ECONNREFUSED';
   return isRefused
-    ? new PlatformUnavailableError('the service cannot be reached')
+    ? new PlatformUnavailableError('the key-value service refused the connection')
     : new PlatformAnswerLostError(String(cause));
 }
--- a/src/key-value/http-live-list.ts
+++ b/src/key-value/http-live-list.ts
@@ -1,4 +1,4 @@
-/** The platform's list of live and leaving machines over HTTP. */
+/** HTTP client of the platform's live list, the service registry of live and leaving machines. */
 import { request } from 'undici';
 import { z } from 'zod';
 import { machineSchema } from '../membership/machine.js';
@@ -10,15 +10,15 @@
 const listSchema = z.array(machineSchema);
 const HTTP_OK = 200;
 
-/** The platform's list of live and leaving machines. */
+/** Client of the live list. */
 export interface LiveListClient {
-  /** The machines as the list shows them now. */
+  /** Returns the current records of the list. */
   list(): Promise<Result<Machine[], PlatformUnavailableError>>;
-  /** Enters this machine in the list, or changes its state there. */
+  /** Registers `machine`, or updates its record. */
   announce(machine: Machine): Promise<Result<void, PlatformUnavailableError>>;
 }
 
-/** The list over HTTP. */
+/** Calls the live list over HTTP. */
 export class HttpLiveListClient implements LiveListClient {
   constructor(
     private readonly baseUrl: string,
@@ -49,7 +49,11 @@
       const text = await response.body.text();
       return response.statusCode === HTTP_OK
         ? ok(text)
-        : err(new PlatformUnavailableError(`the list answered ${response.statusCode}`));
+        : err(
+            new PlatformUnavailableError(
+              `the live list responded with status ${response.statusCode}`,
+            ),
+          );
     } catch (cause) {
       return err(new PlatformUnavailableError(String(cause)));
     }
--- a/src/key-value/key-value.ts
+++ b/src/key-value/key-value.ts
@@ -1,49 +1,49 @@
-/** The interface of the platform's key-value service, as weirvale uses it. */
+/** Client interface of the platform's key-value service. */
 import type { Result } from '../result.js';
 import type { PlatformError } from './errors.js';
 
-/** A stored value. */
+/** A stored value with its revision. */
 export interface KeyValueEntry {
-  /** JSON value, at most a megabyte as text. */
+  /** JSON value, at most one megabyte when serialized. */
   readonly value: unknown;
-  /** Rises with each change of the key; a key that does not exist has revision 0. */
+  /** Increases with each change of the key; a missing key has revision 0. */
   readonly revision: number;
 }
 
-/** What became of a compare-and-swap. */
+/** Result of a compare-and-swap; `current` is the entry whose revision did not match. */
 export type SwapOutcome =
   | { readonly swapped: true; readonly revision: number }
   | { readonly swapped: false; readonly current: KeyValueEntry | undefined };
 
-/** A granted lease. */
+/** A lease granted to a holder. */
 export interface LeaseGrant {
   readonly holder: string;
-  /** Rises with each grant of the lease to a new holder. */
+  /** Fencing token: increases with each new grant of the lease; unchanged when it is renewed. */
   readonly fencingNumber: number;
-  /** How long the lease lasts from the answer, in milliseconds. */
+  /** Lease duration from the response on, in milliseconds. */
   readonly durationMs: number;
 }
 
-/** Calls to the platform's key-value service; every one counts against its rates. */
+/** Client of the key-value service; each call counts against its rate limits. */
 export interface KeyValueClient {
-  /** Reads one key; undefined if it does not exist. */
+  /** Reads a key; returns undefined if it does not exist. */
   get(key: string): Promise<Result<KeyValueEntry | undefined, PlatformError>>;
 
-  /** Writes `value` (null deletes) if the key's revision is still `expectedRevision`. */
+  /** Writes `value` (null deletes the key) if the revision equals `expectedRevision`. */
   compareAndSwap(
     key: string,
     expectedRevision: number,
     value: unknown,
   ): Promise<Result<SwapOutcome, PlatformError>>;
 
-  /** Waits up to `waitMs` until the key's revision passes `afterRevision`; gives its state then. */
+  /** Waits up to `waitMs` for a revision above `afterRevision`, then returns the current entry. */
   watch(
     key: string,
     afterRevision: number,
     waitMs: number,
   ): Promise<Result<KeyValueEntry | undefined, PlatformError>>;
 
-  /** Takes or prolongs the lease `name` for `holder`; undefined if another holds it. */
+  /** Acquires or renews the lease `name`; returns undefined if another holder has it. */
   acquireLease(
     name: string,
     holder: string,
--- a/src/membership/machine.ts
+++ b/src/membership/machine.ts
@@ -1,27 +1,27 @@
-/** Machines as the platform's list of live and leaving machines shows them. The list lags behind reality. */
+/** Records of the platform's live list, its service registry. The list is eventually consistent. */
 import { z } from 'zod';
 
-/** One process of weirvale on one machine. */
+/** Schema of a live list record. */
 export const machineSchema = z.strictObject({
-  /** Entry name, or name of the engine that the agent stands beside. */
+  /** Name of the entry, or of the engine to which the agent is the sidecar. */
   name: z.string(),
   role: z.enum(['entry', 'agent']),
   region: z.string(),
   zone: z.string(),
   place: z.string(),
   address: z.string(),
-  /** Port for the protocol between processes. */
+  /** Port of the protocol between weirvale processes. */
   port: z.number().int(),
   state: z.enum(['live', 'leaving']),
 });
 
-/** One process of weirvale on one machine. */
+/** Live list record of one weirvale process. */
 export type Machine = z.infer<typeof machineSchema>;
 
-/** Where and who a process is. */
+/** Identity and location of a process. */
 export interface ProcessIdentity {
   readonly name: string;
-  /** New at every start. */
+  /** Unique id of this start of the process. */
   readonly incarnation: string;
   readonly region: string;
   readonly zone: string;
--- a/src/membership/rendezvous.ts
+++ b/src/membership/rendezvous.ts
@@ -1,9 +1,9 @@
-/** Rendezvous hashing: every process ranks the same names in the same way, without talking. */
+/** Rendezvous hashing: all processes rank the same names identically without coordination. */
 
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
-/** A 32-bit hash of `text`. */
+/** Returns a 32-bit FNV-1a hash of `text` with a final avalanche step. */
 export function hashText(text: string): number {
   let hash = FNV_OFFSET;
   for (let index = 0; index < text.length; index += 1) {
@@ -12,7 +12,7 @@
   return mixBits(hash);
 }
 
-/** The `count` names that rank highest for `key`, best first. */
+/** Returns the `count` names that rank highest for `key`, in descending order. */
 export function pickByRendezvous(key: string, names: readonly string[], count: number): string[] {
   return names
     .map((name) => ({ name, score: hashText(`${key}/${name}`) }))
@@ -21,7 +21,7 @@
     .map((ranked) => ranked.name);
 }
 
-/** Spreads the last characters of the text over all bits. */
+/** Avalanche step: without it, the last characters of the text affect only some of the bits. */
 function mixBits(hash: number): number {
   let mixed = hash ^ (hash >>> 16);
   mixed = Math.imul(mixed, 0x85ebca6b);
--- a/src/membership/subset.ts
+++ b/src/membership/subset.ts
@@ -1,21 +1,20 @@
-/** Query: the bounded set of agents that one entry keeps connections to. */
+/** Selects the bounded subset of agents to which an entry connects. */
 import type { CompiledPolicy } from '../policy/compiled-policy.js';
 import type { Machine, ProcessIdentity } from './machine.js';
 import { pickByRendezvous } from './rendezvous.js';
 
-/** Bounds of a subset. */
+/** Size limits of a subset. */
 export interface SubsetOptions {
-  /** Most agents of one model and place within the entry's own region. */
+  /** Maximum number of agents per model and place in the entry's own region. */
   readonly agentsPerPool: number;
-  /** Most agents of one model and place in each other region. */
+  /** Maximum number of agents per model and place in each other region. */
   readonly agentsPerRemotePool: number;
 }
 
 /**
- * Chooses agents by pool, a pool being the engines of one model in one place:
- * many in the entry's own region, a few elsewhere, so that every place which a
- * selector may name stays reachable while the number of connections does not
- * grow with the fleet.
+ * Selects agents per pool; a pool is the engines of one model in one place. Many agents are
+ * selected in the entry's own region and a few elsewhere, so that every place that a selector can
+ * match stays reachable while the number of connections does not grow with the fleet.
  */
 export function selectAgents(
   identity: ProcessIdentity,
--- a/src/options.ts
+++ b/src/options.ts
@@ -1,37 +1,47 @@
-/** Options of the two roles that the cores read, with their units and defaults. */
+/** Options of the entry and agent roles, with units and defaults. */
 
 /** Options of the entry role. */
 export interface EntryOptions {
-  /** Agents that a waiting request is offered to at once. Default 4. */
+  /** Base number of agents that hold a bid for the same waiting request. Default 4. */
   readonly bidWidth: number;
-  /** Most waiting requests; beyond it the lowest tier is shed. Default 5,000. */
+  /** Maximum number of waiting requests; above it, the lowest tier is shed. Default 5,000. */
   readonly maxWaitingRequests: number;
-  /** Most bytes of waiting requests. Default 64 MiB. */
+  /** Maximum total size of waiting requests, in bytes. Default 64 MiB. */
   readonly maxWaitingBytes: number;
-  /** Slack before the deadline at which a request turns urgent, in milliseconds. Default 1,000. */
+  /**
+   * Remaining time to the deadline below which a request is urgent, in milliseconds. Default 1,000.
+   */
   readonly urgentSlackMs: number;
-  /** Shortest time that urgent bids stand before their request may be shed, in milliseconds. Default 100. */
+  /**
+   * Minimum time that urgent bids are pending before their request may be shed, in milliseconds.
+   * Default 100.
+   */
   readonly urgentGraceMs: number;
-  /** How long a broken connection may take to come back before its answers are lost, in milliseconds. Default 10,000. */
+  /**
+   * Time to reconnect after a lost connection before its responses count as lost, in milliseconds.
+   * Default 10,000.
+   */
   readonly resumeTimeoutMs: number;
-  /** Silence after which an idle connection is probed, in milliseconds. Default 1,000. */
+  /** Idle time after which a connection is pinged, in milliseconds. Default 1,000. */
   readonly pingIntervalMs: number;
-  /** Silence after which a connection is given up, in milliseconds. Default 4,000. */
+  /**
+   * Time without received data after which a connection is closed, in milliseconds. Default 4,000.
+   */
   readonly silenceTimeoutMs: number;
-  /** Shortest and longest pause between two tries to connect, in milliseconds. Defaults 100 and 5,000. */
+  /** Minimum and maximum reconnect backoff, in milliseconds. Defaults 100 and 5,000. */
   readonly reconnectMinMs: number;
   readonly reconnectMaxMs: number;
-  /** Most agents that an entry connects to for one model and place of its own region. Default 32. */
+  /** Maximum agents an entry connects to per model and place in its own region. Default 32. */
   readonly agentsPerPool: number;
-  /** Most agents that an entry connects to for one model and place of another region. Default 2. */
+  /** Maximum agents an entry connects to per model and place in another region. Default 2. */
   readonly agentsPerRemotePool: number;
-  /** Retry-After of refusals under overload, in milliseconds. Default 2,000. */
+  /** Retry delay suggested in overload refusals, in milliseconds. Default 2,000. */
   readonly retryAfterMs: number;
-  /** How long a request may wait with no reachable permitted engine, in milliseconds. Default 2,000. */
+  /** Maximum wait while no permitted engine is reachable, in milliseconds. Default 2,000. */
   readonly noEngineGraceMs: number;
 }
 
-/** Defaults of the entry role. */
+/** Default options of the entry role. */
 export const DEFAULT_ENTRY_OPTIONS: EntryOptions = {
   bidWidth: 4,
   maxWaitingRequests: 5_000,
@@ -51,31 +61,45 @@
 
 /** Options of the agent role. */
 export interface AgentOptions {
-  /** Requests that the engine runs at once. Default 8. */
+  /** Maximum number of requests that the engine runs concurrently. Default 8. */
   readonly capacity: number;
-  /** Paused requests that the engine can hold beside the running ones. Default 8. */
+  /** Maximum number of paused requests, in addition to the running ones. Default 8. */
   readonly maxPaused: number;
-  /** Most bids held; beyond it the lowest tier is refused. Default 2,000. */
+  /** Maximum number of queued bids; above it, the lowest tier is refused. Default 2,000. */
   readonly maxBids: number;
-  /** How long a call waits for its bind, in milliseconds. Default 1,000. */
+  /**
+   * Timeout of a call (the agent's offer to run a bid) without a bind, in milliseconds. Default
+   * 1,000.
+   */
   readonly callTimeoutMs: number;
-  /** How long a higher-tier bid waits before a running lower tier makes room, in milliseconds. Default 200. */
+  /**
+   * Wait of a higher-tier bid before it preempts a running lower-tier request, in milliseconds.
+   * Default 200.
+   */
   readonly preemptAfterMs: number;
-  /** How long an entry may use a permit, in milliseconds; 0 issues none. Default 4,000. */
+  /** Validity of a permit, in milliseconds; 0 disables permits. Default 4,000. */
   readonly permitLifetimeMs: number;
-  /** How long finished answers wait to be acknowledged, in milliseconds. Default 60,000. */
+  /** Retention of completed, unacknowledged responses, in milliseconds. Default 60,000. */
   readonly answerRetentionMs: number;
-  /** How long a request runs on while its entry is not connected, in milliseconds; longer than the entries' resume timeout. Default 15,000. */
+  /**
+   * Time for which a request continues to run while its entry is disconnected, in milliseconds;
+   * must be longer than `resumeTimeoutMs` of the entries. Default 15,000.
+   */
   readonly orphanTimeoutMs: number;
-  /** How long a bind waits for a policy generation that the agent does not know yet, in milliseconds. Default 2,000. */
+  /**
+   * Wait of a bind for a policy generation not yet installed at the agent, in milliseconds. Default
+   * 2,000.
+   */
   readonly policyWaitMs: number;
-  /** Silence after which an idle connection is probed, in milliseconds. Default 1,000. */
+  /** Idle time after which a connection is pinged, in milliseconds. Default 1,000. */
   readonly pingIntervalMs: number;
-  /** Silence after which a connection is given up, in milliseconds. Default 4,000. */
+  /**
+   * Time without received data after which a connection is closed, in milliseconds. Default 4,000.
+   */
   readonly silenceTimeoutMs: number;
 }
 
-/** Defaults of the agent role. */
+/** Default options of the agent role. */
 export const DEFAULT_AGENT_OPTIONS: AgentOptions = {
   capacity: 8,
   maxPaused: 8,
--- a/src/placement/errors.ts
+++ b/src/placement/errors.ts
@@ -1,32 +1,32 @@
-/** Failures of orders to back ends. */
+/** Errors of orders (model load commands) to backends. */
 import { WeirvaleError } from '../request/errors.js';
 
-/** Another process holds the lease for orders to this back end. */
+/** Another process holds the lease for orders to this backend. */
 export class LeaseHeldError extends WeirvaleError {
   readonly code = 'lease-held';
 }
 
-/** The lease could not be taken because the platform's service gave no certain answer. */
+/** The lease was not acquired: the key-value service is unreachable or its response was lost. */
 export class LeaseUnavailableError extends WeirvaleError {
   readonly code = 'lease-unavailable';
 }
 
-/** The back end has seen a higher fencing number: somebody else is in charge by now. */
+/** The backend has seen a higher fencing number: another process has acquired the lease since. */
 export class StaleOrderError extends WeirvaleError {
   readonly code = 'stale-order';
 }
 
-/** The back end did not answer. */
+/** The backend did not respond. */
 export class BackendUnavailableError extends WeirvaleError {
   readonly code = 'backend-unavailable';
 }
 
-/** The lease lapsed, or the back end changed, each time the order was tried. */
+/** On every attempt the lease expired or the backend loaded a different model. */
 export class OrderUnsettledError extends WeirvaleError {
   readonly code = 'order-unsettled';
 }
 
-/** Any failure of an order. */
+/** Any error of an order. */
 export type OrderError =
   | LeaseHeldError
   | LeaseUnavailableError
--- a/src/placement/order-executor.ts
+++ b/src/placement/order-executor.ts
@@ -1,11 +1,10 @@
 /**
- * Command: bring a back end to an assignment, under a lease with a fencing number.
+ * Makes a backend load its assigned model, under a lease with a fencing number.
  *
- * Back ends that check the number refuse the late order of a holder that was
- * paused. For those that do not, a new holder waits out the old lease and a
- * margin, every order is preceded by a check of the lease and followed by a
- * read, and `ensure` is called again and again: a late order that still comes
- * through is put right at the next call, not prevented.
+ * Backends that enforce fencing numbers reject delayed orders of a previous lease holder that was
+ * paused. For the other backends, a new holder waits for the previous lease and a margin to
+ * expire, checks its own lease before every order and reads the loaded model afterwards. A delayed
+ * order can still get through; the next periodic call of `ensure` corrects it.
  */
 import { sleep } from '../clock.js';
 import type { Clock } from '../clock.js';
@@ -17,31 +16,31 @@
 import { isSameAssignment } from './order-port.js';
 import type { ModelAssignment, OrderPort } from './order-port.js';
 
-/** Options of an executor. */
+/** Options of an order executor. */
 export interface OrderExecutorOptions {
-  /** How long a lease lasts, in milliseconds. Default 15,000. */
+  /** Lease duration in milliseconds. Default 15,000. */
   readonly leaseMs: number;
-  /** An order is sent only while the lease has this much left, in milliseconds. Default 3,000. */
+  /** Minimum remaining lease time for sending an order, in milliseconds. Default 3,000. */
   readonly marginMs: number;
 }
 
-/** Defaults of an executor. */
+/** Default options of an order executor. */
 export const DEFAULT_ORDER_OPTIONS: OrderExecutorOptions = { leaseMs: 15_000, marginMs: 3_000 };
 
-/** Whether an order was needed. */
+/** Whether the model was already loaded or an order was sent. */
 export type OrderOutcome = 'already-loaded' | 'ordered';
 
 interface HeldLease {
   readonly fencingNumber: number;
-  /** Reckoned from before the call was sent, so that it never ends later than the service thinks. */
-  readonly untilMs: number;
+  /** Measured from before the call, so that it is never later than the service's expiry. */
+  readonly expiresAtMs: number;
 }
 
 const MAX_ATTEMPTS = 3;
 
-/** Brings one back end to its assignment. */
+/** Keeps one backend at its assigned model. */
 export class OrderExecutor {
-  /** The term in which this holder last waited out its predecessor. */
+  /** Last fencing number for which the wait for the previous lease is over or not needed. */
   private settledFencingNumber = 0;
 
   constructor(
@@ -54,66 +53,75 @@
   ) {}
 
   /**
-   * Brings the back end to `assignment`; to be called again and again.
+   * Makes the backend load `assignment`; call it periodically.
    *
-   * @returns whether an order was needed, or LeaseHeldError, LeaseUnavailableError,
+   * @returns whether an order was sent, or LeaseHeldError, LeaseUnavailableError,
    *   StaleOrderError, BackendUnavailableError or OrderUnsettledError
    */
   async ensure(assignment: ModelAssignment): Promise<Result<OrderOutcome, OrderError>> {
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
-      const lease = await this.takeLease();
+      const lease = await this.acquireExclusiveLease();
       if (!lease.ok) {
         return err(lease.val);
       }
-      const outcome = await this.orderUnder(lease.val, assignment);
+      const outcome = await this.loadUnderLease(lease.val, assignment);
       if (outcome !== 'try-again') {
         return outcome;
       }
     }
-    return err(new OrderUnsettledError('the lease lapsed or the back end changed at each try'));
+    return err(
+      new OrderUnsettledError(
+        'on every attempt the lease expired or the backend loaded a different model',
+      ),
+    );
   }
 
-  private async orderUnder(
+  private async loadUnderLease(
     lease: HeldLease,
     assignment: ModelAssignment,
   ): Promise<Result<OrderOutcome, OrderError> | 'try-again'> {
-    const before = await this.port.readLoaded();
+    const before = await this.port.readLoadedModel();
     if (!before.ok) {
       return err(before.val);
     }
     if (isSameAssignment(before.val, assignment)) {
       return ok('already-loaded');
     }
-    if (this.clock.now() > lease.untilMs - this.options.marginMs) {
+    if (this.clock.now() > lease.expiresAtMs - this.options.marginMs) {
       return 'try-again';
     }
     const ordered = await this.port.load(assignment, lease.fencingNumber);
     if (!ordered.ok) {
       return err(ordered.val);
     }
-    const after = await this.port.readLoaded();
+    const after = await this.port.readLoadedModel();
     if (!after.ok) {
       return err(after.val);
     }
     return isSameAssignment(after.val, assignment) ? ok('ordered') : 'try-again';
   }
 
-  private async takeLease(): Promise<Result<HeldLease, OrderError>> {
+  private async acquireExclusiveLease(): Promise<Result<HeldLease, OrderError>> {
     const first = await this.acquire();
     if (!first.ok) {
       return first;
     }
     const { fencingNumber } = first.val;
     const isSettled = fencingNumber === this.settledFencingNumber || fencingNumber === 1;
-    if (this.port.checksFencing || isSettled) {
+    if (this.port.enforcesFencing || isSettled) {
       this.settledFencingNumber = fencingNumber;
       return first;
     }
-    return this.waitOutPredecessor(fencingNumber);
+    return this.waitOutPreviousLease(fencingNumber);
   }
 
-  /** Nothing but time separates this holder's orders from those of the one before. */
-  private async waitOutPredecessor(fencingNumber: number): Promise<Result<HeldLease, OrderError>> {
+  /**
+   * Waits for the previous lease and a margin to expire: without fencing, only time separates the
+   * orders of successive lease holders.
+   */
+  private async waitOutPreviousLease(
+    fencingNumber: number,
+  ): Promise<Result<HeldLease, OrderError>> {
     const { leaseMs, marginMs } = this.options;
     const endMs = this.clock.now() + leaseMs + marginMs;
     while (this.clock.now() < endMs) {
@@ -123,7 +131,7 @@
         return renewed;
       }
       if (renewed.val.fencingNumber !== fencingNumber) {
-        return this.waitOutPredecessor(renewed.val.fencingNumber);
+        return this.waitOutPreviousLease(renewed.val.fencingNumber);
       }
     }
     this.settledFencingNumber = fencingNumber;
@@ -138,9 +146,9 @@
       return err(new LeaseUnavailableError(grant.val.message));
     }
     if (grant.val === undefined) {
-      return err(new LeaseHeldError(`${this.leaseName} is held by another process`));
+      return err(new LeaseHeldError(`lease "${this.leaseName}" is held by another process`));
     }
     const { fencingNumber, durationMs } = grant.val;
-    return ok({ fencingNumber, untilMs: sentAtMs + durationMs });
+    return ok({ fencingNumber, expiresAtMs: sentAtMs + durationMs });
   }
 }
--- a/src/placement/order-port.ts
+++ b/src/placement/order-port.ts
@@ -1,22 +1,22 @@
-/** Orders to a back end, as its own interface takes them. */
+/** Port for orders (model load commands) through a backend's own interface. */
 import type { Result } from '../result.js';
 import type { BackendUnavailableError, StaleOrderError } from './errors.js';
 
-/** What a back end is to have loaded. */
+/** The model and version that a backend is assigned to load. */
 export interface ModelAssignment {
   readonly model: string;
   readonly version: string;
 }
 
-/** The order interface of one back end. */
+/** Order interface of one backend. */
 export interface OrderPort {
-  /** Whether the back end refuses an order whose fencing number is lower than one it has seen. */
-  readonly checksFencing: boolean;
+  /** Whether the backend rejects orders with a lower fencing number than it has already seen. */
+  readonly enforcesFencing: boolean;
 
-  /** What the back end has loaded; undefined when it has nothing. */
-  readLoaded(): Promise<Result<ModelAssignment | undefined, BackendUnavailableError>>;
+  /** Returns the loaded model, or undefined if none is loaded. */
+  readLoadedModel(): Promise<Result<ModelAssignment | undefined, BackendUnavailableError>>;
 
-  /** Orders the back end to load a model. */
+  /** Commands the backend to load a model. */
   load(
     assignment: ModelAssignment,
     fencingNumber: number,
--- a/src/policy/api-key.ts
+++ b/src/policy/api-key.ts
@@ -1,8 +1,8 @@
-/** API keys of tenants, kept in the policy as salted hashes only. */
+/** Tenant API keys; the policy stores only their salted hashes. */
 import { createHash, timingSafeEqual } from 'node:crypto';
 import type { CompiledPolicy } from './compiled-policy.js';
 
-/** `salt:hex(sha256(salt + key))`, the form in which a policy holds a key. */
+/** Returns `salt:hex(sha256(salt + key))`, the form in which a policy stores a key. */
 export function hashApiKey(key: string, salt: string): string {
   const hash = createHash('sha256')
     .update(salt + key)
@@ -10,21 +10,21 @@
   return `${salt}:${hash}`;
 }
 
-/** Finds the tenant of an API key; remembers keys that were found under one policy. */
+/** Looks up tenants by API key under one policy and caches the successful lookups. */
 export class TenantDirectory {
-  private readonly found = new Map<string, string>();
+  private readonly tenantsByKey = new Map<string, string>();
 
   constructor(private readonly policy: CompiledPolicy) {}
 
-  /** Name of the tenant that `key` belongs to, or undefined for an unknown key. */
+  /** Returns the name of the tenant that `key` belongs to, or undefined if the key is unknown. */
   findTenant(key: string): string | undefined {
-    const known = this.found.get(key);
-    if (known !== undefined) {
-      return known;
+    const cached = this.tenantsByKey.get(key);
+    if (cached !== undefined) {
+      return cached;
     }
     for (const [tenant, entry] of this.policy.tenants) {
-      if (entry.keys.some((stored) => isKeyOf(stored, key))) {
-        this.found.set(key, tenant);
+      if (entry.keys.some((stored) => matchesStoredHash(stored, key))) {
+        this.tenantsByKey.set(key, tenant);
         return tenant;
       }
     }
@@ -32,7 +32,7 @@
   }
 }
 
-function isKeyOf(stored: string, key: string): boolean {
+function matchesStoredHash(stored: string, key: string): boolean {
   const salt = stored.slice(0, stored.indexOf(':'));
   const expected = Buffer.from(stored);
   const actual = Buffer.from(hashApiKey(key, salt));
--- a/src/policy/change.ts
+++ b/src/policy/change.ts
@@ -1,34 +1,34 @@
-/** Changes of policy: edits of entries, and the record that an accepted change leaves behind. */
+/** Policy changes: edits of entries, and the record stored for each accepted change. */
 import { createHash } from 'node:crypto';
 import { z } from 'zod';
 import { canonicalJson } from './compiled-policy.js';
 import { policyEntrySchema } from './document.js';
 import type { EntryName, PolicyDocument, PolicyEntry } from './document.js';
 
-/** One entry's new state; `after: null` removes it. */
+/** Schema of an edit: the new value of one entry; `after: null` removes the entry. */
 export const policyEditSchema = z.strictObject({
   entry: z.string(),
   after: policyEntrySchema.nullable(),
 });
 
-/** One accepted change. */
+/** Schema of the record of an accepted change. */
 export const changeRecordSchema = z.strictObject({
-  /** Chosen by the operator's tool; the change is looked for under it after a lost answer. */
+  /** Idempotency key chosen by the CLI; identifies the change after a lost response. */
   changeId: z.string(),
   generation: z.number().int().positive(),
   author: z.string(),
-  /** Wall-clock time of the operator's tool, in milliseconds since 1970. */
+  /** Wall-clock time of the CLI's host, in milliseconds since 1970 (Unix time). */
   atMs: z.number(),
   summary: z.string(),
-  /** Null when the change was too large to be kept in the record. */
+  /** Null if the edits were too large to store in the record. */
   edits: z.array(policyEditSchema).nullable(),
   /** Digest of the whole document after the change. */
   digest: z.number(),
 });
 
-/** One entry's new state. */
+/** New value of one policy entry, or its removal. */
 export type PolicyEdit = z.infer<typeof policyEditSchema>;
-/** One accepted change. */
+/** Record of an accepted change. */
 export type ChangeRecord = z.infer<typeof changeRecordSchema>;
 
 /** Returns `document` with `edits` applied. */
@@ -44,7 +44,7 @@
   return changed;
 }
 
-/** The edits that turn `from` into `to`. */
+/** Returns the edits that turn `from` into `to`, sorted by entry name. */
 export function findEdits(from: PolicyDocument, to: PolicyDocument): PolicyEdit[] {
   const names = new Set([...Object.keys(from), ...Object.keys(to)]);
   return [...names]
@@ -57,8 +57,8 @@
 const DIGEST_BYTES = 6;
 
 /**
- * Digest of a document as a sum over its entries, so that the digest after a
- * change costs only the entries that changed.
+ * Returns the digest of a document: the sum of the digests of its entries, so that
+ * updating it after a change hashes only the changed entries.
  */
 export function policyDigest(document: PolicyDocument): number {
   return Object.entries(document).reduce(
@@ -67,7 +67,7 @@
   );
 }
 
-/** Digest after `edits`, given the digest and the document before them. */
+/** Updates `digest`, the digest of the document `before`, for `edits`. */
 export function digestAfterEdits(
   digest: number,
   before: PolicyDocument,
@@ -75,8 +75,8 @@
 ): number {
   let sum = digest;
   for (const edit of edits) {
-    const old = before[edit.entry];
-    const removed = old === undefined ? 0 : entryDigest(edit.entry, old);
+    const previous = before[edit.entry];
+    const removed = previous === undefined ? 0 : entryDigest(edit.entry, previous);
     const added = edit.after === null ? 0 : entryDigest(edit.entry, edit.after);
     sum = (sum + added - removed + DIGEST_MODULUS) % DIGEST_MODULUS;
   }
--- a/src/policy/compiled-policy.ts
+++ b/src/policy/compiled-policy.ts
@@ -1,4 +1,4 @@
-/** A policy document compiled for fast decisions, under one generation. */
+/** A policy document of one generation, indexed for fast eligibility decisions. */
 import { createHash } from 'node:crypto';
 import { entriesOfKind } from './document.js';
 import type {
@@ -15,9 +15,9 @@
   readonly name: string;
 }
 
-/** A document in the form that eligibility is decided on. */
+/** A policy document with the indexes that eligibility decisions use. */
 export interface CompiledPolicy {
-  /** Rises by one with each accepted change; 0 means that no policy is known yet. */
+  /** Version of the policy: increases by one per accepted change; 0 if no policy is loaded. */
   readonly generation: number;
   readonly document: PolicyDocument;
   readonly engines: ReadonlyMap<string, EngineEntry>;
@@ -25,11 +25,11 @@
   readonly places: ReadonlyMap<string, PlaceEntry>;
   readonly models: ReadonlyMap<string, ModelEntry>;
   readonly tenants: ReadonlyMap<string, TenantEntry>;
-  /** Denying selectors first, then allowing ones by descending priority and name. */
+  /** Deny selectors first, then allow selectors by descending priority, then by name. */
   readonly selectors: readonly NamedSelector[];
 }
 
-/** Compiles `document`, which must be free of problems. */
+/** Compiles `document`, which must be valid. */
 export function compilePolicy(document: PolicyDocument, generation: number): CompiledPolicy {
   const engines = new Map(entriesOfKind(document, 'engine'));
   return {
@@ -46,15 +46,15 @@
   };
 }
 
-/** The policy of a process that has not learned any: nothing is permitted. */
+/** Policy of a process that has not loaded one yet; denies every request. */
 export const EMPTY_POLICY: CompiledPolicy = compilePolicy({}, 0);
 
-/** Digest of a document: equal documents have equal digests whatever the order of their keys. */
-export function digestOf(document: PolicyDocument): string {
+/** Returns the content hash of a document; it does not depend on the order of its keys. */
+export function contentDigest(document: PolicyDocument): string {
   return createHash('sha256').update(canonicalJson(document)).digest('hex').slice(0, 16);
 }
 
-/** JSON with object keys in order, so that equal values have equal text. */
+/** Serializes to JSON with sorted object keys, so that equal values have equal text. */
 export function canonicalJson(value: unknown): string {
   return JSON.stringify(value, (_key, inner: unknown) => {
     if (inner === null || typeof inner !== 'object' || Array.isArray(inner)) {
--- a/src/policy/document.ts
+++ b/src/policy/document.ts
@@ -1,8 +1,8 @@
 /**
- * The policy document: what operators declare, as named entries of five kinds.
+ * Schema of the policy document: the named entries that operators declare.
  *
- * An entry is the unit of change and of conflict: two operators who change
- * different entries at the same moment both succeed.
+ * Changes and conflict detection work per entry: concurrent changes to different entries all
+ * succeed.
  */
 import { z } from 'zod';
 import { HIGHEST_TIER, LOWEST_TIER } from '../request/tier.js';
@@ -11,16 +11,16 @@
 const LABELS = z.record(NAME, z.string().min(1).max(100)).default({});
 const MAX_CONCURRENT_LIMIT = 1_000_000;
 
-/** Declares a label key and the values it may take. */
+/** Schema of a label declaration: the values allowed for one label key. */
 export const labelKeySchema = z.strictObject({
   kind: z.literal('label'),
   values: z.array(z.string().min(1)).min(1),
 });
 
-/** A place (a hall) where engines stand. */
+/** Schema of a place: a data hall that hosts engines. */
 export const placeSchema = z.strictObject({ kind: z.literal('place'), labels: LABELS });
 
-/** A back end: a model engine or a plain service, beside which an agent runs. */
+/** Schema of a backend: a model engine or a plain service, each with an agent as its sidecar. */
 export const engineSchema = z.strictObject({
   kind: z.literal('engine'),
   place: NAME,
@@ -28,33 +28,33 @@
   labels: LABELS,
 });
 
-/** A model, or a plain service that requests name in the same way. */
+/** Schema of a model, or of a plain service, which requests address in the same way. */
 export const modelSchema = z.strictObject({
   kind: z.literal('model'),
   labels: LABELS,
-  /** False for a plain service whose calls may not be repeated. */
+  /** False for a plain service whose calls must not be retried (at-most-once execution). */
   repeatable: z.boolean().default(true),
 });
 
-/** A tenant, its API keys as salted hashes, and its limits. */
+/** Schema of a tenant: its API keys as salted hashes, and its limits. */
 export const tenantSchema = z.strictObject({
   kind: z.literal('tenant'),
   labels: LABELS,
   /** `salt:hex(sha256(salt + key))`. */
   keys: z.array(z.string().regex(/^[0-9a-f]+:[0-9a-f]{64}$/)).default([]),
-  /** Share of a tier against other tenants of that tier. */
+  /** Weight for fair queueing among the tenants of a tier. */
   weight: z.number().positive().default(1),
-  /** Most requests of the tenant that one entry holds at once. */
+  /** Maximum number of concurrent requests of the tenant at one entry. */
   maxConcurrent: z.number().int().positive().max(MAX_CONCURRENT_LIMIT).default(10_000),
 });
 
 const CONDITIONS = z.record(NAME, z.array(z.string().min(1)).min(1)).default({});
 
-/** States which requests may (or may not) go to which engines, and at what tier. */
+/** Schema of a selector: a rule that allows or denies requests on engines and assigns a tier. */
 export const selectorSchema = z.strictObject({
   kind: z.literal('selector'),
   effect: z.enum(['allow', 'deny']),
-  /** Of several allowing selectors the one with the highest priority decides the tier. */
+  /** The matching allow selector with the highest priority determines the tier. */
   priority: z.number().int().default(0),
   tier: z.number().int().min(HIGHEST_TIER).max(LOWEST_TIER).default(LOWEST_TIER),
   tenant: CONDITIONS,
@@ -64,7 +64,7 @@
   place: CONDITIONS,
 });
 
-/** Any entry of a policy document. */
+/** Schema of any policy entry. */
 export const policyEntrySchema = z.discriminatedUnion('kind', [
   labelKeySchema,
   placeSchema,
@@ -74,37 +74,37 @@
   selectorSchema,
 ]);
 
-/** Any entry of a policy document. */
+/** Any policy entry. */
 export type PolicyEntry = z.infer<typeof policyEntrySchema>;
-/** The kinds of entry. */
+/** Discriminator of policy entries. */
 export type PolicyEntryKind = PolicyEntry['kind'];
-/** A declared label key. */
+/** A label declaration. */
 export type LabelKeyEntry = z.infer<typeof labelKeySchema>;
-/** A place. */
+/** A data hall that hosts engines. */
 export type PlaceEntry = z.infer<typeof placeSchema>;
-/** A back end. */
+/** A model engine or plain service, with the models that it serves. */
 export type EngineEntry = z.infer<typeof engineSchema>;
-/** A model or plain service. */
+/** A model or plain service that requests can address. */
 export type ModelEntry = z.infer<typeof modelSchema>;
-/** A tenant. */
+/** A tenant with its API key hashes and limits. */
 export type TenantEntry = z.infer<typeof tenantSchema>;
-/** A selector. */
+/** A rule that allows or denies requests on engines. */
 export type SelectorEntry = z.infer<typeof selectorSchema>;
-/** Accepted values by label key; every key must match. */
+/** Allowed values by label key; all keys must match. */
 export type Conditions = SelectorEntry['tenant'];
 
-/** `kind.name`, for instance `engine.hall-a-1`. */
+/** Key of an entry in the form `kind.name`, for example `engine.hall-a-1`. */
 export type EntryName = string;
 
-/** All entries by name. */
+/** Policy entries by entry name. */
 export type PolicyDocument = Readonly<Record<EntryName, PolicyEntry>>;
 
-/** Joins a kind and a name to an entry name. */
+/** Returns the entry name `kind.name`. */
 export function entryName(kind: PolicyEntryKind, name: string): EntryName {
   return `${kind}.${name}`;
 }
 
-/** The entries of one kind as `[name, entry]`, in order of name. */
+/** Returns the entries of one kind as `[name, entry]` pairs, sorted by name. */
 export function entriesOfKind<Kind extends PolicyEntryKind>(
   document: PolicyDocument,
   kind: Kind,
--- a/src/policy/eligibility.ts
+++ b/src/policy/eligibility.ts
@@ -1,4 +1,4 @@
-/** Query: may a request run on an engine, at what tier, and which selector says so. */
+/** Eligibility decisions: whether a request may run on an engine, at which tier and why. */
 import type { CompiledPolicy, NamedSelector } from './compiled-policy.js';
 import type { Conditions, EngineEntry } from './document.js';
 import { NAME_CONDITION } from './validate.js';
@@ -16,21 +16,21 @@
   | 'denied-by-selector'
   | 'no-selector-allows';
 
-/** The decision for one request on one engine. */
+/** Decision for one request on one engine. */
 export type EligibilityDecision =
   | { readonly allowed: true; readonly tier: Tier; readonly selector: string }
   | { readonly allowed: false; readonly reason: DenialReason; readonly selector?: string };
 
-/** The engines that a request may use, and the tier it has. */
+/** Engines that a request may use, and its tier. */
 export interface PermittedEngines {
   readonly engines: readonly string[];
   readonly engineSet: ReadonlySet<string>;
-  /** The highest tier that any permitted engine's selector gives. */
+  /** Highest tier that a selector assigns for any of the permitted engines. */
   readonly tier: Tier;
   readonly selector: string;
 }
 
-/** Decides whether `attributes` may run on `engineName`; default is deny, and a deny wins. */
+/** Decides whether a request may run on an engine: denied by default; deny overrides allow. */
 export function decideEligibility(
   policy: CompiledPolicy,
   attributes: RequestAttributes,
@@ -104,8 +104,8 @@
 }
 
 /**
- * Remembers the permitted engines of each class of request under one policy,
- * so that the cost of a request does not grow with the fleet.
+ * Caches the permitted engines per request class under one policy, so that the cost per request
+ * does not grow with the number of engines.
  */
 export class PermittedEnginesCache {
   private readonly byClass = new Map<string, PermittedEngines>();
@@ -113,29 +113,29 @@
 
   constructor(private readonly policy: CompiledPolicy) {}
 
-  /** The engines that requests with `attributes` may use. */
+  /** Returns the engines permitted for requests with `attributes`. */
   find(attributes: RequestAttributes): PermittedEngines {
-    const key = classKeyOf(attributes);
-    const known = this.byClass.get(key);
-    if (known !== undefined) {
-      return known;
+    const key = requestClassKey(attributes);
+    const cached = this.byClass.get(key);
+    if (cached !== undefined) {
+      return cached;
     }
     if (this.byClass.size >= PermittedEnginesCache.MAX_CLASSES) {
       this.byClass.clear();
     }
-    const found = findPermittedEngines(this.policy, attributes);
-    this.byClass.set(key, found);
-    return found;
+    const permitted = findPermittedEngines(this.policy, attributes);
+    this.byClass.set(key, permitted);
+    return permitted;
   }
 }
 
-/** A text that is equal for requests which policy cannot tell apart. */
-export function classKeyOf(attributes: RequestAttributes): string {
+/** Returns a cache key that is equal for requests with equal policy-relevant attributes. */
+export function requestClassKey(attributes: RequestAttributes): string {
   const labels = Object.entries(attributes.dataLabels).map(([key, value]) => `${key}=${value}`);
   return `${attributes.tenant}|${attributes.model}|${labels.sort().join(',')}`;
 }
 
-/** The engines that requests with `attributes` may use, decided afresh. */
+/** Evaluates the policy for requests with `attributes`, without caching. */
 export function findPermittedEngines(
   policy: CompiledPolicy,
   attributes: RequestAttributes,
--- a/src/policy/errors.ts
+++ b/src/policy/errors.ts
@@ -1,16 +1,16 @@
-/** Failures of reading and changing policy. */
+/** Errors of reading and changing the policy. */
 import { WeirvaleError } from '../request/errors.js';
 import type { EntryName, PolicyEntry } from './document.js';
 
-/** One fault of a policy document. */
+/** A validation error in a policy document. */
 export interface PolicyProblem {
   readonly entry: EntryName;
   readonly problem: string;
-  /** Line of the file, where the document came from one. */
+  /** Line number, if the document was read from a file. */
   readonly line?: number;
 }
 
-/** The document breaks the schema or names something that is not declared. */
+/** The document violates the schema or references undeclared entries. */
 export class InvalidPolicyError extends WeirvaleError {
   readonly code = 'invalid-policy';
 
@@ -19,7 +19,7 @@
   }
 }
 
-/** Another operator changed the same entry first. */
+/** A concurrent change modified the same entry. */
 export class PolicyConflictError extends WeirvaleError {
   readonly code = 'policy-conflict';
 
@@ -28,18 +28,18 @@
     readonly theirs: PolicyEntry | undefined,
     readonly yours: PolicyEntry | undefined,
   ) {
-    super(`${entry} was changed by somebody else in the meantime`);
+    super(`${entry} was modified by a concurrent change`);
   }
 }
 
-/** The platform's key-value service could not be reached, or gave no certain answer. */
+/** The platform's key-value service is unreachable, or the outcome of a call is unknown. */
 export class PolicyStoreUnavailableError extends WeirvaleError {
   readonly code = 'policy-store-unavailable';
 }
 
-/** One problem as a line for a person. */
+/** Formats a problem as one line of text. */
 export function describeProblem(problem: PolicyProblem): string {
-  const where =
+  const location =
     problem.line === undefined ? problem.entry : `line ${problem.line} ${problem.entry}`;
-  return `${where}: ${problem.problem}`;
+  return `${location}: ${problem.problem}`;
 }
--- a/src/policy/exchange.ts
+++ b/src/policy/exchange.ts
@@ -1,54 +1,68 @@
-/** How two processes bring each other's policy up to date over the connection they have anyway. */
+/** Synchronizes the policy between connected processes over their existing connections. */
 import type { Message } from '../protocol/messages.js';
 import { policyUpdateSchema } from './replica.js';
 import type { InstallOutcome, PolicyReplica } from './replica.js';
 
-/** Shortest time between two requests for missing changes, in milliseconds. */
+/** Minimum interval between two update requests, in milliseconds. */
 const REQUEST_INTERVAL_MS = 500;
-/** Time after a request in which a peer that was asked is passed over for one that was not, in milliseconds. */
-const OTHERS_FIRST_MS = 1_500;
+/**
+ * Time after a request during which no second request is sent to a peer while another newer peer
+ * has not been sent one, in milliseconds.
+ */
+const SAME_PEER_INTERVAL_MS = 1_500;
 
-/** A message about policy. */
+/** A message of the policy synchronization protocol. */
 export type PolicyMessage = Extract<Message, { kind: 'policy-request' | 'policy-update' }>;
 
-/** Asks peers for what this process's replica misses and answers peers that are behind. */
+/** Requests missing policy changes from peers and sends updates to peers with older generations. */
 export class PolicyExchange {
   private lastRequestAtMs = Number.NEGATIVE_INFINITY;
-  /** Peers that showed a newer generation since the last one was installed, and those of them that were asked. */
-  private readonly ahead = new Set<string>();
-  private readonly asked = new Set<string>();
+  /** Peers that reported a newer generation since the last install. */
+  private readonly newerPeers = new Set<string>();
+  /** Those of `newerPeers` to which a request was sent. */
+  private readonly requestedPeers = new Set<string>();
 
   constructor(private readonly replica: PolicyReplica) {}
 
   /**
-   * The request to send to a peer that shows `peerGeneration`, if one is due. A peer whose words arrive may not hear
-   * this process, so that others that are ahead are asked before it is asked again.
+   * Returns the update request to send to a peer that reported `peerGeneration`, if one is due.
+   * Connectivity may be one-way, so that a peer whose reports arrive never receives the request;
+   * other peers with a newer generation are therefore tried before the same peer is tried again.
    */
   onPeerGeneration(peer: string, peerGeneration: number, nowMs: number): Message | undefined {
     if (peerGeneration <= this.replica.generation) {
       return undefined;
     }
-    this.ahead.add(peer);
+    this.newerPeers.add(peer);
     const sinceMs = nowMs - this.lastRequestAtMs;
-    if (sinceMs < REQUEST_INTERVAL_MS || (this.mustAskOthers(peer) && sinceMs < OTHERS_FIRST_MS)) {
+    if (
+      sinceMs < REQUEST_INTERVAL_MS ||
+      (this.shouldRequestFromOthersFirst(peer) && sinceMs < SAME_PEER_INTERVAL_MS)
+    ) {
       return undefined;
     }
-    this.asked.add(peer);
+    this.requestedPeers.add(peer);
     this.lastRequestAtMs = nowMs;
     return { kind: 'policy-request', generation: this.replica.generation };
   }
 
-  private mustAskOthers(peer: string): boolean {
-    return this.asked.has(peer) && [...this.ahead].some((other) => !this.asked.has(other));
+  private shouldRequestFromOthersFirst(peer: string): boolean {
+    return (
+      this.requestedPeers.has(peer) &&
+      [...this.newerPeers].some((other) => !this.requestedPeers.has(other))
+    );
   }
 
-  /** Takes a peer's request or update; says what to send back and whether a newer policy came into force. */
+  /**
+   * Handles a peer's request or update; returns the reply, if any, and whether a newer policy was
+   * installed.
+   */
   take(message: PolicyMessage): {
     readonly reply: Message | undefined;
     readonly isInstalled: boolean;
   } {
     if (message.kind === 'policy-request') {
-      return { reply: this.answerRequest(message.generation), isInstalled: false };
+      return { reply: this.createUpdateMessage(message.generation), isInstalled: false };
     }
     const outcome = this.install(message.json);
     const reply: Message | undefined =
@@ -56,7 +70,7 @@
     return { reply, isInstalled: outcome === 'installed' };
   }
 
-  private answerRequest(generation: number): Message | undefined {
+  private createUpdateMessage(generation: number): Message | undefined {
     const update = this.replica.updateFor(generation);
     return update === undefined
       ? undefined
@@ -67,8 +81,8 @@
     const parsed = policyUpdateSchema.safeParse(parseJson(json));
     const outcome = parsed.success ? this.replica.install(parsed.data) : 'malformed';
     if (outcome === 'installed') {
-      this.ahead.clear();
-      this.asked.clear();
+      this.newerPeers.clear();
+      this.requestedPeers.clear();
     }
     return outcome;
   }
--- a/src/policy/explain.ts
+++ b/src/policy/explain.ts
@@ -1,23 +1,23 @@
-/** Query: which engines a request may use, at what tier, which selector decided, and why each other may not. */
+/** Explains the eligibility decision of a request for each engine of the policy. */
 import type { RequestAttributes } from '../request/request.js';
 import type { Tier } from '../request/tier.js';
 import type { CompiledPolicy } from './compiled-policy.js';
 import { decideEligibility, findPermittedEngines } from './eligibility.js';
 import type { EligibilityDecision } from './eligibility.js';
 
-/** The decision for one engine. */
+/** Eligibility decision for one engine. */
 export interface EngineExplanation {
   readonly engine: string;
   readonly place: string;
   readonly decision: EligibilityDecision;
 }
 
-/** The decision for one class of request. */
+/** Eligibility decisions for one request class. */
 export interface RequestExplanation {
   readonly generation: number;
-  /** Tier of the request; undefined when no engine is permitted. */
+  /** Tier of the request; undefined if no engine is permitted. */
   readonly tier: Tier | undefined;
-  /** Selector that gave the tier. */
+  /** Selector that assigned the tier; undefined if no engine is permitted. */
   readonly selector: string | undefined;
   readonly engines: readonly EngineExplanation[];
 }
--- a/src/policy/follower.ts
+++ b/src/policy/follower.ts
@@ -1,8 +1,8 @@
 /**
  * Follows the policy in the platform's key-value service.
  *
- * A few readers in each zone keep a watch on the head; every other process hears
- * of changes from its peers and polls slowly, with jitter, as a floor.
+ * A few elected readers per zone watch the head key. All other processes receive changes from
+ * their peers and poll the head key at a long, jittered interval as a fallback.
  */
 import type { Clock, TimerHandle } from '../clock.js';
 import type { Machine, ProcessIdentity } from '../membership/machine.js';
@@ -19,19 +19,19 @@
 } from './store.js';
 import type { PolicyUpdate } from './replica.js';
 
-/** Options of following the policy. */
+/** Options of the policy follower. */
 export interface PolicyFollowerOptions {
-  /** Readers in each zone that keep a watch. Default 2. */
+  /** Number of processes per zone that watch the head key. Default 2. */
   readonly readersPerZone: number;
-  /** Longest time that one watch waits, in milliseconds. Default 10,000. */
+  /** Long-poll timeout of one watch call, in milliseconds. Default 10,000. */
   readonly watchMs: number;
-  /** Time between two polls of a process that is no reader, in milliseconds. Default 30,000. */
+  /** Poll interval of processes that are not readers, in milliseconds. Default 30,000. */
   readonly pollMs: number;
-  /** First pause after a failed call, in milliseconds; doubles up to `pollMs`. Default 500. */
+  /** Initial backoff after a failed call, in milliseconds; doubles up to `pollMs`. Default 500. */
   readonly retryMs: number;
 }
 
-/** Defaults of following the policy. */
+/** Default options of the policy follower. */
 export const DEFAULT_FOLLOWER_OPTIONS: PolicyFollowerOptions = {
   readersPerZone: 2,
   watchMs: 10_000,
@@ -39,65 +39,65 @@
   retryMs: 500,
 };
 
-const JITTER = 0.3;
+const JITTER_FRACTION = 0.3;
 
-/** What a follower is made from. */
+/** Dependencies of a policy follower. */
 export interface PolicyFollowerParts {
   readonly client: KeyValueClient;
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly identity: ProcessIdentity;
   readonly options: PolicyFollowerOptions;
-  /** Generation in force in this process. */
+  /** Returns the policy generation in force in this process. */
   readonly currentGeneration: () => number;
-  /** Takes what was read. */
+  /** Called with each newer policy that was read. */
   readonly onUpdate: (update: PolicyUpdate) => void;
 }
 
-/** Follows the policy in the platform's key-value service. */
+/** Keeps this process's policy up to date with the key-value service. */
 export class PolicyFollower {
-  private fleet: readonly Machine[] = [];
+  private machines: readonly Machine[] = [];
   private headRevision = 0;
-  private failures = 0;
+  private consecutiveFailures = 0;
   private isStopped = false;
   private timer: TimerHandle;
 
   constructor(private readonly parts: PolicyFollowerParts) {}
 
-  /** Reads the policy now and follows it until `stop`. */
+  /** Reads the policy immediately and follows it until `stop` is called. */
   start(): void {
-    void this.step();
+    void this.refresh();
   }
 
-  /** Stops following; a call under way has no effect any more. */
+  /** Stops following; the result of a pending call is ignored. */
   stop(): void {
     this.isStopped = true;
     this.parts.clock.clearTimeout(this.timer);
   }
 
-  /** Takes the live list, from which the readers of each zone follow. */
-  setFleet(fleet: readonly Machine[]): void {
+  /** Updates the machine list, from which each zone's readers are elected. */
+  setFleet(machines: readonly Machine[]): void {
     const wasReader = this.isReader();
-    this.fleet = fleet;
+    this.machines = machines;
     if (!wasReader && this.isReader() && this.timer !== undefined) {
       this.scheduleNext();
     }
   }
 
-  /** Whether this process keeps a watch; with no list known, everybody polls. */
+  /** Whether this process watches the head key; without a machine list, every process polls. */
   isReader(): boolean {
     const { identity, options } = this.parts;
-    const names = this.fleet
+    const names = this.machines
       .filter((machine) => machine.zone === identity.zone && machine.state === 'live')
       .map((machine) => machine.name);
     return pickByRendezvous(identity.zone, names, options.readersPerZone).includes(identity.name);
   }
 
-  private async step(): Promise<void> {
-    const isOk =
+  private async refresh(): Promise<void> {
+    const hasSucceeded =
       this.isReader() && this.headRevision > 0 ? await this.watchHead() : await this.readHead();
     if (!this.isStopped) {
-      this.failures = isOk ? 0 : this.failures + 1;
+      this.consecutiveFailures = hasSucceeded ? 0 : this.consecutiveFailures + 1;
       this.scheduleNext();
     }
   }
@@ -105,18 +105,18 @@
   private scheduleNext(): void {
     const { clock, random, options } = this.parts;
     const delayMs = this.nextDelayMs();
-    const jittered = withJitter(random, Math.min(options.pollMs, delayMs), JITTER);
+    const jittered = withJitter(random, Math.min(options.pollMs, delayMs), JITTER_FRACTION);
     clock.clearTimeout(this.timer);
     this.timer = clock.setTimeout(() => {
       this.timer = undefined;
-      void this.step();
+      void this.refresh();
     }, jittered);
   }
 
   private nextDelayMs(): number {
     const { options } = this.parts;
-    if (this.failures > 0) {
-      return options.retryMs * 2 ** Math.min(this.failures - 1, 10);
+    if (this.consecutiveFailures > 0) {
+      return options.retryMs * 2 ** Math.min(this.consecutiveFailures - 1, 10);
     }
     if (this.headRevision === 0) {
       return options.retryMs;
@@ -127,19 +127,19 @@
   private async watchHead(): Promise<boolean> {
     const { client, options } = this.parts;
     const entry = await client.watch(POLICY_HEAD_KEY, this.headRevision, options.watchMs);
-    return entry.ok ? this.takeHead(entry.val?.value, entry.val?.revision ?? 0) : false;
+    return entry.ok ? this.applyHead(entry.val?.value, entry.val?.revision ?? 0) : false;
   }
 
   private async readHead(): Promise<boolean> {
     const entry = await this.parts.client.get(POLICY_HEAD_KEY);
-    return entry.ok ? this.takeHead(entry.val?.value, entry.val?.revision ?? 0) : false;
+    return entry.ok ? this.applyHead(entry.val?.value, entry.val?.revision ?? 0) : false;
   }
 
-  private async takeHead(value: unknown, revision: number): Promise<boolean> {
+  private async applyHead(value: unknown, revision: number): Promise<boolean> {
     const head = parseHead(value);
     if (head.generation > this.parts.currentGeneration()) {
       const update =
-        updateFromHead(head, this.parts.currentGeneration()) ?? (await this.readFull());
+        updateFromHead(head, this.parts.currentGeneration()) ?? (await this.readFullUpdate());
       if (update === undefined) {
         return false;
       }
@@ -151,7 +151,7 @@
     return true;
   }
 
-  private async readFull(): Promise<PolicyUpdate | undefined> {
+  private async readFullUpdate(): Promise<PolicyUpdate | undefined> {
     const stored = await readStoredPolicy(this.parts.client);
     return stored.ok && stored.val.head.generation > 0 ? fullUpdateOf(stored.val) : undefined;
   }
--- a/src/policy/ini-policy.ts
+++ b/src/policy/ini-policy.ts
@@ -1,4 +1,4 @@
-/** Reads and writes policy documents as INI files. */
+/** Parses and formats policy documents as INI files. */
 import { err, ok } from '../result.js';
 import type { Result } from '../result.js';
 import { parseIniSections } from '../ini-sections.js';
@@ -15,17 +15,17 @@
 const CONDITION_KEYS = new Set(['tenant', 'model', 'data', 'engine', 'place']);
 
 /**
- * Reads a policy document, one `[kind.name]` section an entry.
+ * Parses a policy document with one `[kind.name]` section per entry.
  *
- * @returns the document, or InvalidPolicyError with every problem and its line
+ * @returns the document, or InvalidPolicyError with all problems and their line numbers
  */
 export function parsePolicyIni(text: string): Result<PolicyDocument, InvalidPolicyError> {
   const document: Record<string, PolicyEntry> = {};
-  const lines = new Map<string, number>();
+  const lineByEntry = new Map<string, number>();
   const problems: PolicyProblem[] = [];
   for (const section of parseIniSections(text)) {
-    lines.set(section.name, section.line);
-    const parsed = policyEntrySchema.safeParse(entryOf(section));
+    lineByEntry.set(section.name, section.line);
+    const parsed = policyEntrySchema.safeParse(entryFromSection(section));
     if (parsed.success) {
       document[section.name] = parsed.data;
       continue;
@@ -35,13 +35,13 @@
       problems.push({ entry: section.name, problem, line: section.line });
     }
   }
-  for (const found of findPolicyProblems(document)) {
-    problems.push({ ...found, line: lines.get(found.entry) });
+  for (const problem of findPolicyProblems(document)) {
+    problems.push({ ...problem, line: lineByEntry.get(problem.entry) });
   }
   return problems.length > 0 ? err(new InvalidPolicyError(problems)) : ok(document);
 }
 
-/** Writes a document in the form that `parsePolicyIni` reads. */
+/** Formats a document so that `parsePolicyIni` can parse it. */
 export function formatPolicyIni(document: PolicyDocument): string {
   return Object.keys(document)
     .sort()
@@ -49,7 +49,7 @@
     .join('\n');
 }
 
-/** Turns `key = value` pairs, as they stand in a file or on a command line, into an entry. */
+/** Builds an entry from the `key = value` pairs of a file or command line, not yet validated. */
 export function entryFromPairs(
   kind: string,
   pairs: ReadonlyArray<readonly [string, string]>,
@@ -61,7 +61,7 @@
   return entry;
 }
 
-function entryOf(section: IniSection): unknown {
+function entryFromSection(section: IniSection): unknown {
   const kind = section.name.slice(0, section.name.indexOf('.'));
   return entryFromPairs(
     kind,
--- a/src/policy/replica.ts
+++ b/src/policy/replica.ts
@@ -1,4 +1,4 @@
-/** A process's copy of the policy: installs newer generations only, and updates peers that are behind. */
+/** Policy replica of a process: installs only newer generations, creates updates for peers. */
 import { z } from 'zod';
 import { applyEdits, changeRecordSchema, digestAfterEdits, policyDigest } from './change.js';
 import type { ChangeRecord } from './change.js';
@@ -8,7 +8,7 @@
 import { PermittedEnginesCache } from './eligibility.js';
 import { TenantDirectory } from './api-key.js';
 
-/** What brings a peer from its generation to a newer one. */
+/** Schema of a policy update. */
 export const policyUpdateSchema = z.discriminatedUnion('form', [
   z.strictObject({ form: z.literal('delta'), records: z.array(changeRecordSchema).min(1) }),
   z.strictObject({
@@ -19,16 +19,16 @@
   }),
 ]);
 
-/** What brings a peer from its generation to a newer one. */
+/** Update to a newer generation: the missing changes (`delta`) or the document (`full`). */
 export type PolicyUpdate = z.infer<typeof policyUpdateSchema>;
 
-/** What became of an update. */
+/** Result of installing an update; `needs-full` if a delta cannot be applied. */
 export type InstallOutcome = 'installed' | 'not-newer' | 'needs-full';
 
-/** How many accepted changes are remembered for peers that are behind. */
+/** Number of accepted changes retained for delta updates. */
 export const RECENT_CHANGE_COUNT = 64;
 
-/** A process's copy of the policy. */
+/** Holds the policy in force in this process, with its caches. */
 export class PolicyReplica {
   private compiled: CompiledPolicy = EMPTY_POLICY;
   private digest = policyDigest({});
@@ -36,27 +36,27 @@
   private permittedCache = new PermittedEnginesCache(EMPTY_POLICY);
   private tenantDirectory = new TenantDirectory(EMPTY_POLICY);
 
-  /** Generation in force here; 0 before any policy was learned. */
+  /** Generation in force; 0 before the first policy is installed. */
   get generation(): number {
     return this.compiled.generation;
   }
 
-  /** The policy in force here. */
+  /** The policy in force. */
   get policy(): CompiledPolicy {
     return this.compiled;
   }
 
-  /** The engines that a class of request may use, under the policy in force. */
+  /** Cache of permitted engines per request class, under the policy in force. */
   get permitted(): PermittedEnginesCache {
     return this.permittedCache;
   }
 
-  /** Tenants by API key, under the policy in force. */
+  /** Tenant lookup by API key, under the policy in force. */
   get tenants(): TenantDirectory {
     return this.tenantDirectory;
   }
 
-  /** Installs `update` if it is newer than what is in force; never goes back. */
+  /** Installs `update` if it is newer than the policy in force; never downgrades. */
   install(update: PolicyUpdate): InstallOutcome {
     if (update.form === 'delta') {
       return this.installDelta(update.records);
@@ -64,17 +64,22 @@
     if (update.generation <= this.generation) {
       return 'not-newer';
     }
-    this.put(update.document, update.generation, policyDigest(update.document), update.recent);
+    this.replacePolicy(
+      update.document,
+      update.generation,
+      policyDigest(update.document),
+      update.recent,
+    );
     return 'installed';
   }
 
-  /** The update that brings a peer at `generation` here, or undefined if it is not behind. */
+  /** Returns the update for a peer at `generation`, or undefined if the peer is up to date. */
   updateFor(generation: number): PolicyUpdate | undefined {
     if (generation >= this.generation) {
       return undefined;
     }
     const missing = this.recent.filter((record) => record.generation > generation);
-    // A peer that asks from generation 0 has nothing that a delta could be applied to.
+    // A peer at generation 0 has no base document to which a delta could be applied.
     const isContiguous = generation > 0 && missing.length === this.generation - generation;
     if (isContiguous && missing.every((record) => record.edits !== null)) {
       return { form: 'delta', records: missing };
@@ -106,11 +111,11 @@
         return 'needs-full';
       }
     }
-    this.put(document, generation, digest, [...this.recent, ...newer]);
+    this.replacePolicy(document, generation, digest, [...this.recent, ...newer]);
     return 'installed';
   }
 
-  private put(
+  private replacePolicy(
     document: CompiledPolicy['document'],
     generation: number,
     digest: number,
--- a/src/policy/store.ts
+++ b/src/policy/store.ts
@@ -1,6 +1,7 @@
 /**
- * The policy in the platform's key-value service: content-addressed shards by
- * place under one head, and the head as the only key that is ever contended.
+ * Stores the policy in the platform's key-value service: one content-addressed shard per place for
+ * its engines, a core shard for all other entries, and a head key that references the current
+ * shards. Only the head key is subject to write conflicts.
  */
 import { z } from 'zod';
 import { err, ok } from '../result.js';
@@ -9,7 +10,7 @@
 import type { PlatformError } from '../key-value/errors.js';
 import { applyEdits, changeRecordSchema, digestAfterEdits, policyDigest } from './change.js';
 import type { ChangeRecord, PolicyEdit } from './change.js';
-import { canonicalJson, digestOf } from './compiled-policy.js';
+import { canonicalJson, contentDigest } from './compiled-policy.js';
 import { policyEntrySchema } from './document.js';
 import type { PolicyDocument, PolicyEntry } from './document.js';
 import { InvalidPolicyError, PolicyConflictError, PolicyStoreUnavailableError } from './errors.js';
@@ -17,7 +18,7 @@
 import type { PolicyUpdate } from './replica.js';
 import { findPolicyProblems } from './validate.js';
 
-/** Key of the head. */
+/** Key that references the current shards. */
 export const POLICY_HEAD_KEY = 'policy/head';
 
 const CORE_SHARD = 'core';
@@ -26,7 +27,7 @@
 
 const headSchema = z.strictObject({
   generation: z.number().int().nonnegative(),
-  /** Digest of each shard, by shard name. */
+  /** Content hash of each shard by shard name. */
   shards: z.record(z.string(), z.string()),
   recent: z.array(changeRecordSchema),
 });
@@ -36,36 +37,36 @@
 
 const EMPTY_HEAD: PolicyHead = { generation: 0, shards: {}, recent: [] };
 
-/** The policy as it stands in the service. */
+/** The policy as read from the service. */
 export interface StoredPolicy {
   readonly head: PolicyHead;
-  /** Revision of the head key, for the next compare-and-swap. */
+  /** Revision of the head key; the expected revision of the next compare-and-swap. */
   readonly headRevision: number;
   readonly document: PolicyDocument;
 }
 
-/** A change as an operator asks for it. */
+/** A change requested by an operator. */
 export interface RequestedChange {
-  /** Unique to this change; sent again unchanged when the change is tried again. */
+  /** Idempotency key of this change; unchanged across retries. */
   readonly changeId: string;
   readonly author: string;
   readonly atMs: number;
   readonly summary: string;
   readonly edits: readonly PolicyEdit[];
-  /** The entries as the operator saw them; a difference from the stored ones is a conflict. */
+  /** Document that the edits are based on; an edited entry that differs in the store conflicts. */
   readonly seen: PolicyDocument;
 }
 
-/** Failures of changing the stored policy. */
+/** Errors of changing the stored policy. */
 export type PolicyChangeError =
   InvalidPolicyError | PolicyConflictError | PolicyStoreUnavailableError;
 
-/** Parses the value of the head key; a key that does not exist is the empty policy. */
+/** Parses the value of the head key; a missing key yields the empty policy. */
 export function parseHead(value: unknown): PolicyHead {
   return value === undefined ? EMPTY_HEAD : headSchema.parse(value);
 }
 
-/** Reads head and shards. */
+/** Reads the head key and all shards it references. */
 export async function readStoredPolicy(
   client: KeyValueClient,
 ): Promise<Result<StoredPolicy, PlatformError>> {
@@ -85,7 +86,7 @@
   return ok({ head, headRevision: headEntry.val?.revision ?? 0, document });
 }
 
-/** The update that a process at `generation` needs, from the head alone where that is enough. */
+/** Creates a delta update from `generation` out of the head's recent changes, if they suffice. */
 export function updateFromHead(head: PolicyHead, generation: number): PolicyUpdate | undefined {
   const missing = head.recent.filter((record) => record.generation > generation);
   const isComplete =
@@ -95,7 +96,7 @@
   return isComplete ? { form: 'delta', records: missing } : undefined;
 }
 
-/** The stored policy as an update for any process. */
+/** Returns the stored policy as a full update. */
 export function fullUpdateOf(stored: StoredPolicy): PolicyUpdate {
   return {
     form: 'full',
@@ -106,12 +107,13 @@
 }
 
 /**
- * Puts a change in force with one compare-and-swap of the head.
+ * Applies a change with one compare-and-swap of the head key.
  *
- * Changes to other entries are merged by trying again. A lost answer is
- * resolved by reading the head back and looking for the change's id.
+ * Concurrent changes to other entries are merged by retrying. After a lost response, the change
+ * id is looked up in the recent changes of the head to determine whether the write took effect.
  *
- * @returns the accepted record, or InvalidPolicyError, PolicyConflictError or PolicyStoreUnavailableError
+ * @returns the accepted record, or InvalidPolicyError, PolicyConflictError or
+ *   PolicyStoreUnavailableError
  */
 export async function changePolicy(
   client: KeyValueClient,
@@ -135,7 +137,9 @@
     }
   }
   return err(
-    new PolicyStoreUnavailableError('the change found no certain answer; look at history'),
+    new PolicyStoreUnavailableError(
+      'the outcome of the change is unknown; check the policy history',
+    ),
   );
 }
 
@@ -155,13 +159,15 @@
   }
   const record = createRecord(stored, change);
   const shards = splitIntoShards(document);
-  const written = await writeShards(client, stored.head.shards, shards);
-  if (!written) {
+  const areWritten = await writeShards(client, stored.head.shards, shards);
+  if (!areWritten) {
     return 'try-again';
   }
   const head: PolicyHead = {
     generation: record.generation,
-    shards: Object.fromEntries([...shards].map(([name, entries]) => [name, digestOf(entries)])),
+    shards: Object.fromEntries(
+      [...shards].map(([name, entries]) => [name, contentDigest(entries)]),
+    ),
     recent: [...stored.head.recent, record].slice(-RECENT_CHANGE_COUNT),
   };
   const swap = await client.compareAndSwap(POLICY_HEAD_KEY, stored.headRevision, head);
@@ -174,12 +180,12 @@
 ): PolicyConflictError | undefined {
   for (const edit of change.edits) {
     const stored = document[edit.entry];
-    const seen = change.seen[edit.entry];
-    const wanted = edit.after ?? undefined;
-    const isUnchanged = canonicalJson(stored ?? null) === canonicalJson(seen ?? null);
-    const isAlreadyWanted = canonicalJson(stored ?? null) === canonicalJson(wanted ?? null);
-    if (!isUnchanged && !isAlreadyWanted) {
-      return new PolicyConflictError(edit.entry, stored, wanted);
+    const base = change.seen[edit.entry];
+    const requested = edit.after ?? undefined;
+    const isUnchanged = canonicalJson(stored ?? null) === canonicalJson(base ?? null);
+    const isAlreadyApplied = canonicalJson(stored ?? null) === canonicalJson(requested ?? null);
+    if (!isUnchanged && !isAlreadyApplied) {
+      return new PolicyConflictError(edit.entry, stored, requested);
     }
   }
   return undefined;
@@ -212,15 +218,15 @@
 
 async function writeShards(
   client: KeyValueClient,
-  known: Readonly<Record<string, string>>,
+  storedDigests: Readonly<Record<string, string>>,
   shards: ReadonlyMap<string, PolicyDocument>,
 ): Promise<boolean> {
   for (const [name, entries] of shards) {
-    const digest = digestOf(entries);
-    if (known[name] === digest) {
+    const digest = contentDigest(entries);
+    if (storedDigests[name] === digest) {
       continue;
     }
-    // The key names its content, so a key that exists already holds this very value.
+    // Keys are content hashes, so an existing key already holds the same value.
     const written = await client.compareAndSwap(shardKey(name, digest), 0, entries);
     if (!written.ok) {
       return false;
--- a/src/policy/validate.ts
+++ b/src/policy/validate.ts
@@ -1,4 +1,4 @@
-/** Query: the faults of a policy document, all of them at once. */
+/** Validates a policy document and reports all problems at once. */
 import { entriesOfKind, policyEntrySchema } from './document.js';
 import type { Conditions, PolicyDocument, PolicyEntry } from './document.js';
 import type { PolicyProblem } from './errors.js';
@@ -6,10 +6,10 @@
 
 const CONDITION_GROUPS = ['tenant', 'model', 'data', 'engine', 'place'] as const;
 
-/** Condition key that matches the name of the thing itself instead of a label. */
+/** Condition key that matches the name of the entry instead of one of its labels. */
 export const NAME_CONDITION = 'name';
 
-/** Returns every fault of `document`; an empty list means that it may be put in force. */
+/** Returns all problems of `document`; an empty list means that it is valid. */
 export function findPolicyProblems(document: PolicyDocument): PolicyProblem[] {
   const schemaProblems = Object.entries(document).flatMap(([name, entry]) =>
     findSchemaProblems(name, entry),
@@ -32,7 +32,12 @@
   }
   return /^[a-z]+\.[a-z0-9][a-z0-9-]*$/.test(name)
     ? []
-    : [{ entry: name, problem: 'names are lower-case letters, digits and "-"' }];
+    : [
+        {
+          entry: name,
+          problem: 'the name must have the form "kind.name", of lower-case letters, digits and "-"',
+        },
+      ];
 }
 
 function findReferenceProblems(
@@ -89,7 +94,7 @@
       return values.flatMap((value) => findValueProblems(document, key, value));
     }
     if (group === 'data') {
-      return ['data has labels only, no name'];
+      return ['data conditions match labels only, not "name"'];
     }
     return values
       .filter((value) => !document[`${group}.${value}`])
@@ -97,7 +102,7 @@
   });
 }
 
-/** Number of entries by kind. */
+/** Counts the entries of each kind. */
 export function countEntries(document: PolicyDocument): Record<string, number> {
   const kinds = ['label', 'place', 'engine', 'model', 'tenant', 'selector'] as const;
   return Object.fromEntries(kinds.map((kind) => [kind, entriesOfKind(document, kind).length]));
--- a/src/request/errors.ts
+++ b/src/request/errors.ts
@@ -1,8 +1,8 @@
-/** The root of every typed failure in weirvale. */
+/** Base class of all typed errors in weirvale. */
 
-/** A failure with a stable machine-readable code; each subclass is one kind of failure. */
+/** An error with a stable machine-readable code; each subclass is one kind of error. */
 export abstract class WeirvaleError extends Error {
-  /** Stable, kebab-case name of the failure, safe to match on. */
+  /** Stable kebab-case error code, safe to match on. */
   abstract readonly code: string;
 
   constructor(message: string) {
--- a/src/request/prompt.ts
+++ b/src/request/prompt.ts
@@ -1,16 +1,16 @@
-/** What a scheduler needs to know of a prompt: its text, length and beginning. */
+/** Prompt properties used for scheduling: text, estimated length and prefix hash. */
 import { hashText } from '../membership/rendezvous.js';
 
 const CHARACTERS_PER_TOKEN = 4;
-/** Prompts that begin alike over this many characters share a cached prefix. */
+/** Prompts that are equal in this many leading characters share a cached prefix. */
 const PREFIX_CHARACTERS = 512;
 
-/** One message of a chat. */
+/** One message of a chat completion request. */
 export interface ChatMessage {
   readonly content: string | ReadonlyArray<{ readonly text: string }>;
 }
 
-/** The text that a model is prompted with: all messages, one after the other. */
+/** Returns the prompt text: the contents of all messages, joined by newlines. */
 export function promptOf(messages: readonly ChatMessage[]): string {
   return messages
     .map(({ content }) =>
@@ -19,12 +19,12 @@
     .join('\n');
 }
 
-/** Estimated length of a prompt in tokens. */
+/** Estimates the length of a prompt in tokens. */
 export function estimateTokens(prompt: string): number {
   return Math.ceil(prompt.length / CHARACTERS_PER_TOKEN);
 }
 
-/** Hash of the beginning of a prompt; empty for one too short to be worth caching. */
+/** Hashes a prompt's prefix; returns an empty string if the prompt is too short to cache. */
 export function prefixHashOf(prompt: string): string {
   return prompt.length < PREFIX_CHARACTERS
     ? ''
--- a/src/request/refusal.ts
+++ b/src/request/refusal.ts
@@ -1,6 +1,6 @@
-/** Final refusals: why a request gets no answer, and whether it may have run. */
+/** Final refusals: the reason a request failed and whether it may have been executed. */
 
-/** Why a request was refused or its answer was cut short. */
+/** Why a request was refused or its response was aborted. */
 export type RefusalReason =
   | 'invalid-request'
   | 'unauthenticated'
@@ -17,18 +17,18 @@
   | 'preempted';
 
 /**
- * Whether the request ran: `no` is a promise that no back end was or will be
- * handed the request; `unknown` promises nothing.
+ * Whether the request was executed: `no` guarantees that the request was not and will not be sent
+ * to any backend; `unknown` guarantees nothing.
  */
-export type RanStatus = 'no' | 'unknown';
+export type ExecutionStatus = 'no' | 'unknown';
 
-/** The final refusal of one request. */
+/** Final refusal of one request. */
 export interface Refusal {
   readonly reason: RefusalReason;
-  readonly ran: RanStatus;
-  /** When the caller may usefully try again, in milliseconds; absent when trying again is of no use. */
+  readonly ran: ExecutionStatus;
+  /** Suggested delay before a retry, in milliseconds; undefined if a retry cannot succeed. */
   readonly retryAfterMs?: number;
-  /** One sentence for the person who reads the refusal. */
+  /** Human-readable explanation. */
   readonly detail: string;
 }
 
@@ -48,17 +48,17 @@
   preempted: 503,
 };
 
-/** The HTTP status that carries a refusal. */
+/** Returns the HTTP status code for a refusal. */
 export function httpStatusOf(refusal: Refusal): number {
   return HTTP_STATUS_BY_REASON[refusal.reason];
 }
 
-/** A refusal of a request that no back end was handed. */
+/** Creates a refusal of a request that was not sent to any backend. */
 export function notRun(reason: RefusalReason, detail: string, retryAfterMs?: number): Refusal {
   return { reason, ran: 'no', detail, retryAfterMs };
 }
 
-/** A refusal of a request that a back end may have begun. */
+/** Creates a refusal of a request that a backend may have started to execute. */
 export function mayHaveRun(reason: RefusalReason, detail: string, retryAfterMs?: number): Refusal {
   return { reason, ran: 'unknown', detail, retryAfterMs };
 }
--- a/src/request/request.ts
+++ b/src/request/request.ts
@@ -1,42 +1,42 @@
-/** What a caller asked for, as every part of weirvale sees it. */
+/** Description of an accepted request, shared by entries and agents. */
 import type { RequestId } from './request-id.js';
 import type { Tier } from './tier.js';
 
 /** Label values by label key. */
 export type Labels = Readonly<Record<string, string>>;
 
-/** The attributes of a request that selectors match and that rank its engines. */
+/** Attributes of a request that selectors match and that are used to rank its engines. */
 export interface RequestAttributes {
   /** Name of the tenant that the API key belongs to. */
   readonly tenant: string;
-  /** Name of the model, or of the plain service. */
+  /** Name of the model or plain service. */
   readonly model: string;
-  /** Labels of the data the request carries. */
+  /** Labels that classify the data of the request. */
   readonly dataLabels: Labels;
 }
 
-/** A request as accepted from its caller. */
+/** An accepted request. */
 export interface RequestDescription extends RequestAttributes {
   readonly id: RequestId;
-  /** Tier that policy gave the request. */
+  /** Tier assigned by policy. */
   readonly tier: Tier;
-  /** When the answer is of no more use, on the entry's clock, in milliseconds. */
+  /** Deadline of the response on the entry's clock, in milliseconds. */
   readonly deadlineAtMs: number;
   /** Estimated prompt length in tokens; 0 for plain services. */
   readonly promptTokens: number;
-  /** Most tokens that the answer may have; 0 for plain services. */
+  /** Maximum response length in tokens; 0 for plain services. */
   readonly maxOutputTokens: number;
-  /** Hash of the first part of the prompt, by which engines that cache it are preferred. */
+  /** Hash of the prompt prefix; engines that have this prefix cached are preferred. */
   readonly prefixHash: string;
-  /** False when the request must run at most once even if the caller sends it again. */
+  /** False if the request must be executed at most once, even if the caller retries it. */
   readonly isRepeatable: boolean;
-  /** The caller's key that names one not-repeatable operation. */
+  /** Caller-supplied key that identifies one non-repeatable operation across retries. */
   readonly idempotencyKey?: string;
-  /** What is handed to the back end. */
+  /** HTTP request to send to the backend. */
   readonly payload: RequestPayload;
 }
 
-/** What is handed to a back end, as it goes over its HTTP interface. */
+/** HTTP request to a backend. */
 export interface RequestPayload {
   readonly method: string;
   readonly path: string;
@@ -44,7 +44,7 @@
   readonly body: string;
 }
 
-/** Bytes that a waiting request holds, near enough for limits. */
+/** Estimates the memory of a waiting request in bytes, for queue limits. */
 export function sizeOf(request: RequestDescription): number {
   const FIXED_BYTES = 512;
   return FIXED_BYTES + request.payload.body.length;
--- a/src/settings-file.ts
+++ b/src/settings-file.ts
@@ -1,4 +1,4 @@
-/** Reads INI settings against a schema and names every fault with its section and line. */
+/** Parses INI settings with a schema and reports all problems with section and line. */
 import { safeParse } from 'zod/v4/core';
 import type { $ZodType, output } from 'zod/v4/core';
 import { parseIniSections } from './ini-sections.js';
@@ -7,16 +7,16 @@
 import { err, ok } from './result.js';
 import type { Result } from './result.js';
 
-/** One fault of a settings file. */
+/** A validation error in a settings file. */
 export interface SettingsProblem {
   readonly section: string;
   readonly key: string;
-  /** Line in the file; undefined for something that is missing. */
+  /** Line number in the file; undefined for a missing section or key. */
   readonly line: number | undefined;
   readonly problem: string;
 }
 
-/** The settings cannot be used; holds every fault. */
+/** The settings are invalid; contains all problems. */
 export class InvalidSettingsError extends WeirvaleError {
   readonly code = 'invalid-settings';
 
@@ -25,30 +25,30 @@
   }
 }
 
-/** One fault as a line for a person. */
+/** Formats a problem as one line of text. */
 export function describeSettingsProblem(problem: SettingsProblem): string {
   const line = problem.line === undefined ? '' : `line ${problem.line}: `;
   const key = problem.key === '' ? '' : ` ${problem.key}`;
   return `${line}[${problem.section}]${key}: ${problem.problem}`;
 }
 
-/** Finds faults that no single value shows; `at` makes one of them. */
-export type ClashFinder<Value> = (
+/** Validates constraints that involve several values; `at` creates a problem. */
+export type CrossFieldValidator<Value> = (
   value: Value,
   at: (section: string, key: string, problem: string) => SettingsProblem,
 ) => SettingsProblem[];
 
 /**
- * Reads settings.
+ * Parses settings.
  *
- * Keys that a strict schema does not know are faults; other schemas ignore them.
+ * Unknown keys are reported as problems if the schema is strict, and ignored otherwise.
  *
- * @returns complete settings, or InvalidSettingsError with every fault and its line
+ * @returns the settings with defaults applied, or InvalidSettingsError with all problems and lines
  */
 export function readSettings<Schema extends $ZodType>(
   text: string,
   schema: Schema,
-  findClashes: ClashFinder<output<Schema>> = () => [],
+  validateAcrossFields: CrossFieldValidator<output<Schema>> = () => [],
 ): Result<output<Schema>, InvalidSettingsError> {
   const sections = parseIniSections(text);
   const problems = findDuplicates(sections);
@@ -57,8 +57,8 @@
     for (const issue of parsed.error.issues) {
       const path = issue.path.map(String);
       const unknownKeys = issue.code === 'unrecognized_keys' ? issue.keys : [undefined];
-      for (const unknown of unknownKeys) {
-        problems.push(problemAt(sections, path, unknown, issue.message));
+      for (const unknownKey of unknownKeys) {
+        problems.push(problemAt(sections, path, unknownKey, issue.message));
       }
     }
     return err(new InvalidSettingsError(problems));
@@ -69,7 +69,7 @@
     line: lineOf(sections, section, key),
     problem,
   });
-  problems.push(...findClashes(parsed.data, at));
+  problems.push(...validateAcrossFields(parsed.data, at));
   return problems.length > 0 ? err(new InvalidSettingsError(problems)) : ok(parsed.data);
 }
 
--- a/src/standin/engine-model.ts
+++ b/src/standin/engine-model.ts
@@ -1,52 +1,52 @@
 /**
- * Stand-in for a model engine: continuous batching, step time, a prefix cache of
- * limited size, pause, resume, cancel, and a load report that lags.
+ * Simulated model engine: continuous batching, decode step time, a prefix cache of limited size,
+ * pause, resume and cancel of jobs, and a delayed load report.
  */
 import type { Clock, TimerHandle } from '../clock.js';
-import { answerLength, answerTokens } from './answer-text.js';
+import { responseTokenCount, responseTokens } from './answer-text.js';
 
-/** Speed and size of a stand-in engine. */
+/** Speed and capacity of a simulated engine. */
 export interface EngineModelOptions {
-  /** Prompt tokens that one request's prefill takes in a millisecond. */
+  /** Prefill throughput of one request, in prompt tokens per millisecond. */
   readonly prefillTokensPerMs: number;
-  /** Time of one decode step with one running request, in milliseconds. */
+  /** Duration of a decode step with one running request, in milliseconds. */
   readonly stepMs: number;
-  /** Requests that run at once; more wait inside the engine. */
+  /** Maximum batch size; further requests wait in the engine's queue. */
   readonly capacity: number;
-  /** Prompt tokens that the prefix cache holds. */
+  /** Capacity of the prefix cache in prompt tokens. */
   readonly prefixCacheTokens: number;
-  /** Lag of the load report, in milliseconds. */
+  /** Maximum age of the load report, in milliseconds. */
   readonly loadLagMs: number;
-  /** Tokens that one event of the stream carries. */
+  /** Tokens per event of the response stream. */
   readonly tokensPerChunk: number;
 }
 
-/** A request as the engine gets it. */
+/** A request submitted to the engine. */
 export interface EngineJob {
   readonly id: string;
   readonly prompt: string;
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
   readonly prefixHash: string;
-  /** Jobs with a lower number start first when the engine is full. */
+  /** Queued jobs with a lower number start first. */
   readonly priority: number;
 }
 
-/** Token counts at the end of a job. */
+/** Token counts of a completed job. */
 export interface EngineJobUsage {
   readonly promptTokens: number;
   readonly cachedPromptTokens: number;
   readonly outputTokens: number;
 }
 
-/** Who hears of a job. */
+/** Receives the output of a job and its completion or failure. */
 export interface EngineJobListener {
   onTokens(text: string): void;
   onEnd(usage: EngineJobUsage): void;
   onFailed(detail: string): void;
 }
 
-interface RunningJob {
+interface JobState {
   readonly job: EngineJob;
   hasStarted: boolean;
   readonly listener: EngineJobListener;
@@ -58,23 +58,23 @@
   timer: TimerHandle | undefined;
 }
 
-/** How much each further running request slows a step. */
-const BATCH_SLOWDOWN = 0.03;
+/** Fractional increase of the step time per additional running request. */
+const SLOWDOWN_PER_REQUEST = 0.03;
 const CACHED_PREFILL_SHARE = 0.1;
 const CACHED_PREFIX_SHARE = 0.8;
 
-/** A stand-in engine without any transport. */
+/** Simulated engine without a transport. */
 export class EngineModel {
-  /** Factor on every duration; above 1 the engine is slow. */
+  /** Multiplier of all durations; above 1 simulates a slow engine. */
   slowFactor = 1;
-  /** Prompt tokens whose prefill ended in no delivered answer. */
+  /** Prefilled prompt tokens of jobs that were cancelled before completion. */
   wastedPrefillTokens = 0;
-  /** Prompt tokens that were prefilled. */
+  /** Total prefilled prompt tokens, without tokens from the prefix cache. */
   prefilledTokens = 0;
 
-  private readonly jobs = new Map<string, RunningJob>();
-  private readonly prefixes = new Map<string, number>();
-  private prefixTokens = 0;
+  private readonly jobs = new Map<string, JobState>();
+  private readonly cachedPrefixes = new Map<string, number>();
+  private cachedPrefixTokens = 0;
   private reportedLoad = 0;
   private reportedAtMs = 0;
 
@@ -83,83 +83,86 @@
     readonly options: EngineModelOptions,
   ) {}
 
-  /** Starts a job; a job with the same id as one that runs is an error. */
+  /** Submits a job; fails the job if one with the same id is still present. */
   submit(job: EngineJob, listener: EngineJobListener): void {
     if (this.jobs.has(job.id)) {
-      listener.onFailed('a job with this id runs already');
+      listener.onFailed('a job with this id already exists');
       return;
     }
-    const running: RunningJob = {
+    const jobState: JobState = {
       job,
       hasStarted: false,
       listener,
-      outputTokens: answerLength(job.prompt, job.maxOutputTokens),
+      outputTokens: responseTokenCount(job.prompt, job.maxOutputTokens),
       cachedPromptTokens: 0,
       producedTokens: 0,
       isPrefilled: false,
       isPaused: false,
       timer: undefined,
     };
-    this.jobs.set(job.id, running);
-    this.startWaiting();
+    this.jobs.set(job.id, jobState);
+    this.startQueuedJobs();
   }
 
-  /** Stops a job for a while; its KV stays. */
+  /** Pauses a job; its KV cache is retained. */
   pause(id: string): void {
-    const running = this.jobs.get(id);
-    if (running !== undefined && !running.isPaused) {
-      running.isPaused = true;
-      this.clock.clearTimeout(running.timer);
-      this.startWaiting();
+    const jobState = this.jobs.get(id);
+    if (jobState !== undefined && !jobState.isPaused) {
+      jobState.isPaused = true;
+      this.clock.clearTimeout(jobState.timer);
+      this.startQueuedJobs();
     }
   }
 
-  /** Goes on with a paused job. */
+  /** Resumes a paused job. */
   resume(id: string): void {
-    const running = this.jobs.get(id);
-    if (running?.isPaused) {
-      running.isPaused = false;
-      if (!running.hasStarted) {
-        this.startWaiting();
+    const jobState = this.jobs.get(id);
+    if (jobState?.isPaused) {
+      jobState.isPaused = false;
+      if (!jobState.hasStarted) {
+        this.startQueuedJobs();
         return;
       }
-      this.schedule(running, running.isPrefilled ? this.chunkMs() : this.prefillMs(running));
+      this.schedule(
+        jobState,
+        jobState.isPrefilled ? this.chunkDurationMs() : this.prefillDurationMs(jobState),
+      );
     }
   }
 
-  /** Ends a job for good; its prefill is wasted. */
+  /** Cancels a job; its prefill counts as wasted. */
   cancel(id: string): void {
-    const running = this.jobs.get(id);
-    if (running !== undefined) {
-      this.clock.clearTimeout(running.timer);
+    const jobState = this.jobs.get(id);
+    if (jobState !== undefined) {
+      this.clock.clearTimeout(jobState.timer);
       this.jobs.delete(id);
-      if (running.hasStarted) {
-        this.wastedPrefillTokens += running.job.promptTokens - running.cachedPromptTokens;
+      if (jobState.hasStarted) {
+        this.wastedPrefillTokens += jobState.job.promptTokens - jobState.cachedPromptTokens;
       }
-      this.startWaiting();
+      this.startQueuedJobs();
     }
   }
 
-  /** Ends every job as a crash does: nobody hears of it. */
+  /** Simulates a crash: drops all jobs without notifying their listeners, and the prefix cache. */
   crash(): void {
     for (const id of [...this.jobs.keys()]) {
       this.cancel(id);
     }
-    this.prefixes.clear();
-    this.prefixTokens = 0;
+    this.cachedPrefixes.clear();
+    this.cachedPrefixTokens = 0;
   }
 
-  /** Jobs that run now; paused ones and those that wait inside the engine are not counted. */
+  /** Number of running jobs; paused and queued jobs are not counted. */
   get runningCount(): number {
-    return this.running().length;
+    return this.runningJobs().length;
   }
 
-  /** Identifiers of the jobs that run now. */
+  /** Returns the ids of the running jobs. */
   runningIds(): string[] {
-    return this.running().map((running) => running.job.id);
+    return this.runningJobs().map((jobState) => jobState.job.id);
   }
 
-  /** The load as the engine reports it: up to `loadLagMs` old. */
+  /** Returns the number of running jobs, up to `loadLagMs` out of date. */
   reportLoad(): number {
     if (this.clock.now() - this.reportedAtMs >= this.options.loadLagMs) {
       this.reportedAtMs = this.clock.now();
@@ -168,12 +171,12 @@
     return this.reportedLoad;
   }
 
-  private running(): RunningJob[] {
+  private runningJobs(): JobState[] {
     return [...this.jobs.values()].filter((job) => job.hasStarted && !job.isPaused);
   }
 
-  /** Starts jobs that wait inside the engine, by priority, while there is room in the batch. */
-  private startWaiting(): void {
+  /** Starts queued jobs by priority while the batch has free capacity. */
+  private startQueuedJobs(): void {
     while (this.runningCount < this.options.capacity) {
       const next = [...this.jobs.values()]
         .filter((waiting) => !waiting.hasStarted && !waiting.isPaused)
@@ -182,75 +185,80 @@
         return;
       }
       next.hasStarted = true;
-      next.cachedPromptTokens = this.useCachedPrefix(next.job);
+      next.cachedPromptTokens = this.lookUpPrefix(next.job);
       this.prefilledTokens += next.job.promptTokens - next.cachedPromptTokens;
-      this.schedule(next, this.prefillMs(next));
+      this.schedule(next, this.prefillDurationMs(next));
     }
   }
 
-  private schedule(running: RunningJob, delayMs: number): void {
-    running.timer = this.clock.setTimeout(() => this.advance(running), delayMs);
+  private schedule(jobState: JobState, delayMs: number): void {
+    jobState.timer = this.clock.setTimeout(() => this.advance(jobState), delayMs);
   }
 
-  private advance(running: RunningJob): void {
-    running.isPrefilled = true;
-    const { job, listener, outputTokens } = running;
-    const end = Math.min(outputTokens, running.producedTokens + this.options.tokensPerChunk);
-    const text = answerTokens(job.prompt, running.producedTokens, end);
-    running.producedTokens = end;
+  private advance(jobState: JobState): void {
+    jobState.isPrefilled = true;
+    const { job, listener, outputTokens } = jobState;
+    const end = Math.min(outputTokens, jobState.producedTokens + this.options.tokensPerChunk);
+    const text = responseTokens(job.prompt, jobState.producedTokens, end);
+    jobState.producedTokens = end;
     const isDone = end === outputTokens;
     if (isDone) {
       this.jobs.delete(job.id);
-      this.startWaiting();
+      this.startQueuedJobs();
     } else {
-      this.schedule(running, this.chunkMs());
+      this.schedule(jobState, this.chunkDurationMs());
     }
     listener.onTokens(text);
     if (isDone) {
       const { promptTokens } = job;
-      const { cachedPromptTokens } = running;
+      const { cachedPromptTokens } = jobState;
       listener.onEnd({ promptTokens, cachedPromptTokens, outputTokens });
     }
   }
 
-  private prefillMs(running: RunningJob): number {
-    const cached = running.cachedPromptTokens * CACHED_PREFILL_SHARE;
-    const fresh = running.job.promptTokens - running.cachedPromptTokens;
-    const prefill = (fresh + cached) / this.options.prefillTokensPerMs;
-    return (prefill + this.options.stepMs) * this.crowdFactor() * this.slowFactor;
+  private prefillDurationMs(jobState: JobState): number {
+    const cachedCost = jobState.cachedPromptTokens * CACHED_PREFILL_SHARE;
+    const uncached = jobState.job.promptTokens - jobState.cachedPromptTokens;
+    const prefillMs = (uncached + cachedCost) / this.options.prefillTokensPerMs;
+    return (prefillMs + this.options.stepMs) * this.batchSlowdownFactor() * this.slowFactor;
   }
 
-  private chunkMs(): number {
-    return this.options.tokensPerChunk * this.options.stepMs * this.crowdFactor() * this.slowFactor;
+  private chunkDurationMs(): number {
+    return (
+      this.options.tokensPerChunk *
+      this.options.stepMs *
+      this.batchSlowdownFactor() *
+      this.slowFactor
+    );
   }
 
-  /** A full batch serves everybody more slowly, also while a resumed job passes the capacity. */
-  private crowdFactor(): number {
-    const running = this.runningCount;
-    const overload = Math.max(1, running / this.options.capacity);
-    return (1 + BATCH_SLOWDOWN * Math.max(0, running - 1)) * overload;
+  /** Slowdown of all jobs by the batch size, which resumed jobs can raise above the capacity. */
+  private batchSlowdownFactor(): number {
+    const runningCount = this.runningCount;
+    const overload = Math.max(1, runningCount / this.options.capacity);
+    return (1 + SLOWDOWN_PER_REQUEST * Math.max(0, runningCount - 1)) * overload;
   }
 
-  private useCachedPrefix(job: EngineJob): number {
+  private lookUpPrefix(job: EngineJob): number {
     if (job.prefixHash === '' || job.promptTokens > this.options.prefixCacheTokens) {
       return 0;
     }
-    const isCached = this.prefixes.has(job.prefixHash);
-    this.prefixTokens += isCached ? 0 : job.promptTokens;
-    const tokens = this.prefixes.get(job.prefixHash) ?? job.promptTokens;
-    this.prefixes.delete(job.prefixHash);
-    this.prefixes.set(job.prefixHash, tokens);
+    const isCached = this.cachedPrefixes.has(job.prefixHash);
+    this.cachedPrefixTokens += isCached ? 0 : job.promptTokens;
+    const tokens = this.cachedPrefixes.get(job.prefixHash) ?? job.promptTokens;
+    this.cachedPrefixes.delete(job.prefixHash);
+    this.cachedPrefixes.set(job.prefixHash, tokens);
     this.evictPrefixes();
     return isCached ? Math.floor(job.promptTokens * CACHED_PREFIX_SHARE) : 0;
   }
 
   private evictPrefixes(): void {
-    for (const [hash, tokens] of this.prefixes) {
-      if (this.prefixTokens <= this.options.prefixCacheTokens) {
+    for (const [hash, tokens] of this.cachedPrefixes) {
+      if (this.cachedPrefixTokens <= this.options.prefixCacheTokens) {
         return;
       }
-      this.prefixes.delete(hash);
-      this.prefixTokens -= tokens;
+      this.cachedPrefixes.delete(hash);
+      this.cachedPrefixTokens -= tokens;
     }
   }
 }
--- a/src/standin/engine-server.ts
+++ b/src/standin/engine-server.ts
@@ -1,4 +1,4 @@
-/** Stand-in model engine over HTTP: OpenAI-compatible streams, pause, resume, cancel, lagging load. */
+/** Fake model engine: OpenAI-compatible streaming, pause, resume, cancel, delayed load report. */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { z } from 'zod';
@@ -18,24 +18,24 @@
 const HTTP_BAD_REQUEST = 400;
 const CONTROL_PATH = /^\/v1\/requests\/([^/]+)\/(pause|resume|cancel)$/;
 
-/** A request as the engine was handed it, for checks. */
-export interface HandedRequest {
+/** A request that the engine received, recorded for checks. */
+export interface ReceivedRequest {
   readonly id: string;
   readonly atMs: number;
 }
 
-/** Creates a stand-in engine. */
+/** Creates the HTTP server of a fake engine. */
 export function createEngineServer(options: EngineModelOptions): Server {
   const model = new EngineModel(SYSTEM_CLOCK, options);
-  const handed: HandedRequest[] = [];
+  const received: ReceivedRequest[] = [];
   return createServer((request, response) => {
-    void route(model, handed, request, response);
+    void route(model, received, request, response);
   });
 }
 
 async function route(
   model: EngineModel,
-  handed: HandedRequest[],
+  received: ReceivedRequest[],
   request: IncomingMessage,
   response: ServerResponse,
 ): Promise<void> {
@@ -47,23 +47,23 @@
     writeJson(response, HTTP_OK, {});
   } else if (request.url === '/v1/chat/completions') {
     const id = String(request.headers['x-request-id']);
-    handed.push({ id, atMs: SYSTEM_CLOCK.now() });
+    received.push({ id, atMs: SYSTEM_CLOCK.now() });
     const priority = Number(request.headers['x-request-priority'] ?? '1');
-    streamAnswer(model, id, priority, body, response);
+    streamResponse(model, id, priority, body, response);
   } else if (request.url === '/load') {
     writeJson(response, HTTP_OK, { running: model.reportLoad() });
   } else if (request.url === '/handed') {
     writeJson(response, HTTP_OK, {
-      handed,
+      handed: received,
       wastedPrefillTokens: model.wastedPrefillTokens,
       prefilledTokens: model.prefilledTokens,
     });
   } else {
-    writeJson(response, HTTP_BAD_REQUEST, { error: 'nothing there' });
+    writeJson(response, HTTP_BAD_REQUEST, { error: 'unknown path' });
   }
 }
 
-function streamAnswer(
+function streamResponse(
   model: EngineModel,
   id: string,
   priority: number,
--- a/src/standin/json-body.ts
+++ b/src/standin/json-body.ts
@@ -1,16 +1,16 @@
-/** Reading and writing JSON over HTTP in the stand-ins. */
+/** HTTP helpers: reading request bodies and writing JSON responses. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
-/** The whole body of a request as text. */
+/** Reads the complete request body as UTF-8 text. */
 export async function readText(request: IncomingMessage): Promise<string> {
-  const parts: Buffer[] = [];
-  for await (const part of request) {
-    parts.push(part as Buffer);
+  const chunks: Buffer[] = [];
+  for await (const chunk of request) {
+    chunks.push(chunk as Buffer);
   }
-  return Buffer.concat(parts).toString('utf8');
+  return Buffer.concat(chunks).toString('utf8');
 }
 
-/** Answers with JSON. */
+/** Sends a JSON response. */
 export function writeJson(response: ServerResponse, status: number, value: unknown): void {
   response.writeHead(status, { 'content-type': 'application/json' });
   response.end(JSON.stringify(value));
--- a/src/standin/key-value-model.ts
+++ b/src/standin/key-value-model.ts
@@ -1,20 +1,23 @@
-/** Stand-in for the platform's key-value service: compare-and-swap, leases, watches, rates, outages, lost answers. */
+/**
+ * In-memory fake of the platform's key-value service with compare-and-swap, leases and watches. It
+ * enforces rate limits and simulates outages and lost responses.
+ */
 import type { Clock } from '../clock.js';
 import type { KeyValueEntry, LeaseGrant, SwapOutcome } from '../key-value/key-value.js';
 
-/** Rates that the service bears. */
+/** Rate limits of the service. */
 export interface KeyValueLimits {
   readonly readsPerSecond: number;
   readonly writesPerSecond: number;
 }
 
-/** Rates as the brief gives them. */
+/** Rate limits of the platform's service. */
 export const DEFAULT_KEY_VALUE_LIMITS: KeyValueLimits = {
   readsPerSecond: 2_000,
   writesPerSecond: 200,
 };
 
-/** What a call was, for counting. */
+/** Category of a call for rate limiting and counting. */
 export type KeyValueCallKind = 'read' | 'write' | 'watch';
 
 interface Lease {
@@ -30,21 +33,21 @@
 
 const ONE_SECOND_MS = 1_000;
 
-/** State and rules of the service, without any transport. */
+/** State and behavior of the service, without a transport. */
 export class KeyValueModel {
-  /** Calls so far by kind. */
+  /** Total calls by kind. */
   readonly calls: Record<KeyValueCallKind, number> = { read: 0, write: 0, watch: 0 };
-  /** Most calls of a kind within one second. */
+  /** Maximum number of calls in a one-second window, by kind. */
   readonly peakPerSecond: Record<KeyValueCallKind, number> = { read: 0, write: 0, watch: 0 };
-  /** Whether the service is down. */
+  /** Whether the service is unavailable. */
   isDown = false;
-  /** How many answers of coming writes are lost after taking effect. */
+  /** Number of upcoming writes that take effect but whose responses are lost. */
   answersToLose = 0;
 
   private readonly entries = new Map<string, KeyValueEntry>();
   private readonly leases = new Map<string, Lease>();
   private readonly watchers = new Map<string, Set<Watcher>>();
-  private readonly windows: Record<KeyValueCallKind, { startMs: number; count: number }> = {
+  private readonly rateWindows: Record<KeyValueCallKind, { startMs: number; count: number }> = {
     read: { startMs: 0, count: 0 },
     write: { startMs: 0, count: 0 },
     watch: { startMs: 0, count: 0 },
@@ -56,10 +59,10 @@
     private readonly limits: KeyValueLimits = DEFAULT_KEY_VALUE_LIMITS,
   ) {}
 
-  /** Counts a call; false if the service is down or the call is over the rate. */
+  /** Counts a call; returns false if the service is unavailable or the rate limit is exceeded. */
   admit(kind: KeyValueCallKind): boolean {
     this.calls[kind] += 1;
-    const window = this.windows[kind];
+    const window = this.rateWindows[kind];
     if (this.clock.now() - window.startMs >= ONE_SECOND_MS) {
       window.startMs = this.clock.now();
       window.count = 0;
@@ -70,7 +73,7 @@
     return !this.isDown && window.count <= limit;
   }
 
-  /** Whether the answer of the write just made is to be lost. */
+  /** Returns whether to drop the response of the current write, and decrements `answersToLose`. */
   takeLostAnswer(): boolean {
     if (this.answersToLose === 0) {
       return false;
@@ -79,17 +82,17 @@
     return true;
   }
 
-  /** Reads a key. */
+  /** Returns the entry of a key, or undefined if the key does not exist. */
   get(key: string): KeyValueEntry | undefined {
     return this.entries.get(key);
   }
 
-  /** Number of keys that start with `prefix`. */
+  /** Returns the number of keys that start with `prefix`. */
   countKeys(prefix: string): number {
     return [...this.entries.keys()].filter((key) => key.startsWith(prefix)).length;
   }
 
-  /** Writes `value` (null deletes) if the revision is still the expected one. */
+  /** Writes `value` (null deletes the key) if the revision equals `expectedRevision`. */
   compareAndSwap(key: string, expectedRevision: number, value: unknown): SwapOutcome {
     const current = this.entries.get(key);
     if ((current?.revision ?? 0) !== expectedRevision) {
@@ -101,11 +104,11 @@
     } else {
       this.entries.set(key, { value, revision: this.lastRevision });
     }
-    this.wakeWatchers(key);
+    this.notifyWatchers(key);
     return { swapped: true, revision: this.lastRevision };
   }
 
-  /** Resolves once the key's revision passes `afterRevision`, or after `waitMs`. */
+  /** Resolves when the key's revision exceeds `afterRevision`, or after `waitMs`. */
   watch(key: string, afterRevision: number, waitMs: number): Promise<KeyValueEntry | undefined> {
     const current = this.entries.get(key);
     if (current !== undefined && current.revision > afterRevision) {
@@ -123,20 +126,20 @@
     });
   }
 
-  /** Takes or prolongs a lease. */
+  /** Acquires or renews a lease; returns undefined if another holder has it. */
   acquireLease(name: string, holder: string, durationMs: number): LeaseGrant | undefined {
-    const held = this.leases.get(name);
-    const isHeld = held !== undefined && held.expiresAtMs > this.clock.now();
-    if (isHeld && held.holder !== holder) {
+    const lease = this.leases.get(name);
+    const isHeld = lease !== undefined && lease.expiresAtMs > this.clock.now();
+    if (isHeld && lease.holder !== holder) {
       return undefined;
     }
-    const isSameTerm = isHeld && held.holder === holder;
-    const fencingNumber = isSameTerm ? held.fencingNumber : (held?.fencingNumber ?? 0) + 1;
+    const isRenewal = isHeld && lease.holder === holder;
+    const fencingNumber = isRenewal ? lease.fencingNumber : (lease?.fencingNumber ?? 0) + 1;
     this.leases.set(name, { holder, fencingNumber, expiresAtMs: this.clock.now() + durationMs });
     return { holder, fencingNumber, durationMs };
   }
 
-  private wakeWatchers(key: string): void {
+  private notifyWatchers(key: string): void {
     const entry = this.entries.get(key);
     for (const watcher of this.watchers.get(key) ?? []) {
       if (entry !== undefined && entry.revision > watcher.afterRevision) {
--- a/src/standin/order-target.ts
+++ b/src/standin/order-target.ts
@@ -1,31 +1,35 @@
-/** Stand-in for the order interface of a back end, with or without a check of fencing numbers. */
+/** Fake order interface of a backend, with or without enforcement of fencing numbers. */
 import { StaleOrderError } from '../placement/errors.js';
 import type { ModelAssignment } from '../placement/order-port.js';
 import { err, ok } from '../result.js';
 import type { Result } from '../result.js';
 
-/** An order that came in. */
+/** A received order. */
 export interface ReceivedOrder {
   readonly assignment: ModelAssignment;
   readonly fencingNumber: number;
   readonly wasAccepted: boolean;
 }
 
-/** The order interface of a stand-in back end. */
+/** Order interface of a fake backend. */
 export class OrderTarget {
-  /** Every order that came in, refused ones included. */
-  readonly received: ReceivedOrder[] = [];
+  /** All received orders, including rejected ones. */
+  readonly receivedOrders: ReceivedOrder[] = [];
   loaded: ModelAssignment | undefined;
   private highestFencingNumber = 0;
 
-  constructor(readonly checksFencing: boolean) {}
+  constructor(readonly enforcesFencing: boolean) {}
 
-  /** Takes an order. */
+  /** Loads the assigned model, unless the fencing number is stale. */
   load(assignment: ModelAssignment, fencingNumber: number): Result<void, StaleOrderError> {
-    const isStale = this.checksFencing && fencingNumber < this.highestFencingNumber;
-    this.received.push({ assignment, fencingNumber, wasAccepted: !isStale });
+    const isStale = this.enforcesFencing && fencingNumber < this.highestFencingNumber;
+    this.receivedOrders.push({ assignment, fencingNumber, wasAccepted: !isStale });
     if (isStale) {
-      return err(new StaleOrderError(`${fencingNumber} is below ${this.highestFencingNumber}`));
+      return err(
+        new StaleOrderError(
+          `fencing number ${fencingNumber} is lower than ${this.highestFencingNumber}`,
+        ),
+      );
     }
     this.highestFencingNumber = Math.max(this.highestFencingNumber, fencingNumber);
     this.loaded = assignment;
--- a/src/standin/platform-server.ts
+++ b/src/standin/platform-server.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the platform over HTTP: key-value service, list of machines, and switches for faults. */
+/** Fake platform over HTTP: key-value service, live list of machines and fault injection. */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { z } from 'zod';
@@ -41,7 +41,7 @@
 
 type KeyValueCall = z.infer<typeof callSchema>;
 
-/** Creates the platform stand-in. */
+/** Creates the HTTP server of the fake platform. */
 export function createPlatformServer(): Server {
   const model = new KeyValueModel(SYSTEM_CLOCK);
   const machines = new Map<string, Machine>();
@@ -60,7 +60,7 @@
   const target = `${request.method} ${request.url}`;
   switch (target) {
     case 'POST /key-value':
-      await answerCall(model, body, response);
+      await handleCall(model, body, response);
       break;
     case 'GET /machines':
       writeJson(response, HTTP_OK, [...machines.values()]);
@@ -79,11 +79,11 @@
       writeJson(response, HTTP_OK, { calls: model.calls, peakPerSecond: model.peakPerSecond });
       break;
     default:
-      writeJson(response, HTTP_BAD_REQUEST, { error: `nothing at ${target}` });
+      writeJson(response, HTTP_BAD_REQUEST, { error: `unknown endpoint ${target}` });
   }
 }
 
-async function answerCall(
+async function handleCall(
   model: KeyValueModel,
   body: string,
   response: ServerResponse,
@@ -91,15 +91,15 @@
   const call = callSchema.parse(JSON.parse(body));
   const isWrite = call.operation === 'compare-and-swap' || call.operation === 'acquire-lease';
   if (!model.admit(isWrite ? 'write' : call.operation === 'watch' ? 'watch' : 'read')) {
-    writeJson(response, HTTP_UNAVAILABLE, { error: 'down or over the rate' });
+    writeJson(response, HTTP_UNAVAILABLE, { error: 'service unavailable or rate limit exceeded' });
     return;
   }
-  const answer = await perform(model, call);
+  const result = await perform(model, call);
   if (isWrite && model.takeLostAnswer()) {
     response.destroy();
     return;
   }
-  writeJson(response, HTTP_OK, answer);
+  writeJson(response, HTTP_OK, result);
 }
 
 async function perform(model: KeyValueModel, call: KeyValueCall): Promise<object> {
--- a/src/standin/service-server.ts
+++ b/src/standin/service-server.ts
@@ -1,4 +1,4 @@
-/** Stand-in plain service over HTTP: answers each call after a while and counts what it ran. */
+/** Fake plain service over HTTP: responds after a delay and records the calls it executed. */
 import { createServer } from 'node:http';
 import type { Server } from 'node:http';
 import { serviceAnswer } from './answer-text.js';
@@ -6,21 +6,21 @@
 
 const HTTP_OK = 200;
 
-/** Creates a stand-in service whose calls take `latencyMs`. */
+/** Creates the HTTP server of a fake service that responds after `latencyMs`. */
 export function createServiceServer(latencyMs: number): Server {
-  const keysRun: string[] = [];
-  const handed: Array<{ id: string }> = [];
+  const executedKeys: string[] = [];
+  const receivedRequests: Array<{ id: string }> = [];
   return createServer((request, response) => {
     void (async () => {
       const body = await readText(request);
       if (request.url === '/handed') {
-        writeJson(response, HTTP_OK, { handed, keysRun });
+        writeJson(response, HTTP_OK, { handed: receivedRequests, keysRun: executedKeys });
         return;
       }
-      handed.push({ id: String(request.headers['x-request-id']) });
+      receivedRequests.push({ id: String(request.headers['x-request-id']) });
       const key = request.headers['idempotency-key'];
       if (typeof key === 'string') {
-        keysRun.push(key);
+        executedKeys.push(key);
       }
       setTimeout(() => {
         response.writeHead(HTTP_OK, { 'content-type': 'application/json' });
--- a/src/thread-pool.ts
+++ b/src/thread-pool.ts
@@ -1,10 +1,11 @@
-/** Runs jobs on worker threads, each thread one job after the other. */
+/** Worker thread pool; each thread runs one job at a time. */
 import { once } from 'node:events';
 import { Worker } from 'node:worker_threads';
 
 /**
- * Sends each of `jobs` to one of `threads` threads that run `script`, which answers each message by one.
- * `onResult` hears of each answer, and ends the run by returning false. Rejects if a thread fails.
+ * Distributes `jobs` over up to `threads` worker threads that run `script`. The script must send
+ * exactly one result message per job. Calls `onResult` with each result; if it returns false, no
+ * further jobs are started. Rejects if a thread fails.
  */
 export async function runOnThreads<Job, Result>(
   script: URL,
@@ -12,16 +13,16 @@
   threads: number,
   onResult: (result: Result) => boolean,
 ): Promise<void> {
-  const waiting = [...jobs];
+  const pendingJobs = [...jobs];
   const workers = Array.from({ length: Math.min(threads, jobs.length) }, () => new Worker(script));
   await Promise.all(
     workers.map(async (worker) => {
-      for (let job = waiting.shift(); job !== undefined; job = waiting.shift()) {
-        const answer = once(worker, 'message');
+      for (let job = pendingJobs.shift(); job !== undefined; job = pendingJobs.shift()) {
+        const response = once(worker, 'message');
         worker.postMessage(job);
-        const [result] = (await answer) as [Result];
+        const [result] = (await response) as [Result];
         if (!onResult(result)) {
-          waiting.length = 0;
+          pendingJobs.length = 0;
         }
       }
       await worker.terminate();
--- a/test/follower.test.ts
+++ b/test/follower.test.ts
@@ -22,7 +22,7 @@
   state: 'live',
 };
 
-test('a process that the list makes a reader hears of a change without sleeping out its poll', async (t) => {
+test('a process that becomes a reader gets a change before its poll interval ends', async (t) => {
   const clock = new VirtualClock();
   const random = new SeededRandom(1);
   const network = new SimNetwork(clock, random, { localMs: 1, remoteMs: 1 });
--- a/test/orders.test.ts
+++ b/test/orders.test.ts
@@ -12,10 +12,10 @@
 
 const OLD = { model: 'm', version: '1' };
 const NEW = { model: 'm', version: '2' };
-const LATE_MS = 60_000;
+const LATE_ORDER_DELAY_MS = 60_000;
 
-/** A holder whose calls to the back end can be held back, as by a pause of the process. */
-class Holder {
+/** A lease holder whose calls to the backend can be delayed, as by a pause of its process. */
+class LeaseHolder {
   readDelayMs = 1;
   loadDelayMs = 1;
   readonly executor: OrderExecutor;
@@ -25,7 +25,7 @@
     platform: SimPlatform,
     private readonly target: OrderTarget,
     name: string,
-    leaseClock: Clock = drainingClock(clock),
+    leaseClock: Clock = promiseDrainingClock(clock),
   ) {
     const caller = {
       address: { name, zone: 'z' },
@@ -38,14 +38,14 @@
   private createPort(): OrderPort {
     const { target } = this;
     return {
-      checksFencing: target.checksFencing,
-      readLoaded: () => this.after(this.readDelayMs, () => ok(target.loaded)),
+      enforcesFencing: target.enforcesFencing,
+      readLoadedModel: () => this.runAfter(this.readDelayMs, () => ok(target.loaded)),
       load: (assignment, fencing) =>
-        this.after(this.loadDelayMs, () => target.load(assignment, fencing)),
+        this.runAfter(this.loadDelayMs, () => target.load(assignment, fencing)),
     };
   }
 
-  private after<Value>(delayMs: number, perform: () => Value): Promise<Value> {
+  private runAfter<Value>(delayMs: number, perform: () => Value): Promise<Value> {
     return new Promise((resolve) => {
       this.clock.setTimeout(() => {
         resolve(perform());
@@ -55,16 +55,16 @@
   }
 }
 
-function createWorld(checksFencing: boolean) {
+function createFixture(enforcesFencing: boolean) {
   const clock = new VirtualClock();
   const network = new SimNetwork(clock, new SeededRandom(1), { localMs: 1, remoteMs: 1 });
   const platform = new SimPlatform(clock, network, DEFAULT_KEY_VALUE_LIMITS, 0);
-  const target = new OrderTarget(checksFencing);
+  const target = new OrderTarget(enforcesFencing);
   return { clock, platform, target };
 }
 
-/** A clock whose timers settle promises, as `sleep` does. */
-function drainingClock(clock: VirtualClock): Clock {
+/** A clock whose timers let pending promises settle after each callback, as `sleep` requires. */
+function promiseDrainingClock(clock: VirtualClock): Clock {
   return {
     now: () => clock.now(),
     setTimeout: (callback, delayMs) =>
@@ -76,48 +76,48 @@
   };
 }
 
-/** The clock as a process has it that was paused right after it looked. */
-function stoppedClock(clock: VirtualClock): Clock {
-  return { ...drainingClock(clock), now: () => 0 };
+/** A clock frozen at 0, as seen by a process that was paused right after reading the time. */
+function frozenClock(clock: VirtualClock): Clock {
+  return { ...promiseDrainingClock(clock), now: () => 0 };
 }
 
-test('a back end that checks refuses the late order of a paused holder', async (t) => {
-  const { clock, platform, target } = createWorld(true);
-  const paused = new Holder(clock, platform, target, 'paused');
-  const successor = new Holder(clock, platform, target, 'successor');
-  paused.loadDelayMs = LATE_MS;
+test('with fencing, the backend rejects the delayed order of a paused holder', async (t) => {
+  const { clock, platform, target } = createFixture(true);
+  const paused = new LeaseHolder(clock, platform, target, 'paused');
+  const successor = new LeaseHolder(clock, platform, target, 'successor');
+  paused.loadDelayMs = LATE_ORDER_DELAY_MS;
   const late = paused.executor.ensure(OLD);
   await clock.runUntil(20_000);
   const ordered = successor.executor.ensure(NEW);
-  await clock.runUntil(LATE_MS + 20_000);
+  await clock.runUntil(LATE_ORDER_DELAY_MS + 20_000);
   t.is((await ordered).unwrap(), 'ordered');
   const outcome = await late;
   t.is(outcome.err && outcome.val.code, 'stale-order');
   t.deepEqual(target.loaded, NEW);
 });
 
-test('without a check the late order comes through and is put right at the next call', async (t) => {
-  const { clock, platform, target } = createWorld(false);
-  const paused = new Holder(clock, platform, target, 'paused');
-  const successor = new Holder(clock, platform, target, 'successor');
-  paused.loadDelayMs = LATE_MS;
+test('without fencing, the next call corrects a delayed order of a paused holder', async (t) => {
+  const { clock, platform, target } = createFixture(false);
+  const paused = new LeaseHolder(clock, platform, target, 'paused');
+  const successor = new LeaseHolder(clock, platform, target, 'successor');
+  paused.loadDelayMs = LATE_ORDER_DELAY_MS;
   void paused.executor.ensure(OLD);
   await clock.runUntil(20_000);
   const ordered = successor.executor.ensure(NEW);
   await clock.runUntil(50_000);
   t.is((await ordered).unwrap(), 'ordered');
-  await clock.runUntil(LATE_MS + 10_000);
-  t.deepEqual(target.loaded, OLD, 'this is what stays possible');
+  await clock.runUntil(LATE_ORDER_DELAY_MS + 10_000);
+  t.deepEqual(target.loaded, OLD, 'without fencing, the delayed order is accepted');
   const repaired = successor.executor.ensure(NEW);
-  await clock.runUntil(LATE_MS + 40_000);
+  await clock.runUntil(LATE_ORDER_DELAY_MS + 40_000);
   t.is((await repaired).unwrap(), 'ordered');
   t.deepEqual(target.loaded, NEW);
 });
 
-test('a holder that was paused before it looked at its lease sends nothing under the old one', async (t) => {
-  const { clock, platform, target } = createWorld(false);
-  const paused = new Holder(clock, platform, target, 'paused');
-  const successor = new Holder(clock, platform, target, 'successor');
+test('a holder paused before its lease check sends no order under the old lease', async (t) => {
+  const { clock, platform, target } = createFixture(false);
+  const paused = new LeaseHolder(clock, platform, target, 'paused');
+  const successor = new LeaseHolder(clock, platform, target, 'successor');
   paused.readDelayMs = 30_000;
   const late = paused.executor.ensure(OLD);
   await clock.runUntil(18_000);
@@ -126,27 +126,27 @@
   const outcome = await late;
   t.is(outcome.err && outcome.val.code, 'lease-held');
   t.deepEqual(
-    target.received.filter((order) => order.assignment.version === OLD.version),
+    target.receivedOrders.filter((order) => order.assignment.version === OLD.version),
     [],
   );
 });
 
-test('the same pause is caught when the look at the lease is broken', async (t) => {
-  const { clock, platform, target } = createWorld(false);
-  const paused = new Holder(clock, platform, target, 'paused', stoppedClock(clock));
-  const successor = new Holder(clock, platform, target, 'successor');
+test('with a frozen clock, the lease check lets the paused holder send its order', async (t) => {
+  const { clock, platform, target } = createFixture(false);
+  const paused = new LeaseHolder(clock, platform, target, 'paused', frozenClock(clock));
+  const successor = new LeaseHolder(clock, platform, target, 'successor');
   paused.readDelayMs = 30_000;
   void paused.executor.ensure(OLD);
   await clock.runUntil(18_000);
   void successor.executor.ensure(NEW);
   await clock.runUntil(35_000);
-  t.is(target.received.filter((order) => order.assignment.version === OLD.version).length, 1);
+  t.is(target.receivedOrders.filter((order) => order.assignment.version === OLD.version).length, 1);
 });
 
-test('a successor waits out the lease before it where the back end does not check', async (t) => {
-  const { clock, platform, target } = createWorld(false);
-  const first = new Holder(clock, platform, target, 'first');
-  const successor = new Holder(clock, platform, target, 'successor');
+test('without fencing, a new holder waits until the previous lease has expired', async (t) => {
+  const { clock, platform, target } = createFixture(false);
+  const first = new LeaseHolder(clock, platform, target, 'first');
+  const successor = new LeaseHolder(clock, platform, target, 'successor');
   void first.executor.ensure(OLD);
   await clock.runUntil(16_000);
   const ordered = successor.executor.ensure(NEW);
--- a/test/policy-exchange.test.ts
+++ b/test/policy-exchange.test.ts
@@ -2,29 +2,29 @@
 import { PolicyExchange } from '../src/policy/exchange.js';
 import { PolicyReplica } from '../src/policy/replica.js';
 
-/** Peers that are asked while each shows a newer generation every 400 ms, in the given order. */
-function askedPeers(names: readonly string[], forMs: number): string[] {
+/** Returns the targets of update requests while each peer reports generation 5 every 400 ms. */
+function requestedPeers(names: readonly string[], forMs: number): string[] {
   const exchange = new PolicyExchange(new PolicyReplica());
-  const asked: string[] = [];
+  const requested: string[] = [];
   for (let nowMs = 0; nowMs < forMs; nowMs += 400) {
     for (const name of names) {
       if (exchange.onPeerGeneration(name, 5, nowMs) !== undefined) {
-        asked.push(name);
+        requested.push(name);
       }
     }
   }
-  return asked;
+  return requested;
 }
 
-test('a peer that is heard and does not answer is not asked before the others', (t) => {
-  t.deepEqual(askedPeers(['deaf', 'b', 'c'], 2_400), ['deaf', 'b', 'c']);
+test('an unresponsive peer is not retried before the other peers with a newer generation', (t) => {
+  t.deepEqual(requestedPeers(['deaf', 'b', 'c'], 2_400), ['deaf', 'b', 'c']);
 });
 
-test('one that is asked in vain is asked again where nobody else is ahead', (t) => {
-  t.deepEqual(askedPeers(['a'], 2_000), ['a', 'a', 'a']);
+test('an unresponsive peer is retried if no other peer has a newer generation', (t) => {
+  t.deepEqual(requestedPeers(['a'], 2_000), ['a', 'a', 'a']);
 });
 
-test('a peer that is gone does not keep others from being asked again', (t) => {
+test('a newer peer that stops reporting does not block retries to other peers', (t) => {
   const exchange = new PolicyExchange(new PolicyReplica());
   t.truthy(exchange.onPeerGeneration('a', 5, 0));
   t.is(exchange.onPeerGeneration('gone', 5, 100), undefined);
--- a/test/policy.test.ts
+++ b/test/policy.test.ts
@@ -8,43 +8,43 @@
 import type { PolicyDocument } from '../src/policy/document.js';
 import { SHOP_KEY, SMALL_POLICY_INI, smallPolicy } from './support/policy.js';
 
-const INVOICE = { tenant: 'shop', model: 'risk', dataLabels: { class: 'invoice' } };
+const INVOICE_REQUEST = { tenant: 'shop', model: 'risk', dataLabels: { class: 'invoice' } };
 
-test('an invoice is permitted in approved halls only, at the tier of its selector', (t) => {
+test('invoices are permitted only in approved places, at the tier of their selector', (t) => {
   const policy = compilePolicy(smallPolicy(), 1);
-  const permitted = findPermittedEngines(policy, INVOICE);
+  const permitted = findPermittedEngines(policy, INVOICE_REQUEST);
   t.deepEqual(permitted.engines, ['a-1', 'a-2']);
   t.is(permitted.tier, 1);
   t.is(permitted.selector, 'invoices');
-  t.deepEqual(decideEligibility(policy, INVOICE, 'b-1'), {
+  t.deepEqual(decideEligibility(policy, INVOICE_REQUEST, 'b-1'), {
     allowed: false,
     reason: 'no-selector-allows',
   });
 });
 
-test('a denying selector wins over an allowing one of any priority', (t) => {
+test('a deny selector overrides an allow selector of any priority', (t) => {
   const document = applyEdits(smallPolicy(), [
     {
       entry: 'engine.a-1',
       after: { kind: 'engine', place: 'hall-a', models: ['risk'], labels: { state: 'drained' } },
     },
   ]);
-  const decision = decideEligibility(compilePolicy(document, 2), INVOICE, 'a-1');
+  const decision = decideEligibility(compilePolicy(document, 2), INVOICE_REQUEST, 'a-1');
   t.deepEqual(decision, { allowed: false, reason: 'denied-by-selector', selector: 'drained' });
 });
 
-test('data without labels, an unknown tenant and an unknown model are permitted nowhere', (t) => {
+test('unlabeled data, unknown tenants and unknown models are permitted on no engine', (t) => {
   const policy = compilePolicy(smallPolicy(), 1);
   for (const attributes of [
-    { ...INVOICE, dataLabels: {} },
-    { ...INVOICE, tenant: 'nobody' },
-    { ...INVOICE, model: 'nothing' },
+    { ...INVOICE_REQUEST, dataLabels: {} },
+    { ...INVOICE_REQUEST, tenant: 'nobody' },
+    { ...INVOICE_REQUEST, model: 'nothing' },
   ]) {
     t.deepEqual(findPermittedEngines(policy, attributes).engines, []);
   }
 });
 
-test('every problem of a policy file is named with its line', (t) => {
+test('parsePolicyIni reports every problem of a policy file with its line', (t) => {
   const text = [
     '[label.class]',
     'values = invoice',
@@ -64,13 +64,13 @@
   t.deepEqual(found, ['unknown label "colour"', 'unknown place "nowhere"', 'unknown model "none"']);
 });
 
-test('a document survives being written and read', (t) => {
+test('a policy document is unchanged after formatting and parsing', (t) => {
   const document = smallPolicy();
   t.deepEqual(parsePolicyIni(formatPolicyIni(document)).unwrap(), document);
   t.true(SMALL_POLICY_INI.length > 0);
 });
 
-test('the digest after edits equals the digest of the edited document', (t) => {
+test('digestAfterEdits equals the digest of the edited document', (t) => {
   const before = smallPolicy();
   const edits: PolicyEdit[] = [
     { entry: 'selector.lookups', after: null },
@@ -81,7 +81,7 @@
   t.deepEqual(findEdits(before, after).length, 2);
 });
 
-function recordOf(
+function createChangeRecord(
   generation: number,
   before: PolicyDocument,
   edits: PolicyEdit[],
@@ -99,48 +99,52 @@
   return [record, after];
 }
 
-test('a replica installs newer generations only and answers peers that are behind', (t) => {
+test('a replica installs only newer generations and creates updates for older peers', (t) => {
   const first = smallPolicy();
-  const [second, afterSecond] = recordOf(2, first, [{ entry: 'selector.lookups', after: null }]);
-  const [third, afterThird] = recordOf(3, afterSecond, [
+  const [second, afterSecond] = createChangeRecord(2, first, [
+    { entry: 'selector.lookups', after: null },
+  ]);
+  const [third, afterThird] = createChangeRecord(3, afterSecond, [
     { entry: 'place.hall-c', after: { kind: 'place', labels: {} } },
   ]);
-  const ahead = new PolicyReplica();
-  const behind = new PolicyReplica();
+  const current = new PolicyReplica();
+  const outdated = new PolicyReplica();
   const full = { form: 'full', generation: 1, document: first, recent: [] } as const;
-  for (const replica of [ahead, behind]) {
+  for (const replica of [current, outdated]) {
     t.is(replica.install({ ...full, recent: [] }), 'installed');
   }
-  t.is(ahead.install({ form: 'delta', records: [second, third] }), 'installed');
-  t.is(ahead.install({ ...full, recent: [] }), 'not-newer');
-  t.is(ahead.generation, 3);
-  t.is(behind.install({ form: 'delta', records: [third] }), 'needs-full');
-  const update = ahead.updateFor(behind.generation);
+  t.is(current.install({ form: 'delta', records: [second, third] }), 'installed');
+  t.is(current.install({ ...full, recent: [] }), 'not-newer');
+  t.is(current.generation, 3);
+  t.is(outdated.install({ form: 'delta', records: [third] }), 'needs-full');
+  const update = current.updateFor(outdated.generation);
   t.is(update?.form, 'delta');
-  t.is(behind.install(update!), 'installed');
-  t.deepEqual(behind.policy.document, afterThird);
-  t.is(ahead.updateFor(3), undefined);
+  t.is(outdated.install(update!), 'installed');
+  t.deepEqual(outdated.policy.document, afterThird);
+  t.is(current.updateFor(3), undefined);
 });
 
-test('a delta whose digest does not fit asks for the whole document', (t) => {
+test('a delta with a wrong digest is not installed and returns needs-full', (t) => {
   const replica = new PolicyReplica();
   replica.install({ form: 'full', generation: 1, document: smallPolicy(), recent: [] });
-  const [record] = recordOf(2, smallPolicy(), [{ entry: 'selector.lookups', after: null }]);
+  const [record] = createChangeRecord(2, smallPolicy(), [
+    { entry: 'selector.lookups', after: null },
+  ]);
   const outcome = replica.install({ form: 'delta', records: [{ ...record, digest: 1 }] });
   t.is(outcome, 'needs-full');
   t.is(replica.generation, 1);
 });
 
-test('a peer that asks for everything gets the whole document, however few the changes', (t) => {
-  const ahead = new PolicyReplica();
-  const [first] = recordOf(1, {}, [
+test('a peer at generation 0 gets a full update, even if a single change is missing', (t) => {
+  const current = new PolicyReplica();
+  const [first] = createChangeRecord(1, {}, [
     { entry: 'place.hall-c', after: { kind: 'place', labels: {} } },
   ]);
-  ahead.install({ form: 'delta', records: [first] });
-  t.is(ahead.updateFor(0)?.form, 'full');
+  current.install({ form: 'delta', records: [first] });
+  t.is(current.updateFor(0)?.form, 'full');
 });
 
-test('a tenant is found by its key; an unknown key finds nobody', (t) => {
+test('findTenant returns the tenant of a key, and undefined for an unknown key', (t) => {
   const replica = new PolicyReplica();
   replica.install({ form: 'full', generation: 1, document: smallPolicy(), recent: [] });
   t.is(replica.tenants.findTenant(SHOP_KEY), 'shop');
--- a/test/support/policy.ts
+++ b/test/support/policy.ts
@@ -2,10 +2,10 @@
 import type { PolicyDocument } from '../../src/policy/document.js';
 import { hashApiKey } from '../../src/policy/api-key.js';
 
-/** API key of the tenant `shop` in the small policy. */
+/** API key of the tenant `shop` in `SMALL_POLICY_INI`. */
 export const SHOP_KEY = 'shop-key';
 
-/** A policy with two approved engines, one general engine and one plain service that may not be repeated. */
+/** Policy with two approved engines, one general engine and one non-repeatable plain service. */
 export const SMALL_POLICY_INI = `
 [label.class]
 values = invoice, lookup, ledger
@@ -59,7 +59,7 @@
 place.clearance = approved
 `;
 
-/** The small policy as a document. */
+/** Returns `SMALL_POLICY_INI` as a policy document. */
 export function smallPolicy(): PolicyDocument {
   return parsePolicyIni(SMALL_POLICY_INI).unwrap();
 }
