--- a/src/agent/agent-core.ts
+++ b/src/agent/agent-core.ts
@@ -1,8 +1,8 @@
 /**
- * The agent role without I/O: events in, effects out.
+ * Implements the agent role without I/O: takes events and returns effects.
  *
- * The daemon and the simulator drive this very class; it has no clock, socket
- * or random source of its own.
+ * The daemon and the simulator use the same class; it has no clock, socket or random source of its
+ * own.
  */
 import type { Machine, ProcessIdentity } from '../membership/machine.js';
 import type { AgentOptions } from '../options.js';
@@ -12,34 +12,37 @@
 import type { HelloMessage, Message } from '../protocol/messages.js';
 import { entryIncarnationOf } from '../request/request-id.js';
 import type { AgentEffect, AgentEvent } from './agent-events.js';
-import { AgentTurn } from './agent-state.js';
+import { AgentEventContext } from './agent-state.js';
 import type { AgentState } from './agent-state.js';
 import { BidQueue } from './bid-queue.js';
-import { answerUrgentBids, callBids, expireCalls, holdBid } from './commands/call-bids.js';
-import { noticePause, receiveBind, reviewPendingBinds } from './commands/start-request.js';
+import { sendLoadForUrgentBids, callBids, expireCalls, enqueueBid } from './commands/call-bids.js';
+import { detectPause, handleBind, resolvePendingBinds } from './commands/start-request.js';
 import { refuseBind } from './commands/refuse-bind.js';
 import {
-  acknowledgeAnswer,
+  acknowledgeResponse,
   cancelRequest,
-  expireAnswers,
+  expireResponses,
   handleEngineEvent,
-  resumeAnswer,
+  resumeResponse,
 } from './commands/stream-answer.js';
 import { describeLoad } from './queries/engine-load.js';
 import { RequestRecords } from './request-records.js';
 
-/** What an agent is made from. */
-export interface AgentCoreParts {
+/** Values that an agent core is constructed from. */
+export interface AgentCoreDependencies {
   readonly identity: ProcessIdentity;
   readonly options: AgentOptions;
 }
 
-/** The agent role without I/O. */
+/**
+ * State machine of the agent role: accepts bids from entries, calls them when its engine has a free
+ * slot, runs the bound requests and relays their responses.
+ */
 export class AgentCore {
-  /** For queries only. */
+  /** Read-only for code outside the core. */
   readonly state: AgentState;
 
-  constructor(parts: AgentCoreParts) {
+  constructor(parts: AgentCoreDependencies) {
     const replica = new PolicyReplica();
     this.state = {
       ...parts,
@@ -53,83 +56,83 @@
       records: new RequestRecords(),
       permitExpiriesMs: [],
       lastTickAtMs: undefined,
-      distrustBindsUntilMs: 0,
+      refuseBindsUntilMs: 0,
       wasListedLive: false,
       isLeaving: false,
       hasLeft: false,
     };
   }
 
-  /** Takes one event at `nowMs` and returns what is to be done, in order. */
+  /** Handles one event at `nowMs` and returns the resulting effects in order. */
   handle(event: AgentEvent, nowMs: number): AgentEffect[] {
-    const turn = new AgentTurn(this.state, nowMs);
-    this.dispatch(turn, event);
-    callBids(turn);
-    answerUrgentBids(turn);
-    this.finishLeaving(turn);
-    return turn.effects;
+    const context = new AgentEventContext(this.state, nowMs);
+    this.dispatch(context, event);
+    callBids(context);
+    sendLoadForUrgentBids(context);
+    this.finishLeaving(context);
+    return context.effects;
   }
 
-  private dispatch(turn: AgentTurn, event: AgentEvent): void {
+  private dispatch(context: AgentEventContext, event: AgentEvent): void {
     switch (event.kind) {
       case 'peer-connected':
-        this.connectPeer(turn, event.hello);
+        this.connectPeer(context, event.hello);
         break;
       case 'peer-disconnected':
         if (this.state.peers.get(event.peer)?.connectionNumber === event.connectionNumber) {
-          this.disconnectPeer(turn, event.peer);
+          this.disconnectPeer(context, event.peer);
         }
         break;
       case 'frame':
-        this.handleFrame(turn, event);
+        this.handleFrame(context, event);
         break;
       case 'policy':
         if (this.state.replica.install(event.update) === 'installed') {
-          this.onPolicyInstalled(turn);
+          this.onPolicyInstalled(context);
         }
         break;
       case 'fleet':
-        this.heedList(turn, event.ownState);
+        this.handleMachineList(context, event.ownState);
         break;
       case 'tick':
-        this.tick(turn);
+        this.tick(context);
         break;
       case 'leave':
-        this.leave(turn);
+        this.leave(context);
         break;
       default:
-        handleEngineEvent(turn, event);
+        handleEngineEvent(context, event);
     }
   }
 
-  private connectPeer(turn: AgentTurn, hello: HelloMessage): void {
-    const known = this.state.peers.get(hello.incarnation);
-    if (known !== undefined) {
-      const { connectionNumber } = known;
-      turn.emit({ kind: 'disconnect', peer: hello.incarnation, connectionNumber });
-      this.disconnectPeer(turn, hello.incarnation);
+  private connectPeer(context: AgentEventContext, hello: HelloMessage): void {
+    const existing = this.state.peers.get(hello.incarnation);
+    if (existing !== undefined) {
+      const { connectionNumber } = existing;
+      context.emit({ kind: 'disconnect', peer: hello.incarnation, connectionNumber });
+      this.disconnectPeer(context, hello.incarnation);
     }
     this.state.peers.set(hello.incarnation, {
       incarnation: hello.incarnation,
       name: hello.name,
       connectionNumber: hello.connectionNumber,
-      lastReceivedAtMs: turn.nowMs,
-      lastSentAtMs: turn.nowMs,
-      lastLoadSentAtMs: turn.nowMs,
+      lastReceivedAtMs: context.nowMs,
+      lastSentAtMs: context.nowMs,
+      lastLoadSentAtMs: context.nowMs,
       hasAcknowledgedLeave: false,
     });
-    for (const held of this.state.engineRequests.values()) {
-      if (held.peer === hello.incarnation) {
-        held.orphanedAtMs = undefined;
+    for (const engineRequest of this.state.engineRequests.values()) {
+      if (engineRequest.peer === hello.incarnation) {
+        engineRequest.orphanedAtMs = undefined;
       }
     }
-    turn.send(hello.incarnation, describeLoad(this.state));
+    context.send(hello.incarnation, describeLoad(this.state));
     if (this.state.isLeaving) {
-      turn.send(hello.incarnation, { kind: 'leaving' });
+      context.send(hello.incarnation, { kind: 'leaving' });
     }
   }
 
-  private disconnectPeer(turn: AgentTurn, incarnation: string): void {
+  private disconnectPeer(context: AgentEventContext, incarnation: string): void {
     this.state.peers.delete(incarnation);
     for (const bid of [...this.state.bids.all()]) {
       if (bid.peer === incarnation) {
@@ -141,63 +144,66 @@
         this.state.calls.delete(id);
       }
     }
-    for (const held of this.state.engineRequests.values()) {
-      if (held.peer === incarnation) {
-        held.orphanedAtMs ??= turn.nowMs;
+    for (const engineRequest of this.state.engineRequests.values()) {
+      if (engineRequest.peer === incarnation) {
+        engineRequest.orphanedAtMs ??= context.nowMs;
       }
     }
   }
 
-  private handleFrame(turn: AgentTurn, event: Extract<AgentEvent, { kind: 'frame' }>): void {
+  private handleFrame(
+    context: AgentEventContext,
+    event: Extract<AgentEvent, { kind: 'frame' }>,
+  ): void {
     const peer = this.state.peers.get(event.peer);
     if (peer === undefined || peer.connectionNumber !== event.connectionNumber) {
       return;
     }
-    peer.lastReceivedAtMs = turn.nowMs;
+    peer.lastReceivedAtMs = context.nowMs;
     const { generation } = event.frame;
-    const request = this.state.exchange.onPeerGeneration(event.peer, generation, turn.nowMs);
+    const request = this.state.exchange.onPeerGeneration(event.peer, generation, context.nowMs);
     if (request !== undefined) {
-      turn.send(event.peer, request);
+      context.send(event.peer, request);
     }
     for (const message of event.frame.messages) {
-      this.handleMessage(turn, event.peer, message);
+      this.handleMessage(context, event.peer, message);
     }
   }
 
-  private handleMessage(turn: AgentTurn, peer: string, message: Message): void {
+  private handleMessage(context: AgentEventContext, peer: string, message: Message): void {
     if ('id' in message && entryIncarnationOf(message.id) !== peer) {
-      // Only the entry that minted an id may speak of it.
-      turn.count('message.foreign_id');
+      // Only the entry that generated a request id may send messages about it.
+      context.count('message.foreign_id');
       return;
     }
     switch (message.kind) {
       case 'bid':
-        holdBid(turn, peer, message);
+        enqueueBid(context, peer, message);
         break;
       case 'withdraw-bids':
         this.withdrawBids(peer, message.ids);
         break;
       case 'bind':
-        receiveBind(turn, peer, message);
+        handleBind(context, peer, message);
         break;
       case 'decline-call':
         this.state.calls.delete(message.id);
         break;
       case 'resume-answer':
-        resumeAnswer(turn, peer, message.id, message.fromChunk);
+        resumeResponse(context, peer, message.id, message.fromChunk);
         break;
       case 'acknowledge':
-        acknowledgeAnswer(turn, message.id);
+        acknowledgeResponse(context, message.id);
         break;
       case 'leaving-acknowledged':
         this.acknowledgeLeave(peer);
         break;
       case 'cancel':
-        cancelRequest(turn, message.id, 'caller-gone');
+        cancelRequest(context, message.id, 'caller-gone');
         break;
       case 'policy-request':
       case 'policy-update':
-        this.handlePolicy(turn, peer, message);
+        this.handlePolicy(context, peer, message);
         break;
       default:
         break;
@@ -213,68 +219,71 @@
     }
   }
 
-  private handlePolicy(turn: AgentTurn, peer: string, message: PolicyMessage): void {
+  private handlePolicy(context: AgentEventContext, peer: string, message: PolicyMessage): void {
     const { reply, isInstalled } = this.state.exchange.take(message);
     if (reply !== undefined) {
-      turn.send(peer, reply);
+      context.send(peer, reply);
     }
     if (isInstalled) {
-      this.onPolicyInstalled(turn);
+      this.onPolicyInstalled(context);
     }
   }
 
-  private onPolicyInstalled(turn: AgentTurn): void {
-    turn.count('policy.installed');
-    reviewPendingBinds(turn);
+  private onPolicyInstalled(context: AgentEventContext): void {
+    context.count('policy.installed');
+    resolvePendingBinds(context);
   }
 
   /**
-   * A list that lags still shows a replaced process as leaving: that was the start before this
-   * one. Only a process that was shown as live can be shown as leaving.
+   * Leaves if the machine list marks this process as leaving after it had marked it as live. A list
+   * that lags still shows the previous process of this name as leaving.
    */
-  private heedList(turn: AgentTurn, ownState: Machine['state'] | undefined): void {
+  private handleMachineList(
+    context: AgentEventContext,
+    ownState: Machine['state'] | undefined,
+  ): void {
     if (ownState === 'live') {
       this.state.wasListedLive = true;
     } else if (ownState === 'leaving' && this.state.wasListedLive) {
-      this.leave(turn);
+      this.leave(context);
     }
   }
 
-  private leave(turn: AgentTurn): void {
+  private leave(context: AgentEventContext): void {
     if (this.state.isLeaving) {
       return;
     }
     this.state.isLeaving = true;
     for (const peer of this.state.peers.keys()) {
-      turn.send(peer, { kind: 'leaving' });
+      context.send(peer, { kind: 'leaving' });
     }
     for (const bid of [...this.state.bids.all()]) {
       this.state.bids.remove(bid.id);
     }
     for (const [id, pending] of this.state.pendingBinds) {
       this.state.pendingBinds.delete(id);
-      refuseBind(turn, pending.peer, id, 'leaving');
+      refuseBind(context, pending.peer, id, 'leaving');
     }
   }
 
-  private tick(turn: AgentTurn): void {
-    noticePause(turn);
-    this.state.lastTickAtMs = turn.nowMs;
-    expireCalls(turn);
-    reviewPendingBinds(turn);
-    expireAnswers(turn);
-    this.maintainPeers(turn);
+  private tick(context: AgentEventContext): void {
+    detectPause(context);
+    this.state.lastTickAtMs = context.nowMs;
+    expireCalls(context);
+    resolvePendingBinds(context);
+    expireResponses(context);
+    this.maintainPeers(context);
   }
 
-  private maintainPeers(turn: AgentTurn): void {
+  private maintainPeers(context: AgentEventContext): void {
     const { pingIntervalMs, silenceTimeoutMs } = this.state.options;
     for (const [incarnation, peer] of this.state.peers) {
-      if (turn.nowMs - peer.lastReceivedAtMs >= silenceTimeoutMs) {
+      if (context.nowMs - peer.lastReceivedAtMs >= silenceTimeoutMs) {
         const { connectionNumber } = peer;
-        turn.emit({ kind: 'disconnect', peer: incarnation, connectionNumber });
-        this.disconnectPeer(turn, incarnation);
-      } else if (turn.nowMs - peer.lastSentAtMs >= pingIntervalMs) {
-        turn.send(incarnation, { kind: 'ping' });
+        context.emit({ kind: 'disconnect', peer: incarnation, connectionNumber });
+        this.disconnectPeer(context, incarnation);
+      } else if (context.nowMs - peer.lastSentAtMs >= pingIntervalMs) {
+        context.send(incarnation, { kind: 'ping' });
       }
     }
   }
@@ -286,13 +295,18 @@
     }
   }
 
-  /** The process stays until no bind can be under way to it: a bind that nobody refuses is lost. */
-  private finishLeaving(turn: AgentTurn): void {
-    const isHeard = [...this.state.peers.values()].every((peer) => peer.hasAcknowledgedLeave);
-    const isIdle = this.state.engineRequests.size === 0 && isHeard;
+  /**
+   * Ends the process only once every connected entry has acknowledged the leave and no request is
+   * left: a bind in transit that nobody refuses would be lost.
+   */
+  private finishLeaving(context: AgentEventContext): void {
+    const isAcknowledged = [...this.state.peers.values()].every(
+      (peer) => peer.hasAcknowledgedLeave,
+    );
+    const isIdle = this.state.engineRequests.size === 0 && isAcknowledged;
     if (this.state.isLeaving && !this.state.hasLeft && isIdle) {
       this.state.hasLeft = true;
-      turn.emit({ kind: 'left' });
+      context.emit({ kind: 'left' });
     }
   }
 }
--- a/src/agent/agent-events.ts
+++ b/src/agent/agent-events.ts
@@ -1,11 +1,11 @@
-/** What happens to an agent, and what it does about it. */
+/** Events that an agent core handles, and effects that it returns. */
 import type { Decision, Measurement } from '../decision.js';
 import type { Machine } from '../membership/machine.js';
 import type { PolicyUpdate } from '../policy/replica.js';
 import type { BindMessage, Frame, HelloMessage, Message } from '../protocol/messages.js';
 import type { RequestId } from '../request/request-id.js';
 
-/** Token counts and times that the back end reports at the end of an answer. */
+/** Token counts and durations that the backend reports at the end of a response. */
 export interface EngineUsage {
   readonly promptTokens: number;
   readonly cachedPromptTokens: number;
@@ -14,7 +14,7 @@
   readonly decodeMs: number;
 }
 
-/** What the back end says of a request that was handed to it. */
+/** Progress events of a request that was sent to the backend. */
 export type EngineEvent =
   | {
       readonly kind: 'engine-started';
@@ -27,12 +27,12 @@
   | {
       readonly kind: 'engine-failed';
       readonly id: RequestId;
-      /** True when the back end was certainly never handed the request. */
+      /** Whether the backend certainly never received the request. */
       readonly isNotStarted: boolean;
       readonly detail: string;
     };
 
-/** Anything that happens to an agent; `peer` is the incarnation of an entry. */
+/** An input of the agent core; `peer` is the incarnation of an entry. */
 export type AgentEvent =
   | EngineEvent
   | { readonly kind: 'peer-connected'; readonly hello: HelloMessage }
@@ -48,12 +48,12 @@
       readonly frame: Frame;
     }
   | { readonly kind: 'policy'; readonly update: PolicyUpdate }
-  /** The list of machines was read; `ownState` is what it says of this one, if anything. */
+  /** The machine list was read; `ownState` is the state it lists for this process, if any. */
   | { readonly kind: 'fleet'; readonly ownState: Machine['state'] | undefined }
   | { readonly kind: 'tick' }
   | { readonly kind: 'leave' };
 
-/** Anything that an agent does. */
+/** An action that the agent core asks its host to perform. */
 export type AgentEffect =
   | { readonly kind: 'send'; readonly peer: string; readonly message: Message }
   | { readonly kind: 'disconnect'; readonly peer: string; readonly connectionNumber: number }
--- a/src/agent/agent-state.ts
+++ b/src/agent/agent-state.ts
@@ -1,4 +1,4 @@
-/** What an agent holds: bids, calls, running requests and answers not yet acknowledged. */
+/** State of an agent: bids, calls, running requests and unacknowledged responses. */
 import type { ProcessIdentity } from '../membership/machine.js';
 import type { AgentOptions } from '../options.js';
 import type { PolicyExchange } from '../policy/exchange.js';
@@ -18,45 +18,45 @@
   lastReceivedAtMs: number;
   lastSentAtMs: number;
   lastLoadSentAtMs: number;
-  /** Whether the entry has heard that this agent leaves. */
+  /** Whether the entry has acknowledged that this agent is leaving. */
   hasAcknowledgedLeave: boolean;
 }
 
-/** A bid that was called and waits for its bind. */
+/** A call, which offers a slot to the entry that sent a bid, that awaits the entry's bind. */
 export interface OutstandingCall {
   readonly peer: string;
   readonly tier: Tier;
   readonly calledAtMs: number;
-  /** True when a running lower tier makes room only once the bind comes. */
+  /** Whether the bind will need to preempt a running request of a lower tier. */
   readonly needsPreemption: boolean;
 }
 
-/** A bind that waits for the policy generation it was made under. */
+/** A bind that waits until the policy generation that it refers to is installed. */
 export interface PendingBind {
   readonly request: BindMessage;
   readonly peer: string;
   readonly receivedAtMs: number;
 }
 
-/** Where a request on the engine stands. */
-export type RunPhase = 'running' | 'paused' | 'finished';
+/** State of a request on the engine; `finished` lasts until the entry acknowledges the response. */
+export type EngineRequestPhase = 'running' | 'paused' | 'finished';
 
-/** A request that was handed to the engine, with its answer so far. */
+/** A request that was sent to the engine, with its response so far. */
 export interface EngineRequest {
   readonly request: BindMessage;
-  /** Incarnation of the entry that bound it. */
+  /** Incarnation of the entry that sent the bind. */
   readonly peer: string;
   readonly startedAtMs: number;
-  phase: RunPhase;
-  /** Answer messages so far, in order; kept until the entry acknowledges the end. */
-  readonly answer: Message[];
+  phase: EngineRequestPhase;
+  /** Response messages so far, in order; retained until the entry acknowledges the end. */
+  readonly responseMessages: Message[];
   chunkCount: number;
   finishedAtMs: number | undefined;
-  /** Since when its entry has not been connected. */
+  /** When the connection to its entry was lost; undefined while the entry is connected. */
   orphanedAtMs: number | undefined;
 }
 
-/** All that an agent holds; nothing of it outlives the process. */
+/** In-memory state of an agent; none of it survives a restart. */
 export interface AgentState {
   readonly identity: ProcessIdentity;
   readonly options: AgentOptions;
@@ -69,35 +69,35 @@
   readonly pendingBinds: Map<RequestId, PendingBind>;
   readonly engineRequests: Map<RequestId, EngineRequest>;
   readonly records: RequestRecords;
-  /** When the permits that entries hold lapse, oldest first. */
+  /** Expiry times of the outstanding permits, oldest first. */
   readonly permitExpiriesMs: number[];
   /** Time of the last tick; undefined before the first. */
   lastTickAtMs: number | undefined;
-  /** Until then, binds are refused: they may be older than a leave that was not heard of yet. */
-  distrustBindsUntilMs: number;
-  /** Whether the list has shown this start of the process as live. */
+  /** Refuses binds until this time: they may predate a leave signal that was not yet handled. */
+  refuseBindsUntilMs: number;
+  /** Whether the machine list has marked this run of the process as live. */
   wasListedLive: boolean;
   isLeaving: boolean;
   hasLeft: boolean;
 }
 
-/** One turn of an agent: its state, the time, and the effects so far. */
-export class AgentTurn {
+/** Context of handling one event: the state, the current time and the effects so far. */
+export class AgentEventContext {
   readonly effects: AgentEffect[] = [];
-  /** Entries whose urgent bids came in this turn; each is told the load if it is not called. */
-  readonly urgentPeers = new Set<string>();
+  /** Entries that sent an urgent bid in this event; each gets a load report. */
+  readonly urgentBidPeers = new Set<string>();
 
   constructor(
     readonly state: AgentState,
     readonly nowMs: number,
   ) {}
 
-  /** Adds an effect. */
+  /** Appends an effect to the result. */
   emit(effect: AgentEffect): void {
     this.effects.push(effect);
   }
 
-  /** Sends `message` if the entry is connected. */
+  /** Sends `message`; drops it if the entry is not connected. */
   send(peerName: string, message: Message): void {
     const peer = this.state.peers.get(peerName);
     if (peer === undefined) {
@@ -107,13 +107,13 @@
     this.emit({ kind: 'send', peer: peerName, message });
   }
 
-  /** Counts `value` under `metric`. */
+  /** Increments the counter `metric` by `value`. */
   count(metric: string, value = 1, tags?: Readonly<Record<string, string>>): void {
     this.emit({ kind: 'measure', measurement: { metric, value, type: 'count', tags } });
   }
 
-  /** Logs a decision about a request. */
-  decide(action: string, request: DecidedRequest, reason: string): void {
+  /** Appends a decision about a request to the decision log. */
+  logDecision(action: string, request: LoggedRequest, reason: string): void {
     this.emit({
       kind: 'decision',
       decision: {
@@ -129,8 +129,8 @@
   }
 }
 
-/** The parts of a request that a decision line names. */
-export interface DecidedRequest {
+/** The fields of a request that a decision record contains. */
+export interface LoggedRequest {
   readonly id: RequestId;
   readonly tier: Tier;
   readonly tenant: string;
--- a/src/agent/bid-queue.ts
+++ b/src/agent/bid-queue.ts
@@ -1,65 +1,70 @@
-/** The bids an agent holds: tier first, then tenant share, then deadline. */
+/**
+ * Priority queue of bids: by tier, then weighted fair queueing across tenants, then by deadline.
+ */
 import { Heap } from 'heap-js';
 import type { RequestId } from '../request/request-id.js';
 import type { Tier } from '../request/tier.js';
 
-/** A bid as the agent holds it. */
-export interface HeldBid {
+/** A bid in an agent's queue. */
+export interface QueuedBid {
   readonly id: RequestId;
-  /** Incarnation of the entry that made the bid. */
+  /** Incarnation of the entry that sent the bid. */
   readonly peer: string;
   readonly tenant: string;
   readonly tier: Tier;
   readonly deadlineAtMs: number;
   readonly receivedAtMs: number;
-  /** Tokens of prompt and longest answer, by which a tenant's share is reckoned. */
+  /** Prompt tokens plus maximum output tokens: the cost that is charged to the tenant. */
   readonly costTokens: number;
   readonly isUrgent: boolean;
 }
 
-/** Bids of one tenant in one tier, and the share of the engine it has had. */
-interface TenantLane {
-  readonly bids: Heap<HeldBid>;
-  servedShare: number;
+/**
+ * Bids of one tenant in one tier, with the tenant's virtual time: the cost served so far, divided
+ * by the tenant's weight.
+ */
+interface TenantQueue {
+  readonly bids: Heap<QueuedBid>;
+  virtualTime: number;
 }
 
 /** The bids of one tier by tenant. */
-interface TierLane {
-  readonly tenants: Map<string, TenantLane>;
-  /** Share of the tenant served last: a tenant that comes back starts from here. */
-  currentShare: number;
+interface TierQueue {
+  readonly tenants: Map<string, TenantQueue>;
+  /** Virtual time of the tenant served last; a tenant without queued bids restarts from it. */
+  virtualTime: number;
 }
 
-/** The bids an agent holds. */
+/** Queue of the bids that an agent may call, with weighted fair sharing between tenants. */
 export class BidQueue {
-  private readonly byId = new Map<RequestId, HeldBid>();
-  private readonly tiers = new Map<Tier, TierLane>();
+  private readonly byId = new Map<RequestId, QueuedBid>();
+  private readonly tiers = new Map<Tier, TierQueue>();
 
   constructor(private readonly weightOf: (tenant: string) => number) {}
 
-  /** Number of bids held. */
+  /** Number of queued bids. */
   get size(): number {
     return this.byId.size;
   }
 
-  /** The bid for `id`, if one is held. */
-  get(id: RequestId): HeldBid | undefined {
+  /** Returns the queued bid for `id`, if any. */
+  get(id: RequestId): QueuedBid | undefined {
     return this.byId.get(id);
   }
 
-  /** All bids held, in no particular order. */
-  all(): IterableIterator<HeldBid> {
+  /** Returns all queued bids, in no particular order. */
+  all(): IterableIterator<QueuedBid> {
     return this.byId.values();
   }
 
-  /** Adds a bid, or replaces an earlier one for the same request. */
-  add(bid: HeldBid): void {
+  /** Adds a bid, or replaces the queued bid for the same request. */
+  add(bid: QueuedBid): void {
     this.byId.set(bid.id, bid);
-    const tier = this.tiers.get(bid.tier) ?? { tenants: new Map(), currentShare: 0 };
-    this.tiers.set(bid.tier, tier);
-    const lane = tier.tenants.get(bid.tenant) ?? createLane(tier.currentShare);
-    tier.tenants.set(bid.tenant, lane);
-    lane.bids.push(bid);
+    const tierQueue = this.tiers.get(bid.tier) ?? { tenants: new Map(), virtualTime: 0 };
+    this.tiers.set(bid.tier, tierQueue);
+    const queue = tierQueue.tenants.get(bid.tenant) ?? createTenantQueue(tierQueue.virtualTime);
+    tierQueue.tenants.set(bid.tenant, queue);
+    queue.bids.push(bid);
   }
 
   /** Removes the bid for `id`. */
@@ -67,34 +72,34 @@
     this.byId.delete(id);
   }
 
-  /** The bid that is to be called next. */
-  peek(): HeldBid | undefined {
-    for (const tierNumber of this.tierNumbers()) {
-      const tier = this.tiers.get(tierNumber)!;
-      const lane = this.nextLane(tier);
-      if (lane !== undefined) {
-        return lane.bids.peek();
+  /** Returns the bid to call next. */
+  peek(): QueuedBid | undefined {
+    for (const tier of this.sortedTiers()) {
+      const tierQueue = this.tiers.get(tier)!;
+      const queue = this.selectTenantQueue(tierQueue);
+      if (queue !== undefined) {
+        return queue.bids.peek();
       }
-      this.tiers.delete(tierNumber);
+      this.tiers.delete(tier);
     }
     return undefined;
   }
 
-  /** Removes the bid that `peek` gave, and charges its tenant for it. */
-  take(bid: HeldBid): void {
+  /** Removes the bid that `peek` returned, and charges its cost to its tenant. */
+  dequeue(bid: QueuedBid): void {
     this.byId.delete(bid.id);
-    const tier = this.tiers.get(bid.tier);
-    const lane = tier?.tenants.get(bid.tenant);
-    if (tier === undefined || lane === undefined) {
+    const tierQueue = this.tiers.get(bid.tier);
+    const queue = tierQueue?.tenants.get(bid.tenant);
+    if (tierQueue === undefined || queue === undefined) {
       return;
     }
-    tier.currentShare = lane.servedShare;
-    lane.servedShare += bid.costTokens / this.weightOf(bid.tenant);
+    tierQueue.virtualTime = queue.virtualTime;
+    queue.virtualTime += bid.costTokens / this.weightOf(bid.tenant);
   }
 
-  /** The bid that is to be given up first when there are too many: the last of the lowest tier. */
-  findLowest(): HeldBid | undefined {
-    let lowest: HeldBid | undefined;
+  /** Returns the bid to refuse when the queue exceeds its limit: the last of the lowest tier. */
+  findEvictionCandidate(): QueuedBid | undefined {
+    let lowest: QueuedBid | undefined;
     for (const bid of this.byId.values()) {
       if (lowest === undefined || bid.tier >= lowest.tier) {
         lowest = bid;
@@ -103,36 +108,36 @@
     return lowest;
   }
 
-  private tierNumbers(): Tier[] {
+  private sortedTiers(): Tier[] {
     return [...this.tiers.keys()].sort((left, right) => left - right);
   }
 
-  private nextLane(tier: TierLane): TenantLane | undefined {
-    let best: TenantLane | undefined;
-    for (const [tenant, lane] of tier.tenants) {
-      this.dropStale(lane);
-      if (lane.bids.length === 0) {
-        tier.tenants.delete(tenant);
-      } else if (best === undefined || lane.servedShare < best.servedShare) {
-        best = lane;
+  private selectTenantQueue(tierQueue: TierQueue): TenantQueue | undefined {
+    let best: TenantQueue | undefined;
+    for (const [tenant, queue] of tierQueue.tenants) {
+      this.popRemovedBids(queue);
+      if (queue.bids.length === 0) {
+        tierQueue.tenants.delete(tenant);
+      } else if (best === undefined || queue.virtualTime < best.virtualTime) {
+        best = queue;
       }
     }
     return best;
   }
 
-  /** Bids that were removed or replaced stay in the heap until they come to its top. */
-  private dropStale(lane: TenantLane): void {
-    let top = lane.bids.peek();
+  /** Pops bids that were removed or replaced: they stay in the heap until they reach its top. */
+  private popRemovedBids(queue: TenantQueue): void {
+    let top = queue.bids.peek();
     while (top !== undefined && this.byId.get(top.id) !== top) {
-      lane.bids.pop();
-      top = lane.bids.peek();
+      queue.bids.pop();
+      top = queue.bids.peek();
     }
   }
 }
 
-function createLane(servedShare: number): TenantLane {
+function createTenantQueue(virtualTime: number): TenantQueue {
   return {
-    bids: new Heap<HeldBid>((left, right) => left.deadlineAtMs - right.deadlineAtMs),
-    servedShare,
+    bids: new Heap<QueuedBid>((left, right) => left.deadlineAtMs - right.deadlineAtMs),
+    virtualTime,
   };
 }
--- a/src/agent/commands/call-bids.ts
+++ b/src/agent/commands/call-bids.ts
@@ -1,159 +1,172 @@
-/** Commands: hold bids, and call the best one whenever the engine can take work. */
+/** Commands that queue bids and call the best one whenever the engine has a free slot. */
 import type { BidMessage } from '../../protocol/messages.js';
 import { decideEligibility } from '../../policy/eligibility.js';
 import { isHigherTier } from '../../request/tier.js';
-import type { AgentState, AgentTurn, EngineRequest } from '../agent-state.js';
-import type { HeldBid } from '../bid-queue.js';
+import type { AgentState, AgentEventContext, EngineRequest } from '../agent-state.js';
+import type { QueuedBid } from '../bid-queue.js';
 import {
-  countTakenSlots,
+  countOccupiedSlots,
   describeLoad,
   findPreemptible,
-  findResumable,
-  requestsIn,
+  findNextToResume,
+  requestsInPhase,
 } from '../queries/engine-load.js';
 
 const LOAD_INTERVAL_MS = 200;
 
-/** Holds a bid, or refuses it. */
-export function holdBid(turn: AgentTurn, peer: string, message: BidMessage): void {
-  const { state } = turn;
+/** Queues a bid, or refuses it. */
+export function enqueueBid(context: AgentEventContext, peer: string, message: BidMessage): void {
+  const { state } = context;
   if (state.isLeaving) {
-    turn.send(peer, { kind: 'bid-refused', id: message.id, reason: 'leaving' });
+    context.send(peer, { kind: 'bid-refused', id: message.id, reason: 'leaving' });
     return;
   }
   const decision = decideEligibility(state.replica.policy, message, state.identity.name);
   if (!decision.allowed && state.replica.generation > 0) {
-    turn.send(peer, { kind: 'bid-refused', id: message.id, reason: 'not-permitted' });
+    context.send(peer, { kind: 'bid-refused', id: message.id, reason: 'not-permitted' });
     return;
   }
-  if (isAlreadyKnown(state, message.id)) {
+  if (isInProgress(state, message.id)) {
     return;
   }
-  state.bids.add(createBid(turn, peer, message));
+  state.bids.add(createQueuedBid(context, peer, message));
   if (message.isUrgent) {
-    turn.urgentPeers.add(peer);
+    context.urgentBidPeers.add(peer);
   }
-  refuseExcessBid(turn);
+  refuseExcessBid(context);
 }
 
-/** Calls bids while the engine can take work; resumes paused requests first where their tier comes first. */
-export function callBids(turn: AgentTurn): void {
-  const { state } = turn;
+/**
+ * Calls bids while slots are free; first resumes paused requests unless the next bid has a higher
+ * tier.
+ */
+export function callBids(context: AgentEventContext): void {
+  const { state } = context;
   let next = state.isLeaving ? undefined : state.bids.peek();
-  while (countTakenSlots(state) < state.options.capacity) {
-    const paused = findResumable(state);
+  while (countOccupiedSlots(state) < state.options.capacity) {
+    const paused = findNextToResume(state);
     const isPausedFirst =
       paused !== undefined && (next === undefined || !isHigherTier(next.tier, paused.request.tier));
     if (isPausedFirst) {
-      resumeRequest(turn, paused);
+      resumeRequest(context, paused);
     } else if (next !== undefined) {
-      callBid(turn, next, false);
+      callBid(context, next, false);
       next = state.bids.peek();
     } else {
       return;
     }
   }
-  while (next !== undefined && mayPreemptFor(turn, next)) {
-    callBid(turn, next, true);
+  while (next !== undefined && canPreemptFor(context, next)) {
+    callBid(context, next, true);
     next = state.bids.peek();
   }
 }
 
-/** Tells the entries whose urgent bids came in this turn what the engine serves, so that they may decide. */
-export function answerUrgentBids(turn: AgentTurn): void {
-  for (const peer of turn.urgentPeers) {
-    turn.send(peer, describeLoad(turn.state));
+/**
+ * Sends a load report to the entries whose urgent bids arrived in this event, so that they can
+ * decide whether to shed the request.
+ */
+export function sendLoadForUrgentBids(context: AgentEventContext): void {
+  for (const peer of context.urgentBidPeers) {
+    context.send(peer, describeLoad(context.state));
   }
 }
 
-/** Releases calls whose bind did not come in time. */
-export function expireCalls(turn: AgentTurn): void {
-  for (const [id, call] of turn.state.calls) {
-    if (turn.nowMs - call.calledAtMs >= turn.state.options.callTimeoutMs) {
-      turn.state.calls.delete(id);
-      turn.count('call.expired');
+/** Releases the slots of calls whose bind did not arrive within the call timeout. */
+export function expireCalls(context: AgentEventContext): void {
+  for (const [id, call] of context.state.calls) {
+    if (context.nowMs - call.calledAtMs >= context.state.options.callTimeoutMs) {
+      context.state.calls.delete(id);
+      context.count('call.expired');
     }
   }
 }
 
-/** Whether the engine must hold a paused request or lose one for the next pre-emption. */
-export function hasRoomForPaused(state: AgentState): boolean {
-  return requestsIn(state, 'paused').length < state.options.maxPaused;
+/** Whether the engine can hold another paused request; if not, preemption cancels its victim. */
+export function hasPauseCapacity(state: AgentState): boolean {
+  return requestsInPhase(state, 'paused').length < state.options.maxPaused;
 }
 
-function isAlreadyKnown(state: AgentState, id: string): boolean {
+function isInProgress(state: AgentState, id: string): boolean {
   return state.calls.has(id) || state.pendingBinds.has(id) || state.engineRequests.has(id);
 }
 
-function createBid(turn: AgentTurn, peer: string, message: BidMessage): HeldBid {
-  const known = turn.state.bids.get(message.id);
+function createQueuedBid(context: AgentEventContext, peer: string, message: BidMessage): QueuedBid {
+  const existing = context.state.bids.get(message.id);
   return {
     id: message.id,
     peer,
     tenant: message.tenant,
     tier: message.tier,
-    deadlineAtMs: turn.nowMs + message.deadlineInMs,
-    receivedAtMs: known?.receivedAtMs ?? turn.nowMs,
+    deadlineAtMs: context.nowMs + message.deadlineInMs,
+    receivedAtMs: existing?.receivedAtMs ?? context.nowMs,
     costTokens: message.promptTokens + message.maxOutputTokens,
     isUrgent: message.isUrgent,
   };
 }
 
-function refuseExcessBid(turn: AgentTurn): void {
-  const { bids, options } = turn.state;
+function refuseExcessBid(context: AgentEventContext): void {
+  const { bids, options } = context.state;
   if (bids.size <= options.maxBids) {
     return;
   }
-  const lowest = bids.findLowest();
+  const lowest = bids.findEvictionCandidate();
   if (lowest !== undefined) {
     bids.remove(lowest.id);
-    turn.send(lowest.peer, { kind: 'bid-refused', id: lowest.id, reason: 'full' });
+    context.send(lowest.peer, { kind: 'bid-refused', id: lowest.id, reason: 'full' });
   }
 }
 
-function resumeRequest(turn: AgentTurn, paused: EngineRequest): void {
+function resumeRequest(context: AgentEventContext, paused: EngineRequest): void {
   paused.phase = 'running';
-  turn.emit({ kind: 'engine-resume', id: paused.request.id });
-  turn.decide('resume', paused.request, 'a slot is free and no higher tier waits');
+  context.emit({ kind: 'engine-resume', id: paused.request.id });
+  context.logDecision('resume', paused.request, 'a slot is free and no bid of a higher tier waits');
 }
 
-function callBid(turn: AgentTurn, bid: HeldBid, needsPreemption: boolean): void {
-  turn.state.bids.take(bid);
-  turn.state.calls.set(bid.id, {
+function callBid(context: AgentEventContext, bid: QueuedBid, needsPreemption: boolean): void {
+  context.state.bids.dequeue(bid);
+  context.state.calls.set(bid.id, {
     peer: bid.peer,
     tier: bid.tier,
-    calledAtMs: turn.nowMs,
+    calledAtMs: context.nowMs,
     needsPreemption,
   });
-  turn.send(bid.peer, { kind: 'call', id: bid.id });
-  tellLoad(turn, bid.peer);
-  turn.count('call.sent');
-  const reason = needsPreemption ? 'a running lower tier makes room' : 'a slot is free';
-  turn.decide('call', bid, reason);
+  context.send(bid.peer, { kind: 'call', id: bid.id });
+  sendLoadIfDue(context, bid.peer);
+  context.count('call.sent');
+  const reason = needsPreemption
+    ? 'a running request of a lower tier can be preempted'
+    : 'a slot is free';
+  context.logDecision('call', bid, reason);
 }
 
-function tellLoad(turn: AgentTurn, peerName: string): void {
-  const peer = turn.state.peers.get(peerName);
-  if (peer !== undefined && turn.nowMs - peer.lastLoadSentAtMs >= LOAD_INTERVAL_MS) {
-    peer.lastLoadSentAtMs = turn.nowMs;
-    turn.send(peerName, describeLoad(turn.state));
+function sendLoadIfDue(context: AgentEventContext, peerName: string): void {
+  const peer = context.state.peers.get(peerName);
+  if (peer !== undefined && context.nowMs - peer.lastLoadSentAtMs >= LOAD_INTERVAL_MS) {
+    peer.lastLoadSentAtMs = context.nowMs;
+    context.send(peerName, describeLoad(context.state));
   }
 }
 
-/** Whether enough running requests of lower tiers are left for this bid, beyond those that calls count on. */
-function mayPreemptFor(turn: AgentTurn, bid: HeldBid): boolean {
-  const { state } = turn;
-  const waitedMs = turn.nowMs - bid.receivedAtMs;
+/**
+ * Whether a running request of a lower tier is available for this bid, beyond those reserved by
+ * outstanding calls.
+ */
+function canPreemptFor(context: AgentEventContext, bid: QueuedBid): boolean {
+  const { state } = context;
+  const waitedMs = context.nowMs - bid.receivedAtMs;
   const isDue = bid.isUrgent || waitedMs >= state.options.preemptAfterMs;
   if (!isDue || findPreemptible(state, bid.tier) === undefined) {
     return false;
   }
-  if (!bid.isUrgent && !hasRoomForPaused(state)) {
+  if (!bid.isUrgent && !hasPauseCapacity(state)) {
     return false;
   }
-  const preemptible = requestsIn(state, 'running').filter((running) =>
+  const preemptible = requestsInPhase(state, 'running').filter((running) =>
     isHigherTier(bid.tier, running.request.tier),
   ).length;
-  const promised = [...state.calls.values()].filter((call) => call.needsPreemption).length;
-  return promised < preemptible;
+  const reservedPreemptions = [...state.calls.values()].filter(
+    (call) => call.needsPreemption,
+  ).length;
+  return reservedPreemptions < preemptible;
 }
--- a/src/agent/commands/issue-permits.ts
+++ b/src/agent/commands/issue-permits.ts
@@ -1,35 +1,37 @@
-/** Command: let an entry bind its next request without a bid, while the engine has room. */
-import type { AgentTurn } from '../agent-state.js';
-import { countTakenSlots, requestsIn } from '../queries/engine-load.js';
+/** Commands for permits, which let an entry bind its next request without a bid and a call. */
+import type { AgentEventContext } from '../agent-state.js';
+import { countOccupiedSlots, requestsInPhase } from '../queries/engine-load.js';
 
 /**
- * Issues a permit to the entry whose request just ended, on the frame that carries its end.
+ * Issues a permit to the entry whose request just ended, in the frame that carries the end of the
+ * response.
  *
- * A permit takes no slot: a bind that comes too late is refused as not started. There are never
- * more of them than free slots, none while anything waits, and they lapse.
+ * A permit reserves no slot: a bind that arrives too late is refused as not started. The number of
+ * permits never exceeds that of free slots, none is issued while bids or paused requests wait, and
+ * permits expire.
  */
-export function issuePermit(turn: AgentTurn, peer: string): void {
-  const { state } = turn;
-  dropLapsedPermits(turn);
-  const isWorkWaiting = state.bids.size > 0 || requestsIn(state, 'paused').length > 0;
-  const freeSlots = state.options.capacity - countTakenSlots(state);
+export function issuePermit(context: AgentEventContext, peer: string): void {
+  const { state } = context;
+  dropExpiredPermits(context);
+  const isWorkWaiting = state.bids.size > 0 || requestsInPhase(state, 'paused').length > 0;
+  const freeSlots = state.options.capacity - countOccupiedSlots(state);
   if (state.isLeaving || isWorkWaiting || freeSlots <= state.permitExpiriesMs.length) {
     return;
   }
   const validForMs = state.options.permitLifetimeMs;
-  state.permitExpiriesMs.push(turn.nowMs + validForMs);
-  turn.send(peer, { kind: 'permit', validForMs });
-  turn.count('permit.issued');
+  state.permitExpiriesMs.push(context.nowMs + validForMs);
+  context.send(peer, { kind: 'permit', validForMs });
+  context.count('permit.issued');
 }
 
-/** Takes note that a permit was used. */
-export function spendPermit(turn: AgentTurn): void {
-  turn.state.permitExpiriesMs.shift();
+/** Removes the oldest permit after a bind has used one. */
+export function consumePermit(context: AgentEventContext): void {
+  context.state.permitExpiriesMs.shift();
 }
 
-function dropLapsedPermits(turn: AgentTurn): void {
-  const { permitExpiriesMs } = turn.state;
-  while (permitExpiriesMs.length > 0 && permitExpiriesMs[0]! <= turn.nowMs) {
+function dropExpiredPermits(context: AgentEventContext): void {
+  const { permitExpiriesMs } = context.state;
+  while (permitExpiriesMs.length > 0 && permitExpiriesMs[0]! <= context.nowMs) {
     permitExpiriesMs.shift();
   }
 }
--- a/src/agent/commands/refuse-bind.ts
+++ b/src/agent/commands/refuse-bind.ts
@@ -1,16 +1,16 @@
-/** Command: certify that a bound request is never started. */
+/** Command that certifies that a bound request was not and will not be started. */
 import type { BindRefusalReason } from '../../protocol/messages.js';
-import type { AgentTurn } from '../agent-state.js';
+import type { AgentEventContext } from '../agent-state.js';
 
-/** Certifies that `id` was not started, and records it so that it never will be. */
+/** Sends the refusal of the bind of `id`, and records it so that the request is never started. */
 export function refuseBind(
-  turn: AgentTurn,
+  context: AgentEventContext,
   peer: string,
   id: string,
   reason: BindRefusalReason,
 ): void {
-  turn.state.calls.delete(id);
-  turn.state.records.refuse(id, turn.nowMs);
-  turn.send(peer, { kind: 'bind-refused', id, reason });
-  turn.count('bind.refused', 1, { reason });
+  context.state.calls.delete(id);
+  context.state.records.recordRefusal(id, context.nowMs);
+  context.send(peer, { kind: 'bind-refused', id, reason });
+  context.count('bind.refused', 1, { reason });
 }
--- a/src/agent/commands/stream-answer.ts
+++ b/src/agent/commands/stream-answer.ts
@@ -1,20 +1,23 @@
-/** Commands: pass the engine's answer on, keep it until it is acknowledged, and send it again after a reconnect. */
+/**
+ * Commands that relay the engine's response to the entry, retain it until it is acknowledged, and
+ * resend it after a reconnect.
+ */
 import type { AnswerFailedMessage, Message } from '../../protocol/messages.js';
 import type { EngineEvent } from '../agent-events.js';
-import type { AgentTurn, EngineRequest } from '../agent-state.js';
+import type { AgentEventContext, EngineRequest } from '../agent-state.js';
 import { issuePermit } from './issue-permits.js';
 import { refuseBind } from './refuse-bind.js';
 
-/** Takes what the engine says of one request. */
-export function handleEngineEvent(turn: AgentTurn, event: EngineEvent): void {
-  const held = turn.state.engineRequests.get(event.id);
-  if (held === undefined || held.phase === 'finished') {
+/** Handles a progress event of a request on the engine. */
+export function handleEngineEvent(context: AgentEventContext, event: EngineEvent): void {
+  const engineRequest = context.state.engineRequests.get(event.id);
+  if (engineRequest === undefined || engineRequest.phase === 'finished') {
     return;
   }
   const { id } = event;
   switch (event.kind) {
     case 'engine-started':
-      passOn(turn, held, {
+      relayMessage(context, engineRequest, {
         kind: 'answer-start',
         id,
         status: event.status,
@@ -22,124 +25,160 @@
       });
       break;
     case 'engine-chunk':
-      passOn(turn, held, { kind: 'answer-chunk', id, index: held.chunkCount, data: event.data });
-      held.chunkCount += 1;
+      relayMessage(context, engineRequest, {
+        kind: 'answer-chunk',
+        id,
+        index: engineRequest.chunkCount,
+        data: event.data,
+      });
+      engineRequest.chunkCount += 1;
       break;
     case 'engine-ended':
-      finish(turn, held);
-      passOn(turn, held, { kind: 'answer-end', id, chunkCount: held.chunkCount, ...event.usage });
-      issuePermit(turn, held.peer);
+      markFinished(context, engineRequest);
+      relayMessage(context, engineRequest, {
+        kind: 'answer-end',
+        id,
+        chunkCount: engineRequest.chunkCount,
+        ...event.usage,
+      });
+      issuePermit(context, engineRequest.peer);
       break;
     case 'engine-failed':
-      handleEngineFailure(turn, held, event.isNotStarted, event.detail);
+      handleEngineFailure(context, engineRequest, event.isNotStarted, event.detail);
       break;
   }
 }
 
-/** Ends a request without a whole answer. */
+/** Ends a request whose response is incomplete, and reports the failure to its entry. */
 export function failRequest(
-  turn: AgentTurn,
-  held: EngineRequest,
+  context: AgentEventContext,
+  engineRequest: EngineRequest,
   reason: AnswerFailedMessage['reason'],
   detail: string,
 ): void {
-  finish(turn, held);
-  countWastedPrefill(turn, held, reason);
-  passOn(turn, held, { kind: 'answer-failed', id: held.request.id, reason, detail });
+  markFinished(context, engineRequest);
+  countWastedPrefill(context, engineRequest, reason);
+  relayMessage(context, engineRequest, {
+    kind: 'answer-failed',
+    id: engineRequest.request.id,
+    reason,
+    detail,
+  });
 }
 
-/** Sends an answer again from a chunk on, or says what is certain about a request that is not held. */
-export function resumeAnswer(turn: AgentTurn, peer: string, id: string, fromChunk: number): void {
-  const held = turn.state.engineRequests.get(id);
-  if (held !== undefined) {
-    held.orphanedAtMs = undefined;
-    for (const message of held.answer) {
+/**
+ * Resends a response from `fromChunk` on; for a request that is no longer stored, reports whether
+ * it was certainly never started.
+ */
+export function resumeResponse(
+  context: AgentEventContext,
+  peer: string,
+  id: string,
+  fromChunk: number,
+): void {
+  const engineRequest = context.state.engineRequests.get(id);
+  if (engineRequest !== undefined) {
+    engineRequest.orphanedAtMs = undefined;
+    for (const message of engineRequest.responseMessages) {
       if (message.kind !== 'answer-chunk' || message.index >= fromChunk) {
-        turn.send(peer, message);
+        context.send(peer, message);
       }
     }
     return;
   }
-  if (turn.state.pendingBinds.has(id)) {
+  if (context.state.pendingBinds.has(id)) {
     return;
   }
-  if (turn.state.records.lookUp(id) === 'unknown') {
-    const detail = 'the agent keeps no record of the request any more';
-    turn.send(peer, { kind: 'answer-failed', id, reason: 'engine-lost', detail });
+  if (context.state.records.statusOf(id) === 'unknown') {
+    const detail = 'the agent no longer has a record of the request';
+    context.send(peer, { kind: 'answer-failed', id, reason: 'engine-lost', detail });
     return;
   }
-  refuseBind(turn, peer, id, 'never-received');
+  refuseBind(context, peer, id, 'never-received');
 }
 
-/** Forgets a request whose answer the entry has. */
-export function acknowledgeAnswer(turn: AgentTurn, id: string): void {
-  const held = turn.state.engineRequests.get(id);
-  if (held?.phase === 'finished') {
-    forget(turn, held);
+/** Removes a finished request after the entry has acknowledged its response. */
+export function acknowledgeResponse(context: AgentEventContext, id: string): void {
+  const engineRequest = context.state.engineRequests.get(id);
+  if (engineRequest?.phase === 'finished') {
+    removeRequest(context, engineRequest);
   }
 }
 
-/** Stops a request that nobody waits for. */
-export function cancelRequest(turn: AgentTurn, id: string, reason: string): void {
-  turn.state.pendingBinds.delete(id);
-  const held = turn.state.engineRequests.get(id);
-  if (held === undefined) {
-    turn.state.records.refuse(id, turn.nowMs);
+/**
+ * Cancels a request whose response is no longer needed, and prevents a late bind from starting it.
+ */
+export function cancelRequest(context: AgentEventContext, id: string, reason: string): void {
+  context.state.pendingBinds.delete(id);
+  const engineRequest = context.state.engineRequests.get(id);
+  if (engineRequest === undefined) {
+    context.state.records.recordRefusal(id, context.nowMs);
     return;
   }
-  if (held.phase !== 'finished') {
-    turn.emit({ kind: 'engine-cancel', id });
-    turn.decide('cancel', held.request, reason);
-    countWastedPrefill(turn, held, reason);
+  if (engineRequest.phase !== 'finished') {
+    context.emit({ kind: 'engine-cancel', id });
+    context.logDecision('cancel', engineRequest.request, reason);
+    countWastedPrefill(context, engineRequest, reason);
   }
-  forget(turn, held);
+  removeRequest(context, engineRequest);
 }
 
-/** Forgets answers that nobody came for, and stops requests whose entry is gone. */
-export function expireAnswers(turn: AgentTurn): void {
-  const { options } = turn.state;
-  for (const held of [...turn.state.engineRequests.values()]) {
-    const finishedAtMs = held.finishedAtMs ?? turn.nowMs;
-    const orphanedAtMs = held.orphanedAtMs ?? turn.nowMs;
-    if (turn.nowMs - finishedAtMs >= options.answerRetentionMs) {
-      forget(turn, held);
-    } else if (turn.nowMs - orphanedAtMs >= options.orphanTimeoutMs) {
-      cancelRequest(turn, held.request.id, 'entry-lost');
+/**
+ * Drops finished responses that were not acknowledged within the retention time, and cancels
+ * requests whose entry has been disconnected longer than the orphan timeout.
+ */
+export function expireResponses(context: AgentEventContext): void {
+  const { options } = context.state;
+  for (const engineRequest of [...context.state.engineRequests.values()]) {
+    const finishedAtMs = engineRequest.finishedAtMs ?? context.nowMs;
+    const orphanedAtMs = engineRequest.orphanedAtMs ?? context.nowMs;
+    if (context.nowMs - finishedAtMs >= options.answerRetentionMs) {
+      removeRequest(context, engineRequest);
+    } else if (context.nowMs - orphanedAtMs >= options.orphanTimeoutMs) {
+      cancelRequest(context, engineRequest.request.id, 'entry-lost');
     }
   }
-  turn.state.records.expireRefusals(turn.nowMs - options.answerRetentionMs);
+  context.state.records.expireRefusals(context.nowMs - options.answerRetentionMs);
 }
 
 function handleEngineFailure(
-  turn: AgentTurn,
-  held: EngineRequest,
+  context: AgentEventContext,
+  engineRequest: EngineRequest,
   isNotStarted: boolean,
   detail: string,
 ): void {
   if (!isNotStarted) {
-    failRequest(turn, held, 'engine-failed', detail);
+    failRequest(context, engineRequest, 'engine-failed', detail);
     return;
   }
-  turn.state.engineRequests.delete(held.request.id);
-  refuseBind(turn, held.peer, held.request.id, 'engine-unreachable');
+  context.state.engineRequests.delete(engineRequest.request.id);
+  refuseBind(context, engineRequest.peer, engineRequest.request.id, 'engine-unreachable');
 }
 
-function passOn(turn: AgentTurn, held: EngineRequest, message: Message): void {
-  held.answer.push(message);
-  turn.send(held.peer, message);
+function relayMessage(
+  context: AgentEventContext,
+  engineRequest: EngineRequest,
+  message: Message,
+): void {
+  engineRequest.responseMessages.push(message);
+  context.send(engineRequest.peer, message);
 }
 
-function finish(turn: AgentTurn, held: EngineRequest): void {
-  held.phase = 'finished';
-  held.finishedAtMs = turn.nowMs;
+function markFinished(context: AgentEventContext, engineRequest: EngineRequest): void {
+  engineRequest.phase = 'finished';
+  engineRequest.finishedAtMs = context.nowMs;
 }
 
-function forget(turn: AgentTurn, held: EngineRequest): void {
-  const { id } = held.request;
-  turn.state.engineRequests.delete(id);
-  turn.state.records.drop(id);
+function removeRequest(context: AgentEventContext, engineRequest: EngineRequest): void {
+  const { id } = engineRequest.request;
+  context.state.engineRequests.delete(id);
+  context.state.records.markDropped(id);
 }
 
-function countWastedPrefill(turn: AgentTurn, held: EngineRequest, cause: string): void {
-  turn.count('prefill.wasted_tokens', held.request.promptTokens, { cause });
+function countWastedPrefill(
+  context: AgentEventContext,
+  engineRequest: EngineRequest,
+  cause: string,
+): void {
+  context.count('prefill.wasted_tokens', engineRequest.request.promptTokens, { cause });
 }
--- a/src/agent/queries/engine-load.ts
+++ b/src/agent/queries/engine-load.ts
@@ -1,28 +1,34 @@
-/** Query: what the engine does now. */
+/** Queries on the engine's current load. */
 import type { LoadMessage } from '../../protocol/messages.js';
 import { isHigherTier } from '../../request/tier.js';
 import type { Tier } from '../../request/tier.js';
-import type { AgentState, EngineRequest, RunPhase } from '../agent-state.js';
+import type { AgentState, EngineRequest, EngineRequestPhase } from '../agent-state.js';
 
-/** Requests on the engine in `phase`. */
-export function requestsIn(state: AgentState, phase: RunPhase): EngineRequest[] {
+/** Returns the requests on the engine that are in `phase`. */
+export function requestsInPhase(state: AgentState, phase: EngineRequestPhase): EngineRequest[] {
   return [...state.engineRequests.values()].filter((request) => request.phase === phase);
 }
 
-/** Slots that are taken: running requests, called bids and binds that wait for policy. */
-export function countTakenSlots(state: AgentState): number {
+/**
+ * Counts the occupied slots: running requests, calls that wait for their bind, and binds that wait
+ * for a policy generation. A call that will preempt a running request occupies no extra slot.
+ */
+export function countOccupiedSlots(state: AgentState): number {
   let preemptingCalls = 0;
   for (const call of state.calls.values()) {
     preemptingCalls += call.needsPreemption ? 1 : 0;
   }
   const called = state.calls.size - preemptingCalls;
-  return requestsIn(state, 'running').length + called + state.pendingBinds.size;
+  return requestsInPhase(state, 'running').length + called + state.pendingBinds.size;
 }
 
-/** The running request of the lowest tier below `tier`, the one with the shortest answer so far among equals. */
+/**
+ * Returns the running request of the lowest tier below `tier`; among equals, the one with the
+ * fewest response chunks.
+ */
 export function findPreemptible(state: AgentState, tier: Tier): EngineRequest | undefined {
   let lowest: EngineRequest | undefined;
-  for (const running of requestsIn(state, 'running')) {
+  for (const running of requestsInPhase(state, 'running')) {
     if (!isHigherTier(tier, running.request.tier)) {
       continue;
     }
@@ -33,22 +39,28 @@
   return lowest;
 }
 
-/** The paused request that is resumed first. */
-export function findResumable(state: AgentState): EngineRequest | undefined {
-  return requestsIn(state, 'paused').sort(
+/**
+ * Returns the paused request to resume next: the one of the highest tier, then the one started
+ * first.
+ */
+export function findNextToResume(state: AgentState): EngineRequest | undefined {
+  return requestsInPhase(state, 'paused').sort(
     (left, right) => left.request.tier - right.request.tier || left.startedAtMs - right.startedAtMs,
   )[0];
 }
 
-/** The load as it is told to entries. */
+/** Creates the load report that is sent to entries. */
 export function describeLoad(state: AgentState): LoadMessage {
-  const running = requestsIn(state, 'running');
+  const running = requestsInPhase(state, 'running');
   return {
     kind: 'load',
     running: running.length,
     capacity: state.options.capacity,
     waitingBids: state.bids.size,
-    lowestTierServed: running.reduce((lowest, one) => Math.max(lowest, one.request.tier), 0),
+    lowestTierServed: running.reduce(
+      (lowest, request) => Math.max(lowest, request.request.tier),
+      0,
+    ),
   };
 }
 
--- a/src/agent/request-records.ts
+++ b/src/agent/request-records.ts
@@ -1,59 +1,58 @@
 /**
- * What an agent remembers of requests it need not run any more, so that it can
- * say with certainty whether it ever started one.
+ * Records of past requests, from which an agent determines whether it ever started a given request.
  */
 import { entryIncarnationOf } from '../request/request-id.js';
 import type { RequestId } from '../request/request-id.js';
 
-/** What is certain about a request that is not held any more. */
-export type PastKnowledge =
-  /** It was refused and is never started. */
+/** Status of a request that is no longer stored. */
+export type PastRequestStatus =
+  /** The request was refused and will never be started. */
   | 'refused'
-  /** It was never received. */
+  /** The request was never received. */
   | 'never-received'
-  /** Records of that age were dropped: it may have run. */
+  /** Records of that age were dropped: the request may have run. */
   | 'unknown';
 
-const MAX_ENTRIES = 4_096;
+const MAX_ENTRY_INCARNATIONS = 4_096;
 
-/** Records of refused and forgotten requests. */
+/** Records refused requests, and the highest sequence number of the dropped ones per entry. */
 export class RequestRecords {
   private readonly refusedAtMs = new Map<RequestId, number>();
   /** Highest dropped sequence number by entry incarnation. */
-  private readonly droppedSequence = new Map<string, number>();
-  private hasDroppedEntries = false;
+  private readonly highestDroppedSequence = new Map<string, number>();
+  private hasEvictedIncarnations = false;
 
-  /** Records that `id` is never to be started. */
-  refuse(id: RequestId, nowMs: number): void {
+  /** Records that `id` must never be started. */
+  recordRefusal(id: RequestId, nowMs: number): void {
     this.refusedAtMs.set(id, nowMs);
   }
 
-  /** Whether `id` was refused before. */
+  /** Whether `id` has been refused. */
   isRefused(id: RequestId): boolean {
     return this.refusedAtMs.has(id);
   }
 
-  /** Notes that nothing is remembered of `id` any more, though it may have run. */
-  drop(id: RequestId): void {
+  /** Marks the record of `id` as dropped: the request may have run. */
+  markDropped(id: RequestId): void {
     const entry = entryIncarnationOf(id);
-    const highest = this.droppedSequence.get(entry) ?? 0;
-    this.droppedSequence.delete(entry);
-    this.droppedSequence.set(entry, Math.max(highest, sequenceOf(id)));
-    if (this.droppedSequence.size > MAX_ENTRIES) {
-      const oldest = this.droppedSequence.keys().next().value;
-      this.droppedSequence.delete(oldest ?? '');
-      this.hasDroppedEntries = true;
+    const highest = this.highestDroppedSequence.get(entry) ?? 0;
+    this.highestDroppedSequence.delete(entry);
+    this.highestDroppedSequence.set(entry, Math.max(highest, sequenceOf(id)));
+    if (this.highestDroppedSequence.size > MAX_ENTRY_INCARNATIONS) {
+      const oldest = this.highestDroppedSequence.keys().next().value;
+      this.highestDroppedSequence.delete(oldest ?? '');
+      this.hasEvictedIncarnations = true;
     }
   }
 
-  /** What is certain about a request that is not held. */
-  lookUp(id: RequestId): PastKnowledge {
+  /** Returns the status of a request that is no longer stored. */
+  statusOf(id: RequestId): PastRequestStatus {
     if (this.refusedAtMs.has(id)) {
       return 'refused';
     }
-    const dropped = this.droppedSequence.get(entryIncarnationOf(id));
+    const dropped = this.highestDroppedSequence.get(entryIncarnationOf(id));
     if (dropped === undefined) {
-      return this.hasDroppedEntries ? 'unknown' : 'never-received';
+      return this.hasEvictedIncarnations ? 'unknown' : 'never-received';
     }
     return sequenceOf(id) > dropped ? 'never-received' : 'unknown';
   }
@@ -65,7 +64,7 @@
         return;
       }
       this.refusedAtMs.delete(id);
-      this.drop(id);
+      this.markDropped(id);
     }
   }
 }
--- a/src/entry/claim-store.ts
+++ b/src/entry/claim-store.ts
@@ -1,6 +1,6 @@
 /**
- * Idempotency keys in the platform's key-value service: whoever creates the key
- * may run the request, and nobody else ever.
+ * Claims idempotency keys in the platform's key-value service: only the request that creates the
+ * key may run.
  */
 import { createHash } from 'node:crypto';
 import { z } from 'zod';
@@ -18,42 +18,42 @@
   /**
    * Claims `key` of `tenant` for the request `id`.
    *
-   * The claim holds the request's id, so that a lost answer is resolved by
-   * reading back. `unavailable` promises only that the caller must not run the
-   * request; the claim may stand.
+   * The stored claim contains the request id, so that a lost response is resolved by reading the
+   * claim back. `unavailable` means that the caller must not run the request; the claim may
+   * nevertheless have been stored.
    */
   async claim(tenant: string, key: string, id: RequestId): Promise<ClaimOutcome> {
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
-      const swap = await this.client.compareAndSwap(claimKey(tenant, key), 0, { requestId: id });
-      if (swap.ok && swap.val.swapped) {
+      const result = await this.client.compareAndSwap(claimKey(tenant, key), 0, { requestId: id });
+      if (result.ok && result.val.swapped) {
         return 'claimed';
       }
-      if (swap.ok && !swap.val.swapped) {
-        return isClaimOf(swap.val.current?.value, id) ? 'claimed' : 'taken';
+      if (result.ok && !result.val.swapped) {
+        return isClaimedBy(result.val.current?.value, id) ? 'claimed' : 'taken';
       }
-      if (!swap.ok && swap.val.code === 'platform-unavailable') {
+      if (!result.ok && result.val.code === 'platform-unavailable') {
         return 'unavailable';
       }
     }
     return 'unavailable';
   }
 
-  /** Gives `key` back after the request `id` was certainly not run, so that the caller may try again. */
+  /** Releases `key` after the request `id` was certainly not run, so that the caller can retry. */
   async release(tenant: string, key: string, id: RequestId): Promise<void> {
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
-      const entry = await this.client.get(claimKey(tenant, key));
-      if (!entry.ok) {
+      const record = await this.client.get(claimKey(tenant, key));
+      if (!record.ok) {
         continue;
       }
-      if (entry.val === undefined || !isClaimOf(entry.val.value, id)) {
+      if (record.val === undefined || !isClaimedBy(record.val.value, id)) {
         return;
       }
-      const swap = await this.client.compareAndSwap(
+      const result = await this.client.compareAndSwap(
         claimKey(tenant, key),
-        entry.val.revision,
+        record.val.revision,
         null,
       );
-      if (swap.ok) {
+      if (result.ok) {
         return;
       }
     }
@@ -65,7 +65,7 @@
   return `claim/${hash}`;
 }
 
-function isClaimOf(value: unknown, id: RequestId): boolean {
+function isClaimedBy(value: unknown, id: RequestId): boolean {
   const claim = claimSchema.safeParse(value);
   return claim.success && claim.data.requestId === id;
 }
--- a/src/entry/commands/accept-request.ts
+++ b/src/entry/commands/accept-request.ts
@@ -1,56 +1,65 @@
-/** Command: take in a request, or refuse it at once. */
+/** Commands that admit an incoming request or refuse it immediately. */
 import { notRun } from '../../request/refusal.js';
 import type { Refusal } from '../../request/refusal.js';
 import { isHigherTier } from '../../request/tier.js';
 import { sizeOf } from '../../request/request.js';
 import type { RequestDescription } from '../../request/request.js';
 import type { ArrivedRequest } from '../entry-events.js';
-import { mayBeShed } from '../queries/make-room.js';
+import { canBeShed } from '../queries/make-room.js';
 import { permittedEngines } from '../queries/rank-agents.js';
 import { countWaiting } from '../entry-state.js';
-import type { EntryTurn, HeldRequest } from '../entry-state.js';
-import { enterPhase, refuseRequest } from './finish-request.js';
-import { bindUnderPermit } from './use-permit.js';
-import { checkWaitingRequest, renewUrgency } from './place-bids.js';
+import type { EntryEventContext, ActiveRequest } from '../entry-state.js';
+import { setPhase, refuseRequest } from './finish-request.js';
+import { bindWithPermit } from './use-permit.js';
+import { checkWaitingRequest, resendUrgentBids } from './place-bids.js';
 
-/** Share of the limits by which higher tiers may pass them while lower tiers make room. */
+/**
+ * Share of the queue limits by which higher tiers may exceed them while lower tiers are being
+ * preempted.
+ */
 const RESERVE_SHARE = 1;
 
-/** Takes in a request: checks policy and limits, claims its key if need be, and offers it to agents. */
-export function acceptRequest(turn: EntryTurn, arrived: ArrivedRequest): void {
-  const held = holdRequest(turn, describe(turn, arrived));
-  turn.count('request.arrived', 1, { tier: `${held.description.tier}` });
-  const refusal = findRefusal(turn, held) ?? makeRoom(turn, held);
+/**
+ * Admits a request: checks policy and limits, claims its idempotency key if required, and offers it
+ * to agents.
+ */
+export function acceptRequest(context: EntryEventContext, arrived: ArrivedRequest): void {
+  const request = trackRequest(context, createDescription(context, arrived));
+  context.count('request.arrived', 1, { tier: `${request.description.tier}` });
+  const refusal = findAdmissionRefusal(context, request) ?? shedIfOverLimit(context, request);
   if (refusal !== undefined) {
-    refuseRequest(turn, held, refusal);
+    refuseRequest(context, request, refusal);
     return;
   }
-  const { id, tenant, isRepeatable, idempotencyKey } = held.description;
+  const { id, tenant, isRepeatable, idempotencyKey } = request.description;
   if (!isRepeatable && idempotencyKey !== undefined) {
-    turn.emit({ kind: 'claim', id, tenant, key: idempotencyKey });
+    context.emit({ kind: 'claim', id, tenant, key: idempotencyKey });
     return;
   }
-  beginWaiting(turn, held);
+  enqueueRequest(context, request);
 }
 
-/** Puts a request whose claim is settled, or needs none, among the waiting ones. */
-export function beginWaiting(turn: EntryTurn, held: HeldRequest): void {
-  enterPhase(turn, held, 'waiting');
-  if (!bindUnderPermit(turn, held)) {
-    checkWaitingRequest(turn, held);
+/** Queues a request whose claim is settled or not required. */
+export function enqueueRequest(context: EntryEventContext, request: ActiveRequest): void {
+  setPhase(context, request, 'waiting');
+  if (!bindWithPermit(context, request)) {
+    checkWaitingRequest(context, request);
   }
 }
 
-function describe(turn: EntryTurn, arrived: ArrivedRequest): RequestDescription {
-  const permitted = turn.state.replica.permitted.find(arrived);
-  const model = turn.state.replica.policy.models.get(arrived.model);
+function createDescription(
+  context: EntryEventContext,
+  arrived: ArrivedRequest,
+): RequestDescription {
+  const permitted = context.state.replica.permitted.find(arrived);
+  const model = context.state.replica.policy.models.get(arrived.model);
   return {
     id: arrived.id,
     tenant: arrived.tenant,
     model: arrived.model,
     dataLabels: arrived.dataLabels,
     tier: Math.max(permitted.tier, arrived.requestedTier ?? permitted.tier),
-    deadlineAtMs: turn.nowMs + arrived.deadlineInMs,
+    deadlineAtMs: context.nowMs + arrived.deadlineInMs,
     promptTokens: arrived.promptTokens,
     maxOutputTokens: arrived.maxOutputTokens,
     prefixHash: arrived.prefixHash,
@@ -60,101 +69,123 @@
   };
 }
 
-function holdRequest(turn: EntryTurn, description: RequestDescription): HeldRequest {
-  const held: HeldRequest = {
+function trackRequest(context: EntryEventContext, description: RequestDescription): ActiveRequest {
+  const request: ActiveRequest = {
     description,
-    arrivedAtMs: turn.nowMs,
+    arrivedAtMs: context.nowMs,
     phase: 'claiming',
     bids: new Set(),
     refusedBy: new Set(),
     urgentSinceMs: undefined,
     unreachableSinceMs: undefined,
     binding: undefined,
-    nextChunk: 0,
-    hasStartedAnswer: false,
+    nextChunkIndex: 0,
+    hasStartedResponse: false,
     permitted: undefined,
     hasClaim: false,
   };
-  const { heldByTenant } = turn.state;
-  turn.state.requests.set(description.id, held);
-  heldByTenant.set(description.tenant, (heldByTenant.get(description.tenant) ?? 0) + 1);
-  return held;
+  const { activeByTenant } = context.state;
+  context.state.requests.set(description.id, request);
+  activeByTenant.set(description.tenant, (activeByTenant.get(description.tenant) ?? 0) + 1);
+  return request;
 }
 
-function findRefusal(turn: EntryTurn, held: HeldRequest): Refusal | undefined {
-  const { options, replica, isLeaving, heldByTenant } = turn.state;
-  const { description } = held;
+function findAdmissionRefusal(
+  context: EntryEventContext,
+  request: ActiveRequest,
+): Refusal | undefined {
+  const { options, replica, isLeaving, activeByTenant } = context.state;
+  const { description } = request;
   if (isLeaving) {
-    return notRun('draining', 'this entry is leaving', options.retryAfterMs);
+    return notRun('draining', 'this entry is shutting down', options.retryAfterMs);
   }
   if (replica.generation === 0) {
-    return notRun('platform-unavailable', 'no policy is known here yet', options.retryAfterMs);
+    return notRun(
+      'platform-unavailable',
+      'this entry has not received a policy yet',
+      options.retryAfterMs,
+    );
   }
-  if (permittedEngines(turn.state, held).engines.length === 0) {
+  if (permittedEngines(context.state, request).engines.length === 0) {
     return notRun('not-permitted', 'no selector permits this request on any engine');
   }
   if (!description.isRepeatable && description.idempotencyKey === undefined) {
-    return notRun('invalid-request', 'a request that may not be repeated needs an Idempotency-Key');
+    return notRun('invalid-request', 'a request that is not repeatable needs an Idempotency-Key');
   }
   const maxConcurrent = replica.policy.tenants.get(description.tenant)?.maxConcurrent ?? 0;
-  if ((heldByTenant.get(description.tenant) ?? 0) > maxConcurrent) {
-    return notRun('tenant-limit', 'the tenant has too many requests here', options.retryAfterMs);
+  if ((activeByTenant.get(description.tenant) ?? 0) > maxConcurrent) {
+    return notRun(
+      'tenant-limit',
+      'the tenant has reached its limit of concurrent requests at this entry',
+      options.retryAfterMs,
+    );
   }
   return undefined;
 }
 
 /**
- * Sheds the lowest tier while the queue is full; the refusal is for the newcomer itself.
+ * Sheds requests of the lowest tier while the queue is full; returns a refusal if the arriving
+ * request itself is shed.
  *
- * Nothing is shed while a permitted engine may still serve a lower tier: it turns urgent, so that
- * the lower tier makes room, and the queue passes its limit by the reserve meanwhile.
+ * Nothing is shed while a permitted engine may still serve a lower tier: the request is marked
+ * urgent, so that the agent preempts the lower tier, and the queue may exceed its limit by the
+ * reserve in the meantime.
  */
-function makeRoom(turn: EntryTurn, held: HeldRequest): Refusal | undefined {
-  const { options } = turn.state;
-  while (isOverLimit(turn, held, 1)) {
-    const victim = findLowestWaiting(turn, held) ?? held;
-    const isReserveFull = isOverLimit(turn, held, 1 + RESERVE_SHARE);
-    if (!isReserveFull && !mayBeShed(turn.state, victim, turn.nowMs)) {
-      askForRoom(turn, victim);
+function shedIfOverLimit(context: EntryEventContext, request: ActiveRequest): Refusal | undefined {
+  const { options } = context.state;
+  while (isOverLimit(context, request, 1)) {
+    const victim = findShedCandidate(context, request) ?? request;
+    const isReserveFull = isOverLimit(context, request, 1 + RESERVE_SHARE);
+    if (!isReserveFull && !canBeShed(context.state, victim, context.nowMs)) {
+      requestPreemption(context, victim);
       return undefined;
     }
-    const detail = 'the queue is full and this was the lowest tier in it';
+    const detail = 'the queue is full and the request was of the lowest tier in it';
     const refusal = notRun('overloaded', detail, options.retryAfterMs);
-    if (victim === held) {
+    if (victim === request) {
       return refusal;
     }
-    refuseRequest(turn, victim, refusal);
+    refuseRequest(context, victim, refusal);
   }
   return undefined;
 }
 
-/** A newcomer that does not wait yet asks when it begins to. */
-function askForRoom(turn: EntryTurn, victim: HeldRequest): void {
+/**
+ * Requests preemption for `victim`; an arriving request that is not queued yet sends its urgent
+ * bids when it is queued.
+ */
+function requestPreemption(context: EntryEventContext, victim: ActiveRequest): void {
   if (victim.phase === 'waiting') {
-    renewUrgency(turn, victim);
+    resendUrgentBids(context, victim);
   } else {
-    victim.urgentSinceMs = turn.nowMs;
+    victim.urgentSinceMs = context.nowMs;
   }
 }
 
-function isOverLimit(turn: EntryTurn, held: HeldRequest, factor: number): boolean {
-  const { options, waitingBytes } = turn.state;
-  const count = countWaiting(turn.state) + 1;
-  const bytes = waitingBytes + sizeOf(held.description);
+function isOverLimit(context: EntryEventContext, request: ActiveRequest, factor: number): boolean {
+  const { options, waitingBytes } = context.state;
+  const count = countWaiting(context.state) + 1;
+  const bytes = waitingBytes + sizeOf(request.description);
   return count > options.maxWaitingRequests * factor || bytes > options.maxWaitingBytes * factor;
 }
 
-/** The request of the lowest waiting tier that waited longest, if that tier is lower than the newcomer's. */
-function findLowestWaiting(turn: EntryTurn, newcomer: HeldRequest): HeldRequest | undefined {
+/**
+ * Returns the longest-waiting request of the lowest queued tier, if that tier is lower than that of
+ * the arriving request.
+ */
+function findShedCandidate(
+  context: EntryEventContext,
+  arriving: ActiveRequest,
+): ActiveRequest | undefined {
   let lowest: number | undefined;
-  for (const [tier, ids] of turn.state.waitingByTier) {
+  for (const [tier, ids] of context.state.waitingByTier) {
     if (ids.size > 0 && (lowest === undefined || tier > lowest)) {
       lowest = tier;
     }
   }
-  if (lowest === undefined || !isHigherTier(newcomer.description.tier, lowest)) {
+  if (lowest === undefined || !isHigherTier(arriving.description.tier, lowest)) {
     return undefined;
   }
-  const oldest = turn.state.waitingByTier.get(lowest)?.values().next().value;
-  return turn.state.requests.get(oldest ?? '');
+  const oldest = context.state.waitingByTier.get(lowest)?.values().next().value;
+  return context.state.requests.get(oldest ?? '');
 }
--- a/src/entry/commands/bind-request.ts
+++ b/src/entry/commands/bind-request.ts
@@ -1,73 +1,96 @@
-/** Commands: answer an agent's call, bind a request, and move a bid that an agent will not call. */
+/**
+ * Commands that handle an agent's call, bind a request, and reassign a bid that an agent refused.
+ */
 import type { BindMessage } from '../../protocol/messages.js';
 import type { RequestId } from '../../request/request-id.js';
-import type { AgentPeer, EntryTurn, HeldRequest } from '../entry-state.js';
-import { describeForAgent } from '../queries/describe-request.js';
+import type { AgentPeer, EntryEventContext, ActiveRequest } from '../entry-state.js';
+import { agentRequestFields } from '../queries/describe-request.js';
 import { isCandidate, refusalKey } from '../queries/rank-agents.js';
-import { enterPhase, withdrawBids } from './finish-request.js';
+import { setPhase, withdrawBids } from './finish-request.js';
 import { placeBids } from './place-bids.js';
 
-/** Binds the called request to the calling agent, once; or says that it is gone. */
-export function answerCall(turn: EntryTurn, agent: string, peer: AgentPeer, id: RequestId): void {
-  const held = turn.state.requests.get(id);
-  if (held === undefined || held.phase !== 'waiting' || !isCandidate(turn.state, held, agent)) {
-    held?.bids.delete(agent);
+/**
+ * Binds the called request to the calling agent, at most once; declines the call if the request is
+ * no longer waiting or not permitted there.
+ */
+export function handleCall(
+  context: EntryEventContext,
+  agent: string,
+  peer: AgentPeer,
+  id: RequestId,
+): void {
+  const request = context.state.requests.get(id);
+  if (
+    request === undefined ||
+    request.phase !== 'waiting' ||
+    !isCandidate(context.state, request, agent)
+  ) {
+    request?.bids.delete(agent);
     peer.bids.delete(id);
-    turn.send(agent, { kind: 'decline-call', id });
-    turn.count('call.declined');
+    context.send(agent, { kind: 'decline-call', id });
+    context.count('call.declined');
     return;
   }
-  bindRequest(turn, held, agent, peer, 'call');
+  bindRequest(context, request, agent, peer, 'call');
 }
 
-/** Takes note that an agent will not call a bid, and offers the request elsewhere. */
-export function moveBid(turn: EntryTurn, agent: string, peer: AgentPeer, id: RequestId): void {
-  const held = turn.state.requests.get(id);
+/** Removes a bid that the agent refused, and offers the request to other agents. */
+export function handleBidRefused(
+  context: EntryEventContext,
+  agent: string,
+  peer: AgentPeer,
+  id: RequestId,
+): void {
+  const request = context.state.requests.get(id);
   peer.bids.delete(id);
-  if (held === undefined || !held.bids.delete(agent)) {
+  if (request === undefined || !request.bids.delete(agent)) {
     return;
   }
-  held.refusedBy.add(refusalKey(agent, peer));
-  if (held.phase === 'waiting') {
-    placeBids(turn, held);
+  request.refusedBy.add(refusalKey(agent, peer));
+  if (request.phase === 'waiting') {
+    placeBids(context, request);
   }
 }
 
-/** Gives a waiting request to `agent`, once and for all. */
+/** Assigns a waiting request to `agent`; only a refusal by the agent makes it wait again. */
 export function bindRequest(
-  turn: EntryTurn,
-  held: HeldRequest,
+  context: EntryEventContext,
+  request: ActiveRequest,
   agent: string,
   peer: AgentPeer,
   by: 'call' | 'permit',
 ): void {
-  const { id, tier } = held.description;
-  withdrawBids(turn, held, agent);
-  enterPhase(turn, held, 'bound');
-  held.binding = {
+  const { id, tier } = request.description;
+  withdrawBids(context, request, agent);
+  setPhase(context, request, 'bound');
+  request.binding = {
     agent,
     incarnation: peer.incarnation ?? '',
-    boundAtMs: turn.nowMs,
-    contactLostAtMs: undefined,
+    boundAtMs: context.nowMs,
+    disconnectedAtMs: undefined,
   };
   peer.bound.add(id);
-  turn.send(agent, createBind(turn, held, by === 'permit'));
-  turn.count('request.bound', 1, { tier: `${tier}` });
-  turn.timing('request.wait', turn.nowMs - held.arrivedAtMs, { tier: `${tier}` });
-  const reason = by === 'call' ? 'first permitted agent to call' : 'permit of the agent';
-  turn.decide('bind', held, reason, [agent]);
+  context.send(agent, createBindMessage(context, request, by === 'permit'));
+  context.count('request.bound', 1, { tier: `${tier}` });
+  context.timing('request.wait', context.nowMs - request.arrivedAtMs, { tier: `${tier}` });
+  const reason = by === 'call' ? 'first permitted agent to call' : 'permit issued by the agent';
+  context.logDecision('bind', request, reason, [agent]);
 }
 
-function createBind(turn: EntryTurn, held: HeldRequest, isByPermit: boolean): BindMessage {
-  const { prefixHash, isRepeatable, idempotencyKey, payload } = held.description;
+function createBindMessage(
+  context: EntryEventContext,
+  request: ActiveRequest,
+  isByPermit: boolean,
+): BindMessage {
+  const { prefixHash, isRepeatable, idempotencyKey, payload } = request.description;
   return {
     kind: 'bind',
-    ...describeForAgent(turn, held),
+    ...agentRequestFields(context, request),
     prefixHash,
     isRepeatable,
     idempotencyKey,
     payload,
     isByPermit,
-    generation: turn.state.replica.generation,
+    generation: context.state.replica.generation,
   };
 }
--- a/src/entry/commands/deliver-answer.ts
+++ b/src/entry/commands/deliver-answer.ts
@@ -1,4 +1,4 @@
-/** Commands: hand an answer to its caller, whole and in order. */
+/** Commands that deliver a response to its caller, complete and in order. */
 import type {
   AnswerChunkMessage,
   AnswerEndMessage,
@@ -6,61 +6,61 @@
 } from '../../protocol/messages.js';
 import { mayHaveRun } from '../../request/refusal.js';
 import type { RequestId } from '../../request/request-id.js';
-import type { EntryTurn, HeldRequest } from '../entry-state.js';
-import { forgetRequest, refuseRequest } from './finish-request.js';
+import type { EntryEventContext, ActiveRequest } from '../entry-state.js';
+import { removeRequest, refuseRequest } from './finish-request.js';
 
-/** Begins the answer, unless it was begun before a reconnect. */
-export function startAnswer(
-  turn: EntryTurn,
-  held: HeldRequest,
+/** Starts the response, unless it was started before a reconnect. */
+export function startResponse(
+  context: EntryEventContext,
+  request: ActiveRequest,
   status: number,
   contentType: string,
 ): void {
-  if (held.hasStartedAnswer) {
+  if (request.hasStartedResponse) {
     return;
   }
-  held.hasStartedAnswer = true;
-  turn.emit({ kind: 'answer-start', id: held.description.id, status, contentType });
+  request.hasStartedResponse = true;
+  context.emit({ kind: 'answer-start', id: request.description.id, status, contentType });
 }
 
-/** Hands on the next chunk; drops one that was handed on before; asks for what is missing. */
+/** Delivers the next chunk, drops duplicates, and requests missing chunks. */
 export function deliverChunk(
-  turn: EntryTurn,
+  context: EntryEventContext,
   agent: string,
-  held: HeldRequest,
+  request: ActiveRequest,
   chunk: AnswerChunkMessage,
 ): void {
-  if (chunk.index < held.nextChunk) {
+  if (chunk.index < request.nextChunkIndex) {
     return;
   }
-  if (chunk.index > held.nextChunk || !held.hasStartedAnswer) {
-    requestMissing(turn, agent, held);
+  if (chunk.index > request.nextChunkIndex || !request.hasStartedResponse) {
+    requestMissingChunks(context, agent, request);
     return;
   }
-  if (held.nextChunk === 0) {
-    const tags = { tier: `${held.description.tier}` };
-    turn.timing('request.first_chunk', turn.nowMs - held.arrivedAtMs, tags);
+  if (request.nextChunkIndex === 0) {
+    const tags = { tier: `${request.description.tier}` };
+    context.timing('request.first_chunk', context.nowMs - request.arrivedAtMs, tags);
   }
-  held.nextChunk += 1;
-  turn.emit({ kind: 'answer-chunk', id: held.description.id, data: chunk.data });
+  request.nextChunkIndex += 1;
+  context.emit({ kind: 'answer-chunk', id: request.description.id, data: chunk.data });
 }
 
-/** Ends the answer if every chunk was handed on; otherwise asks for the missing ones. */
-export function endAnswer(
-  turn: EntryTurn,
+/** Ends the response if every chunk was delivered; otherwise requests the missing ones. */
+export function endResponse(
+  context: EntryEventContext,
   agent: string,
-  held: HeldRequest,
+  request: ActiveRequest,
   end: AnswerEndMessage,
 ): void {
-  if (end.chunkCount !== held.nextChunk || !held.hasStartedAnswer) {
-    requestMissing(turn, agent, held);
+  if (end.chunkCount !== request.nextChunkIndex || !request.hasStartedResponse) {
+    requestMissingChunks(context, agent, request);
     return;
   }
-  const { description } = held;
-  turn.state.speeds.learn(agent, description, end);
-  forgetRequest(turn, held);
-  turn.send(agent, { kind: 'acknowledge', id: description.id });
-  turn.emit({
+  const { description } = request;
+  context.state.speedEstimates.addSample(agent, description, end);
+  removeRequest(context, request);
+  context.send(agent, { kind: 'acknowledge', id: description.id });
+  context.emit({
     kind: 'answer-end',
     id: description.id,
     usage: {
@@ -70,46 +70,52 @@
       outputTokens: end.outputTokens,
     },
   });
-  countAnswer(turn, held);
+  recordResponseMetrics(context, request);
 }
 
-/** Tells the caller that there will be no whole answer. */
-export function failAnswer(
-  turn: EntryTurn,
+/** Reports to the caller that the response failed and the request may have run. */
+export function failResponse(
+  context: EntryEventContext,
   agent: string,
-  held: HeldRequest,
+  request: ActiveRequest,
   failed: AnswerFailedMessage,
 ): void {
-  turn.send(agent, { kind: 'acknowledge', id: held.description.id });
-  const { retryAfterMs } = turn.state.options;
-  refuseRequest(turn, held, mayHaveRun(failed.reason, failed.detail, retryAfterMs));
+  context.send(agent, { kind: 'acknowledge', id: request.description.id });
+  const { retryAfterMs } = context.state.options;
+  refuseRequest(context, request, mayHaveRun(failed.reason, failed.detail, retryAfterMs));
 }
 
-/** The caller hung up: nothing more is done for the request. */
-export function abandonRequest(turn: EntryTurn, id: RequestId): void {
-  const held = turn.state.requests.get(id);
-  if (held === undefined) {
+/** Drops a request whose caller disconnected: cancels it on its agent, or releases its claim. */
+export function abandonRequest(context: EntryEventContext, id: RequestId): void {
+  const request = context.state.requests.get(id);
+  if (request === undefined) {
     return;
   }
-  const { tenant, idempotencyKey } = held.description;
-  if (held.binding !== undefined) {
-    turn.send(held.binding.agent, { kind: 'cancel', id });
-  } else if (held.hasClaim && idempotencyKey !== undefined) {
-    turn.emit({ kind: 'release-claim', id, tenant, key: idempotencyKey });
+  const { tenant, idempotencyKey } = request.description;
+  if (request.binding !== undefined) {
+    context.send(request.binding.agent, { kind: 'cancel', id });
+  } else if (request.hasClaim && idempotencyKey !== undefined) {
+    context.emit({ kind: 'release-claim', id, tenant, key: idempotencyKey });
   }
-  forgetRequest(turn, held);
-  turn.count('request.abandoned');
+  removeRequest(context, request);
+  context.count('request.abandoned');
 }
 
-function requestMissing(turn: EntryTurn, agent: string, held: HeldRequest): void {
-  const { id } = held.description;
-  turn.send(agent, { kind: 'resume-answer', id, fromChunk: held.nextChunk });
-  turn.count('answer.resumed');
+function requestMissingChunks(
+  context: EntryEventContext,
+  agent: string,
+  request: ActiveRequest,
+): void {
+  const { id } = request.description;
+  context.send(agent, { kind: 'resume-answer', id, fromChunk: request.nextChunkIndex });
+  context.count('answer.resumed');
 }
 
-function countAnswer(turn: EntryTurn, held: HeldRequest): void {
-  const { tier, deadlineAtMs } = held.description;
-  const isInTime = turn.nowMs <= deadlineAtMs;
-  turn.count('request.answered', 1, { tier: `${tier}`, in_time: `${isInTime}` });
-  turn.timing('request.duration', turn.nowMs - held.arrivedAtMs, { tier: `${tier}` });
+function recordResponseMetrics(context: EntryEventContext, request: ActiveRequest): void {
+  const { tier, deadlineAtMs } = request.description;
+  const isInTime = context.nowMs <= deadlineAtMs;
+  context.count('request.answered', 1, { tier: `${tier}`, in_time: `${isInTime}` });
+  context.timing('request.duration', context.nowMs - request.arrivedAtMs, {
+    tier: `${tier}`,
+  });
 }
--- a/src/entry/commands/finish-request.ts
+++ b/src/entry/commands/finish-request.ts
@@ -1,68 +1,88 @@
-/** Commands that end a request or take it out of one phase into another. */
+/** Commands that end a request or move it between phases. */
 import type { Refusal } from '../../request/refusal.js';
 import { sizeOf } from '../../request/request.js';
-import type { EntryTurn, HeldRequest, RequestPhase } from '../entry-state.js';
+import type { EntryEventContext, ActiveRequest, RequestPhase } from '../entry-state.js';
 
-/** Moves a request to `phase` and keeps the counts of waiting requests right. */
-export function enterPhase(turn: EntryTurn, held: HeldRequest, phase: RequestPhase): void {
-  const { id, tier } = held.description;
-  if (held.phase === 'waiting') {
-    turn.state.waitingByTier.get(tier)?.delete(id);
-    turn.state.waitingBytes -= sizeOf(held.description);
+/** Moves a request to `phase` and updates the waiting requests and their size in bytes. */
+export function setPhase(
+  context: EntryEventContext,
+  request: ActiveRequest,
+  phase: RequestPhase,
+): void {
+  const { id, tier } = request.description;
+  if (request.phase === 'waiting') {
+    context.state.waitingByTier.get(tier)?.delete(id);
+    context.state.waitingBytes -= sizeOf(request.description);
   }
-  held.phase = phase;
+  request.phase = phase;
   if (phase === 'waiting') {
-    const ids = turn.state.waitingByTier.get(tier) ?? new Set();
-    turn.state.waitingByTier.set(tier, ids.add(id));
-    turn.state.waitingBytes += sizeOf(held.description);
+    const ids = context.state.waitingByTier.get(tier) ?? new Set();
+    context.state.waitingByTier.set(tier, ids.add(id));
+    context.state.waitingBytes += sizeOf(request.description);
   }
 }
 
-/** Looks at the request again at `atMs`. */
-export function scheduleCheck(turn: EntryTurn, held: HeldRequest, atMs: number): void {
-  turn.state.checks.push({ atMs, id: held.description.id });
+/** Schedules a check of the request at `atMs`. */
+export function scheduleCheck(
+  context: EntryEventContext,
+  request: ActiveRequest,
+  atMs: number,
+): void {
+  context.state.scheduledChecks.push({ atMs, id: request.description.id });
 }
 
-/** Takes back all bids of a request, except the one at `exceptAgent`. */
-export function withdrawBids(turn: EntryTurn, held: HeldRequest, exceptAgent?: string): void {
-  const { id } = held.description;
-  for (const agent of held.bids) {
-    turn.state.peers.get(agent)?.bids.delete(id);
+/** Withdraws all bids of a request; the agent `exceptAgent` gets no message. */
+export function withdrawBids(
+  context: EntryEventContext,
+  request: ActiveRequest,
+  exceptAgent?: string,
+): void {
+  const { id } = request.description;
+  for (const agent of request.bids) {
+    context.state.peers.get(agent)?.bids.delete(id);
     if (agent !== exceptAgent) {
-      turn.send(agent, { kind: 'withdraw-bids', ids: [id] });
+      context.send(agent, { kind: 'withdraw-bids', ids: [id] });
     }
   }
-  held.bids.clear();
+  request.bids.clear();
 }
 
-/** Gives a request its final refusal at once. */
-export function refuseRequest(turn: EntryTurn, held: HeldRequest, refusal: Refusal): void {
-  const { id, tenant, tier, idempotencyKey } = held.description;
-  if (held.hasClaim && refusal.ran === 'no' && idempotencyKey !== undefined) {
-    turn.emit({ kind: 'release-claim', id, tenant, key: idempotencyKey });
+/** Ends a request with a refusal; releases its claim if it was certainly not run. */
+export function refuseRequest(
+  context: EntryEventContext,
+  request: ActiveRequest,
+  refusal: Refusal,
+): void {
+  const { id, tenant, tier, idempotencyKey } = request.description;
+  if (request.hasClaim && refusal.ran === 'no' && idempotencyKey !== undefined) {
+    context.emit({ kind: 'release-claim', id, tenant, key: idempotencyKey });
   }
-  forgetRequest(turn, held);
-  turn.emit({ kind: 'refuse', id, refusal });
-  turn.count('request.refused', 1, { reason: refusal.reason, ran: refusal.ran, tier: `${tier}` });
-  turn.decide('refuse', held, `${refusal.reason}: ${refusal.detail}`);
+  removeRequest(context, request);
+  context.emit({ kind: 'refuse', id, refusal });
+  context.count('request.refused', 1, {
+    reason: refusal.reason,
+    ran: refusal.ran,
+    tier: `${tier}`,
+  });
+  context.logDecision('refuse', request, `${refusal.reason}: ${refusal.detail}`);
 }
 
-/** Drops all that is held of a request. */
-export function forgetRequest(turn: EntryTurn, held: HeldRequest): void {
-  const { id, tenant } = held.description;
-  withdrawBids(turn, held);
-  if (held.binding !== undefined) {
-    turn.state.peers.get(held.binding.agent)?.bound.delete(id);
+/** Removes all state of a request. */
+export function removeRequest(context: EntryEventContext, request: ActiveRequest): void {
+  const { id, tenant } = request.description;
+  withdrawBids(context, request);
+  if (request.binding !== undefined) {
+    context.state.peers.get(request.binding.agent)?.bound.delete(id);
   }
-  if (held.phase === 'waiting') {
-    enterPhase(turn, held, 'bound');
+  if (request.phase === 'waiting') {
+    setPhase(context, request, 'bound');
   }
-  if (turn.state.requests.delete(id)) {
-    const remaining = (turn.state.heldByTenant.get(tenant) ?? 1) - 1;
+  if (context.state.requests.delete(id)) {
+    const remaining = (context.state.activeByTenant.get(tenant) ?? 1) - 1;
     if (remaining > 0) {
-      turn.state.heldByTenant.set(tenant, remaining);
+      context.state.activeByTenant.set(tenant, remaining);
     } else {
-      turn.state.heldByTenant.delete(tenant);
+      context.state.activeByTenant.delete(tenant);
     }
   }
 }
--- a/src/entry/commands/place-bids.ts
+++ b/src/entry/commands/place-bids.ts
@@ -1,145 +1,176 @@
-/** Command: offer a waiting request to agents. */
+/** Commands that offer a waiting request to agents. */
 import type { BidMessage } from '../../protocol/messages.js';
 import { notRun } from '../../request/refusal.js';
-import type { EntryTurn, HeldRequest } from '../entry-state.js';
-import { mayMakeRoom } from '../queries/make-room.js';
-import { describeForAgent } from '../queries/describe-request.js';
-import { bestServiceMs, rankAgents } from '../queries/rank-agents.js';
+import type { EntryEventContext, ActiveRequest } from '../entry-state.js';
+import { mayServeLowerTier } from '../queries/make-room.js';
+import { agentRequestFields } from '../queries/describe-request.js';
+import { shortestServiceMs, rankAgents } from '../queries/rank-agents.js';
 import { refuseRequest, scheduleCheck } from './finish-request.js';
 
-const WIDEN_INTERVAL_MS = 500;
+const EXTRA_BID_INTERVAL_MS = 500;
 
-/** Offers the request to the best agents until it has as many bids as its age and tier earn. */
-export function placeBids(turn: EntryTurn, held: HeldRequest): void {
-  const { state } = turn;
-  const isUrgent = held.urgentSinceMs !== undefined;
-  const ranked = rankAgents(state, held).map((agent) => agent.name);
-  const missing = Math.max(0, bidWidthOf(turn, held) - held.bids.size);
+/**
+ * Sends bids to the best-ranked agents until the request has the number of bids that its age and
+ * tier allow; an urgent request also gets a bid at every agent that may preempt a lower tier.
+ */
+export function placeBids(context: EntryEventContext, request: ActiveRequest): void {
+  const { state } = context;
+  const isUrgent = request.urgentSinceMs !== undefined;
+  const ranked = rankAgents(state, request).map((agent) => agent.name);
+  const missing = Math.max(0, targetBidCount(context, request) - request.bids.size);
   const chosen = ranked.slice(0, missing);
   if (isUrgent) {
-    chosen.push(...ranked.slice(missing).filter((name) => mayAskForRoom(turn, held, name)));
+    chosen.push(...ranked.slice(missing).filter((name) => mayPreemptAt(context, request, name)));
   }
   for (const name of chosen) {
-    sendBid(turn, held, name, isUrgent);
+    sendBid(context, request, name, isUrgent);
   }
   if (chosen.length > 0) {
     const reason = isUrgent
-      ? 'urgent: wherever a lower tier may make room'
-      : 'least expected completion';
-    turn.count('bid.sent', chosen.length);
-    turn.decide('bid', held, reason, chosen);
+      ? 'urgent: agents that may preempt a lower tier'
+      : 'shortest expected completion time';
+    context.count('bid.sent', chosen.length);
+    context.logDecision('bid', request, reason, chosen);
   }
-  updateReachability(turn, held);
+  updateReachability(context, request);
 }
 
-/** Looks at a waiting request at a due time: widens, turns urgent, or gives up at once. */
-export function checkWaitingRequest(turn: EntryTurn, held: HeldRequest): void {
-  const { state } = turn;
+/**
+ * Runs a scheduled check of a waiting request: sends more bids, marks it urgent, or refuses it if
+ * its deadline cannot be met.
+ */
+export function checkWaitingRequest(context: EntryEventContext, request: ActiveRequest): void {
+  const { state } = context;
   const { options } = state;
-  const serviceMs = bestServiceMs(state, held);
+  const serviceMs = shortestServiceMs(state, request);
   if (serviceMs === undefined) {
-    checkUnreachable(turn, held);
+    checkUnreachable(context, request);
     return;
   }
-  held.unreachableSinceMs = undefined;
-  const latestStartMs = held.description.deadlineAtMs - serviceMs;
-  if (turn.nowMs >= latestStartMs - options.urgentSlackMs) {
-    makeUrgent(turn, held);
+  request.unreachableSinceMs = undefined;
+  const latestStartMs = request.description.deadlineAtMs - serviceMs;
+  if (context.nowMs >= latestStartMs - options.urgentSlackMs) {
+    markUrgent(context, request);
   }
-  if (isPastHope(turn, held, latestStartMs)) {
+  if (isDeadlineInfeasible(context, request, latestStartMs)) {
     const detail = 'no permitted engine can finish the request before its deadline';
-    refuseRequest(turn, held, notRun('deadline-infeasible', detail, options.retryAfterMs));
+    refuseRequest(context, request, notRun('deadline-infeasible', detail, options.retryAfterMs));
     return;
   }
-  placeBids(turn, held);
-  scheduleCheck(turn, held, nextCheckMs(turn, held, latestStartMs));
+  placeBids(context, request);
+  scheduleCheck(context, request, nextCheckAtMs(context, request, latestStartMs));
 }
 
-/** Asks once more for room for a request that was urgent before. */
-export function renewUrgency(turn: EntryTurn, held: HeldRequest): void {
+/** Resends the urgent bids of a request; at most once per `RENEW_INTERVAL_MS`. */
+export function resendUrgentBids(context: EntryEventContext, request: ActiveRequest): void {
   const RENEW_INTERVAL_MS = 50;
-  const sinceMs = held.urgentSinceMs;
+  const sinceMs = request.urgentSinceMs;
   if (
-    held.phase === 'waiting' &&
-    (sinceMs === undefined || turn.nowMs - sinceMs >= RENEW_INTERVAL_MS)
+    request.phase === 'waiting' &&
+    (sinceMs === undefined || context.nowMs - sinceMs >= RENEW_INTERVAL_MS)
   ) {
-    held.urgentSinceMs = undefined;
-    makeUrgent(turn, held);
+    request.urgentSinceMs = undefined;
+    markUrgent(context, request);
   }
 }
 
-/** Makes the request's bids urgent, and offers it to every agent that may have a lower tier to make room. */
-export function makeUrgent(turn: EntryTurn, held: HeldRequest): void {
-  if (held.urgentSinceMs !== undefined) {
+/**
+ * Marks the request and its bids as urgent, and offers it to every agent that may preempt a lower
+ * tier.
+ */
+export function markUrgent(context: EntryEventContext, request: ActiveRequest): void {
+  if (request.urgentSinceMs !== undefined) {
     return;
   }
-  held.urgentSinceMs = turn.nowMs;
-  for (const agent of held.bids) {
-    if (mayAskForRoom(turn, held, agent)) {
-      turn.send(agent, createBid(turn, held, true));
+  request.urgentSinceMs = context.nowMs;
+  for (const agent of request.bids) {
+    if (mayPreemptAt(context, request, agent)) {
+      context.send(agent, createBidMessage(context, request, true));
     }
   }
-  placeBids(turn, held);
+  placeBids(context, request);
 }
 
-function mayAskForRoom(turn: EntryTurn, held: HeldRequest, agent: string): boolean {
-  const peer = turn.state.peers.get(agent);
-  return peer !== undefined && mayMakeRoom(peer, held, turn.nowMs);
+function mayPreemptAt(context: EntryEventContext, request: ActiveRequest, agent: string): boolean {
+  const peer = context.state.peers.get(agent);
+  return peer !== undefined && mayServeLowerTier(peer, request, context.nowMs);
 }
 
-function isPastHope(turn: EntryTurn, held: HeldRequest, latestStartMs: number): boolean {
-  if (turn.nowMs >= held.description.deadlineAtMs) {
+function isDeadlineInfeasible(
+  context: EntryEventContext,
+  request: ActiveRequest,
+  latestStartMs: number,
+): boolean {
+  if (context.nowMs >= request.description.deadlineAtMs) {
     return true;
   }
-  const urgentForMs = turn.nowMs - (held.urgentSinceMs ?? turn.nowMs);
-  return turn.nowMs >= latestStartMs && urgentForMs >= turn.state.options.urgentGraceMs;
+  const urgentForMs = context.nowMs - (request.urgentSinceMs ?? context.nowMs);
+  return context.nowMs >= latestStartMs && urgentForMs >= context.state.options.urgentGraceMs;
 }
 
-function nextCheckMs(turn: EntryTurn, held: HeldRequest, latestStartMs: number): number {
-  const { options } = turn.state;
-  if (held.urgentSinceMs === undefined) {
+function nextCheckAtMs(
+  context: EntryEventContext,
+  request: ActiveRequest,
+  latestStartMs: number,
+): number {
+  const { options } = context.state;
+  if (request.urgentSinceMs === undefined) {
     const urgentAtMs = latestStartMs - options.urgentSlackMs;
-    return Math.min(turn.nowMs + WIDEN_INTERVAL_MS, urgentAtMs);
+    return Math.min(context.nowMs + EXTRA_BID_INTERVAL_MS, urgentAtMs);
   }
-  const graceEndMs = held.urgentSinceMs + options.urgentGraceMs;
-  return Math.min(held.description.deadlineAtMs, Math.max(latestStartMs, graceEndMs));
+  const graceEndMs = request.urgentSinceMs + options.urgentGraceMs;
+  return Math.min(request.description.deadlineAtMs, Math.max(latestStartMs, graceEndMs));
 }
 
-function checkUnreachable(turn: EntryTurn, held: HeldRequest): void {
-  const { options } = turn.state;
-  updateReachability(turn, held);
-  const since = held.unreachableSinceMs ?? turn.nowMs;
-  const giveUpAtMs = Math.min(since + options.noEngineGraceMs, held.description.deadlineAtMs);
-  if (turn.nowMs >= giveUpAtMs) {
-    const detail = 'no permitted engine can be reached';
-    refuseRequest(turn, held, notRun('no-engine', detail, options.retryAfterMs));
+function checkUnreachable(context: EntryEventContext, request: ActiveRequest): void {
+  const { options } = context.state;
+  updateReachability(context, request);
+  const since = request.unreachableSinceMs ?? context.nowMs;
+  const giveUpAtMs = Math.min(since + options.noEngineGraceMs, request.description.deadlineAtMs);
+  if (context.nowMs >= giveUpAtMs) {
+    const detail = 'no permitted engine is reachable';
+    refuseRequest(context, request, notRun('no-engine', detail, options.retryAfterMs));
     return;
   }
-  scheduleCheck(turn, held, giveUpAtMs);
+  scheduleCheck(context, request, giveUpAtMs);
 }
 
-function updateReachability(turn: EntryTurn, held: HeldRequest): void {
-  if (held.bids.size > 0) {
-    held.unreachableSinceMs = undefined;
+function updateReachability(context: EntryEventContext, request: ActiveRequest): void {
+  if (request.bids.size > 0) {
+    request.unreachableSinceMs = undefined;
   } else {
-    held.unreachableSinceMs ??= turn.nowMs;
+    request.unreachableSinceMs ??= context.nowMs;
   }
 }
 
-/** Width grows with the time waited, and by one with each tier above the third. */
-function bidWidthOf(turn: EntryTurn, held: HeldRequest): number {
+/**
+ * Returns the number of bids to keep open: grows with the time waited, and by one for each tier
+ * above the third.
+ */
+function targetBidCount(context: EntryEventContext, request: ActiveRequest): number {
   const TIERS_WITH_EXTRA_WIDTH = 3;
-  const extraForTier = Math.max(0, TIERS_WITH_EXTRA_WIDTH - held.description.tier);
-  const waitedMs = turn.nowMs - held.arrivedAtMs;
-  return turn.state.options.bidWidth + extraForTier + Math.floor(waitedMs / WIDEN_INTERVAL_MS);
+  const extraForTier = Math.max(0, TIERS_WITH_EXTRA_WIDTH - request.description.tier);
+  const waitedMs = context.nowMs - request.arrivedAtMs;
+  return (
+    context.state.options.bidWidth + extraForTier + Math.floor(waitedMs / EXTRA_BID_INTERVAL_MS)
+  );
 }
 
-function sendBid(turn: EntryTurn, held: HeldRequest, agent: string, isUrgent: boolean): void {
-  held.bids.add(agent);
-  turn.state.peers.get(agent)?.bids.add(held.description.id);
-  turn.send(agent, createBid(turn, held, isUrgent));
+function sendBid(
+  context: EntryEventContext,
+  request: ActiveRequest,
+  agent: string,
+  isUrgent: boolean,
+): void {
+  request.bids.add(agent);
+  context.state.peers.get(agent)?.bids.add(request.description.id);
+  context.send(agent, createBidMessage(context, request, isUrgent));
 }
 
-function createBid(turn: EntryTurn, held: HeldRequest, isUrgent: boolean): BidMessage {
-  return { kind: 'bid', ...describeForAgent(turn, held), isUrgent };
+function createBidMessage(
+  context: EntryEventContext,
+  request: ActiveRequest,
+  isUrgent: boolean,
+): BidMessage {
+  return { kind: 'bid', ...agentRequestFields(context, request), isUrgent };
 }
--- a/src/entry/commands/take-back-request.ts
+++ b/src/entry/commands/take-back-request.ts
@@ -1,26 +1,26 @@
-/** Command: take back a bound request that its agent certainly did not start. */
+/** Command that requeues a bound request whose agent certainly did not start it. */
 import type { BindRefusalReason } from '../../protocol/messages.js';
 import type { RequestId } from '../../request/request-id.js';
-import type { AgentPeer, EntryTurn } from '../entry-state.js';
+import type { AgentPeer, EntryEventContext } from '../entry-state.js';
 import { refusalKey } from '../queries/rank-agents.js';
-import { beginWaiting } from './accept-request.js';
+import { enqueueRequest } from './accept-request.js';
 
-/** Takes back a request that `agent` certified it did not and will not start. */
-export function takeBackRequest(
-  turn: EntryTurn,
+/** Requeues a request after `agent` certified that it did not and will not start it. */
+export function requeueRequest(
+  context: EntryEventContext,
   agent: string,
   peer: AgentPeer,
   id: RequestId,
   reason: BindRefusalReason,
 ): void {
-  const held = turn.state.requests.get(id);
-  if (held === undefined || held.phase !== 'bound' || held.binding?.agent !== agent) {
+  const request = context.state.requests.get(id);
+  if (request === undefined || request.phase !== 'bound' || request.binding?.agent !== agent) {
     return;
   }
   peer.bound.delete(id);
-  held.binding = undefined;
-  held.refusedBy.add(refusalKey(agent, peer));
-  turn.count('bind.refused', 1, { reason });
-  turn.decide('take-back', held, `not started: ${reason}`, [agent]);
-  beginWaiting(turn, held);
+  request.binding = undefined;
+  request.refusedBy.add(refusalKey(agent, peer));
+  context.count('bind.refused', 1, { reason });
+  context.logDecision('take-back', request, `not started: ${reason}`, [agent]);
+  enqueueRequest(context, request);
 }
--- a/src/entry/commands/use-permit.ts
+++ b/src/entry/commands/use-permit.ts
@@ -1,25 +1,37 @@
-/** Command: bind a request at once to an agent that allowed it ahead. */
-import type { AgentPeer, EntryTurn, HeldRequest } from '../entry-state.js';
+/**
+ * Command that binds a request without a bid and a call, under a permit that an agent issued in
+ * advance.
+ */
+import type { AgentPeer, EntryEventContext, ActiveRequest } from '../entry-state.js';
 import { expectedCompletionMs, isCandidate } from '../queries/rank-agents.js';
 import { bindRequest } from './bind-request.js';
 
-/** A permit is used only where the request is not expected to take much longer than elsewhere. */
+/**
+ * Largest ratio of the expected completion time at the permit's agent to the best one; a slower
+ * agent's permit is not used.
+ */
 const MAX_SLOWDOWN = 1.5;
-/** An agent that was silent for longer may be frozen; a bid would show it, a permit does not. */
+/**
+ * Silence after which an agent's permits are not used: it may be frozen, which a bid would detect
+ * and a permit would not.
+ */
 const MAX_SILENCE_MS = 1_000;
 
-/** Binds `held` under the best fitting permit; false if there is none. */
-export function bindUnderPermit(turn: EntryTurn, held: HeldRequest): boolean {
+/**
+ * Binds `request` under the permit with the shortest expected completion time; returns false if
+ * none is suitable.
+ */
+export function bindWithPermit(context: EntryEventContext, request: ActiveRequest): boolean {
   let bestMs = Number.POSITIVE_INFINITY;
   let bestPermit: { name: string; peer: AgentPeer; expectedMs: number } | undefined;
-  for (const [name, peer] of turn.state.peers) {
-    if (!isCandidate(turn.state, held, name)) {
+  for (const [name, peer] of context.state.peers) {
+    if (!isCandidate(context.state, request, name)) {
       continue;
     }
-    const expectedMs = expectedCompletionMs(turn.state, held, name, peer);
+    const expectedMs = expectedCompletionMs(context.state, request, name, peer);
     bestMs = Math.min(bestMs, expectedMs);
     const isBetter = expectedMs < (bestPermit?.expectedMs ?? Number.POSITIVE_INFINITY);
-    if (isBetter && hasPermit(turn, peer)) {
+    if (isBetter && hasPermit(context, peer)) {
       bestPermit = { name, peer, expectedMs };
     }
   }
@@ -27,17 +39,17 @@
     return false;
   }
   bestPermit.peer.permitExpiriesMs.shift();
-  bindRequest(turn, held, bestPermit.name, bestPermit.peer, 'permit');
-  turn.count('permit.used');
+  bindRequest(context, request, bestPermit.name, bestPermit.peer, 'permit');
+  context.count('permit.used');
   return true;
 }
 
-function hasPermit(turn: EntryTurn, peer: AgentPeer): boolean {
+function hasPermit(context: EntryEventContext, peer: AgentPeer): boolean {
   const { permitExpiriesMs } = peer;
-  if (turn.nowMs - peer.lastReceivedAtMs > MAX_SILENCE_MS) {
+  if (context.nowMs - peer.lastReceivedAtMs > MAX_SILENCE_MS) {
     return false;
   }
-  while (permitExpiriesMs.length > 0 && permitExpiriesMs[0]! <= turn.nowMs) {
+  while (permitExpiriesMs.length > 0 && permitExpiriesMs[0]! <= context.nowMs) {
     permitExpiriesMs.shift();
   }
   return permitExpiriesMs.length > 0;
--- a/src/entry/engine-speeds.ts
+++ b/src/entry/engine-speeds.ts
@@ -1,78 +1,93 @@
-/** Learned speeds of engines, and which engine has which prompt prefix in its cache. */
+/**
+ * Estimates engine speeds from completed responses, and tracks which engines have a prompt prefix
+ * cached.
+ */
 import type { AnswerEndMessage } from '../protocol/messages.js';
 
-/** What was learned of one engine. */
-interface EngineSpeed {
+/** Moving averages of one engine's speeds. */
+interface SpeedEstimate {
   prefillTokensPerMs: number;
   decodeMsPerToken: number;
   samples: number;
 }
 
-/** The part of a request that its duration depends on. */
-export interface RequestShape {
+/** The fields of a request that determine its expected duration. */
+export interface RequestCost {
   readonly model: string;
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
   readonly prefixHash: string;
 }
 
-const PRIOR: EngineSpeed = { prefillTokensPerMs: 4, decodeMsPerToken: 10, samples: 0 };
-const SMOOTHING = 0.2;
-const PRIOR_OUTPUT_SHARE = 0.5;
-const MAX_REMEMBERED_PREFIXES = 20_000;
+const DEFAULT_SPEED: SpeedEstimate = { prefillTokensPerMs: 4, decodeMsPerToken: 10, samples: 0 };
+const SMOOTHING_FACTOR = 0.2;
+const DEFAULT_OUTPUT_SHARE = 0.5;
+const MAX_TRACKED_PREFIXES = 20_000;
 const ENGINES_PER_PREFIX = 4;
 const CACHED_PREFILL_SHARE = 0.3;
 const MIN_DECODE_TOKENS = 4;
 const MIN_PREFILL_TOKENS = 16;
 
-/** Learned speeds of engines. */
-export class EngineSpeeds {
-  private readonly speeds = new Map<string, EngineSpeed>();
+/** Estimates service times per engine with exponential moving averages. */
+export class EngineSpeedEstimates {
+  private readonly speeds = new Map<string, SpeedEstimate>();
   private readonly outputShares = new Map<string, number>();
   private readonly enginesByPrefix = new Map<string, string[]>();
 
-  /** Learns from a whole answer. */
-  learn(engine: string, shape: RequestShape, end: AnswerEndMessage): void {
-    const speed = this.speeds.get(engine) ?? { ...PRIOR };
+  /** Updates the estimates from a complete response. */
+  addSample(engine: string, request: RequestCost, end: AnswerEndMessage): void {
+    const speed = this.speeds.get(engine) ?? { ...DEFAULT_SPEED };
     this.speeds.set(engine, speed);
     speed.samples += 1;
-    const freshTokens = end.promptTokens - end.cachedPromptTokens;
-    if (freshTokens >= MIN_PREFILL_TOKENS && end.prefillMs > 0) {
-      speed.prefillTokensPerMs = smooth(speed.prefillTokensPerMs, freshTokens / end.prefillMs);
+    const uncachedTokens = end.promptTokens - end.cachedPromptTokens;
+    if (uncachedTokens >= MIN_PREFILL_TOKENS && end.prefillMs > 0) {
+      speed.prefillTokensPerMs = movingAverage(
+        speed.prefillTokensPerMs,
+        uncachedTokens / end.prefillMs,
+      );
     }
     if (end.outputTokens >= MIN_DECODE_TOKENS && end.decodeMs > 0) {
-      speed.decodeMsPerToken = smooth(speed.decodeMsPerToken, end.decodeMs / end.outputTokens);
+      speed.decodeMsPerToken = movingAverage(
+        speed.decodeMsPerToken,
+        end.decodeMs / end.outputTokens,
+      );
     }
-    if (shape.maxOutputTokens > 0) {
-      const share = end.outputTokens / shape.maxOutputTokens;
-      const known = this.outputShares.get(shape.model) ?? PRIOR_OUTPUT_SHARE;
-      this.outputShares.set(shape.model, smooth(known, share));
+    if (request.maxOutputTokens > 0) {
+      const share = end.outputTokens / request.maxOutputTokens;
+      const previous = this.outputShares.get(request.model) ?? DEFAULT_OUTPUT_SHARE;
+      this.outputShares.set(request.model, movingAverage(previous, share));
     }
-    this.rememberPrefix(engine, shape.prefixHash);
+    this.recordPrefix(engine, request.prefixHash);
   }
 
-  /** Expected time on the engine from start to the end of the answer, in milliseconds. */
-  expectedServiceMs(engine: string, shape: RequestShape): number {
-    const speed = this.speeds.get(engine) ?? PRIOR;
-    const outputShare = this.outputShares.get(shape.model) ?? PRIOR_OUTPUT_SHARE;
-    const freshTokens = this.isPrefixCached(engine, shape.prefixHash)
-      ? shape.promptTokens * CACHED_PREFILL_SHARE
-      : shape.promptTokens;
-    const prefillMs = freshTokens / speed.prefillTokensPerMs;
-    return prefillMs + shape.maxOutputTokens * outputShare * speed.decodeMsPerToken;
+  /**
+   * Returns the expected time from the start on the engine to the end of the response, in
+   * milliseconds.
+   */
+  expectedServiceMs(engine: string, request: RequestCost): number {
+    const speed = this.speeds.get(engine) ?? DEFAULT_SPEED;
+    const outputShare = this.outputShares.get(request.model) ?? DEFAULT_OUTPUT_SHARE;
+    const uncachedTokens = this.isPrefixCached(engine, request.prefixHash)
+      ? request.promptTokens * CACHED_PREFILL_SHARE
+      : request.promptTokens;
+    const prefillMs = uncachedTokens / speed.prefillTokensPerMs;
+    return prefillMs + request.maxOutputTokens * outputShare * speed.decodeMsPerToken;
   }
 
-  /** Answers that the engine's speed was learned from. */
-  samplesOf(engine: string): number {
+  /** Returns the number of responses that the engine's estimate is based on. */
+  sampleCount(engine: string): number {
     return this.speeds.get(engine)?.samples ?? 0;
   }
 
-  /** Whether the engine lately served a prompt with this prefix; a hint. */
+  /**
+   * Whether the engine recently served a prompt with this prefix; a hint, since its cache may have
+   * evicted it.
+   */
   isPrefixCached(engine: string, prefixHash: string): boolean {
     return prefixHash !== '' && (this.enginesByPrefix.get(prefixHash)?.includes(engine) ?? false);
   }
 
-  private rememberPrefix(engine: string, prefixHash: string): void {
+  private recordPrefix(engine: string, prefixHash: string): void {
     if (prefixHash === '') {
       return;
     }
@@ -80,13 +95,13 @@
     this.enginesByPrefix.delete(prefixHash);
     const others = engines.filter((name) => name !== engine);
     this.enginesByPrefix.set(prefixHash, [engine, ...others].slice(0, ENGINES_PER_PREFIX));
-    if (this.enginesByPrefix.size > MAX_REMEMBERED_PREFIXES) {
+    if (this.enginesByPrefix.size > MAX_TRACKED_PREFIXES) {
       const oldest = this.enginesByPrefix.keys().next().value;
       this.enginesByPrefix.delete(oldest ?? '');
     }
   }
 }
 
-function smooth(known: number, sample: number): number {
-  return known + SMOOTHING * (sample - known);
+function movingAverage(previous: number, sample: number): number {
+  return previous + SMOOTHING_FACTOR * (sample - previous);
 }
--- a/src/entry/entry-core.ts
+++ b/src/entry/entry-core.ts
@@ -1,8 +1,8 @@
 /**
- * The entry role without I/O: events in, effects out.
+ * Implements the entry role without I/O: takes events and returns effects.
  *
- * The daemon and the simulator drive this very class; it has no clock, socket
- * or random source of its own.
+ * The daemon and the simulator use the same class; it has no clock, socket or random source of its
+ * own.
  */
 import { Heap } from 'heap-js';
 import type { ProcessIdentity } from '../membership/machine.js';
@@ -14,19 +14,19 @@
 import type { RandomSource } from '../random.js';
 import { mayHaveRun, notRun } from '../request/refusal.js';
 import type { RequestId } from '../request/request-id.js';
-import { acceptRequest, beginWaiting } from './commands/accept-request.js';
-import { answerCall, moveBid } from './commands/bind-request.js';
-import { takeBackRequest } from './commands/take-back-request.js';
+import { acceptRequest, enqueueRequest } from './commands/accept-request.js';
+import { handleCall, handleBidRefused } from './commands/bind-request.js';
+import { requeueRequest } from './commands/take-back-request.js';
 import {
   abandonRequest,
   deliverChunk,
-  endAnswer,
-  failAnswer,
-  startAnswer,
+  endResponse,
+  failResponse,
+  startResponse,
 } from './commands/deliver-answer.js';
 import { refuseRequest } from './commands/finish-request.js';
 import {
-  checkLostContact,
+  checkResumeTimeout,
   connectPeer,
   disconnectPeer,
   maintainPeers,
@@ -35,35 +35,38 @@
 } from './commands/manage-peers.js';
 import { checkWaitingRequest } from './commands/place-bids.js';
 import { permittedEngines } from './queries/rank-agents.js';
-import { EngineSpeeds } from './engine-speeds.js';
+import { EngineSpeedEstimates } from './engine-speeds.js';
 import type { ClaimOutcome, EntryEffect, EntryEvent } from './entry-events.js';
-import { EntryTurn } from './entry-state.js';
-import type { AgentPeer, DueCheck, EntryState, HeldRequest } from './entry-state.js';
+import { EntryEventContext } from './entry-state.js';
+import type { AgentPeer, ScheduledCheck, EntryState, ActiveRequest } from './entry-state.js';
 
-/** What an entry is made from. */
-export interface EntryCoreParts {
+/** Values that an entry core is constructed from. */
+export interface EntryCoreDependencies {
   readonly identity: ProcessIdentity;
   readonly options: EntryOptions;
   readonly random: RandomSource;
 }
 
-/** The entry role without I/O. */
+/**
+ * State machine of the entry role: admits callers' requests, offers them to agents as bids, binds
+ * each to one agent and delivers the response.
+ */
 export class EntryCore {
-  /** For queries only. */
+  /** Read-only for code outside the core. */
   readonly state: EntryState;
 
-  constructor(parts: EntryCoreParts) {
+  constructor(parts: EntryCoreDependencies) {
     const replica = new PolicyReplica();
     this.state = {
       ...parts,
       replica,
       exchange: new PolicyExchange(replica),
-      speeds: new EngineSpeeds(),
+      speedEstimates: new EngineSpeedEstimates(),
       requests: new Map(),
       peers: new Map(),
-      checks: new Heap<DueCheck>((left, right) => left.atMs - right.atMs),
+      scheduledChecks: new Heap<ScheduledCheck>((left, right) => left.atMs - right.atMs),
       waitingByTier: new Map(),
-      heldByTenant: new Map(),
+      activeByTenant: new Map(),
       fleet: [],
       waitingBytes: 0,
       isLeaving: false,
@@ -71,42 +74,42 @@
     };
   }
 
-  /** Takes one event at `nowMs` and returns what is to be done, in order. */
+  /** Handles one event at `nowMs` and returns the resulting effects in order. */
   handle(event: EntryEvent, nowMs: number): EntryEffect[] {
-    const turn = new EntryTurn(this.state, nowMs);
-    this.dispatch(turn, event);
-    this.finishLeaving(turn);
-    return turn.effects;
+    const context = new EntryEventContext(this.state, nowMs);
+    this.dispatch(context, event);
+    this.finishLeaving(context);
+    return context.effects;
   }
 
-  private dispatch(turn: EntryTurn, event: EntryEvent): void {
+  private dispatch(context: EntryEventContext, event: EntryEvent): void {
     switch (event.kind) {
       case 'request-arrived':
-        acceptRequest(turn, event.request);
+        acceptRequest(context, event.request);
         break;
       case 'caller-gone':
-        abandonRequest(turn, event.id);
+        abandonRequest(context, event.id);
         break;
       case 'claim-resolved':
-        this.resolveClaim(turn, event.id, event.outcome);
+        this.resolveClaim(context, event.id, event.outcome);
         break;
       case 'peer-connected':
       case 'peer-disconnected':
       case 'frame':
-        this.handlePeerEvent(turn, event);
+        this.handlePeerEvent(context, event);
         break;
       case 'fleet':
         this.state.fleet = event.machines;
-        refreshPeers(turn);
-        maintainPeers(turn);
+        refreshPeers(context);
+        maintainPeers(context);
         break;
       case 'policy':
         if (this.state.replica.install(event.update) === 'installed') {
-          this.onPolicyInstalled(turn);
+          this.onPolicyInstalled(context);
         }
         break;
       case 'tick':
-        this.tick(turn);
+        this.tick(context);
         break;
       case 'leave':
         this.state.isLeaving = true;
@@ -114,174 +117,182 @@
     }
   }
 
-  private handlePeerEvent(turn: EntryTurn, event: Extract<EntryEvent, { peer: string }>): void {
+  private handlePeerEvent(
+    context: EntryEventContext,
+    event: Extract<EntryEvent, { peer: string }>,
+  ): void {
     const peer = this.state.peers.get(event.peer);
     if (peer === undefined || peer.connectionNumber !== event.connectionNumber) {
       return;
     }
     if (event.kind === 'peer-connected') {
-      connectPeer(turn, event.peer, peer, event.hello);
+      connectPeer(context, event.peer, peer, event.hello);
       return;
     }
     if (event.kind === 'peer-disconnected') {
       if (peer.connectivity !== 'disconnected') {
-        disconnectPeer(turn, event.peer, peer);
+        disconnectPeer(context, event.peer, peer);
       }
       return;
     }
-    peer.lastReceivedAtMs = turn.nowMs;
+    peer.lastReceivedAtMs = context.nowMs;
     const { generation } = event.frame;
-    const request = this.state.exchange.onPeerGeneration(event.peer, generation, turn.nowMs);
+    const request = this.state.exchange.onPeerGeneration(event.peer, generation, context.nowMs);
     if (request !== undefined) {
-      turn.send(event.peer, request);
+      context.send(event.peer, request);
     }
     for (const message of event.frame.messages) {
-      this.handleMessage(turn, event.peer, peer, message);
+      this.handleMessage(context, event.peer, peer, message);
     }
   }
 
-  private handleMessage(turn: EntryTurn, agent: string, peer: AgentPeer, message: Message): void {
+  private handleMessage(
+    context: EntryEventContext,
+    agent: string,
+    peer: AgentPeer,
+    message: Message,
+  ): void {
     switch (message.kind) {
       case 'call':
-        answerCall(turn, agent, peer, message.id);
+        handleCall(context, agent, peer, message.id);
         break;
       case 'bid-refused':
-        moveBid(turn, agent, peer, message.id);
+        handleBidRefused(context, agent, peer, message.id);
         break;
       case 'bind-refused':
-        takeBackRequest(turn, agent, peer, message.id, message.reason);
+        requeueRequest(context, agent, peer, message.id, message.reason);
         break;
       case 'answer-start':
       case 'answer-chunk':
       case 'answer-end':
       case 'answer-failed':
-        this.handleAnswer(turn, agent, message);
+        this.handleResponseMessage(context, agent, message);
         break;
       case 'leaving':
-        markLeaving(turn, agent, peer);
-        turn.send(agent, { kind: 'leaving-acknowledged' });
+        markLeaving(context, agent, peer);
+        context.send(agent, { kind: 'leaving-acknowledged' });
         break;
       case 'load':
         peer.load = message;
-        peer.loadReceivedAtMs = turn.nowMs;
+        peer.loadReceivedAtMs = context.nowMs;
         break;
       case 'permit':
-        peer.permitExpiriesMs.push(turn.nowMs + message.validForMs);
+        peer.permitExpiriesMs.push(context.nowMs + message.validForMs);
         break;
       case 'policy-request':
       case 'policy-update':
-        this.handlePolicy(turn, agent, message);
+        this.handlePolicy(context, agent, message);
         break;
       default:
         break;
     }
   }
 
-  private handleAnswer(
-    turn: EntryTurn,
+  private handleResponseMessage(
+    context: EntryEventContext,
     agent: string,
     message: Extract<
       Message,
       { kind: 'answer-start' | 'answer-chunk' | 'answer-end' | 'answer-failed' }
     >,
   ): void {
-    const held = this.findBoundTo(agent, message.id);
-    if (held === undefined) {
-      // Nobody waits for it any more: the agent may forget it, and stop if it still runs.
-      turn.send(agent, { kind: 'cancel', id: message.id });
+    const request = this.findBoundTo(agent, message.id);
+    if (request === undefined) {
+      // No caller awaits this response: the agent may drop it, and stop the request if it runs.
+      context.send(agent, { kind: 'cancel', id: message.id });
       return;
     }
     switch (message.kind) {
       case 'answer-start':
-        startAnswer(turn, held, message.status, message.contentType);
+        startResponse(context, request, message.status, message.contentType);
         break;
       case 'answer-chunk':
-        deliverChunk(turn, agent, held, message);
+        deliverChunk(context, agent, request, message);
         break;
       case 'answer-end':
-        endAnswer(turn, agent, held, message);
+        endResponse(context, agent, request, message);
         break;
       case 'answer-failed':
-        failAnswer(turn, agent, held, message);
+        failResponse(context, agent, request, message);
         break;
     }
   }
 
-  /** The request, if it is bound to this very incarnation of the agent. */
-  private findBoundTo(agent: string, id: RequestId): HeldRequest | undefined {
-    const held = this.state.requests.get(id);
+  /** Returns the request if it is bound to the connected incarnation of the agent. */
+  private findBoundTo(agent: string, id: RequestId): ActiveRequest | undefined {
+    const request = this.state.requests.get(id);
     const peer = this.state.peers.get(agent);
-    const isBoundHere =
-      held?.binding?.agent === agent && held.binding.incarnation === peer?.incarnation;
-    return isBoundHere ? held : undefined;
+    const isBoundToPeer =
+      request?.binding?.agent === agent && request.binding.incarnation === peer?.incarnation;
+    return isBoundToPeer ? request : undefined;
   }
 
-  private resolveClaim(turn: EntryTurn, id: RequestId, outcome: ClaimOutcome): void {
-    const held = this.state.requests.get(id);
-    if (held === undefined || held.phase !== 'claiming') {
+  private resolveClaim(context: EntryEventContext, id: RequestId, outcome: ClaimOutcome): void {
+    const request = this.state.requests.get(id);
+    if (request === undefined || request.phase !== 'claiming') {
       return;
     }
     const { retryAfterMs } = this.state.options;
     if (outcome === 'taken') {
-      const detail = 'this Idempotency-Key was used before; that request may have run';
-      refuseRequest(turn, held, mayHaveRun('duplicate-request', detail));
+      const detail = 'this Idempotency-Key was already used; the earlier request may have run';
+      refuseRequest(context, request, mayHaveRun('duplicate-request', detail));
       return;
     }
     if (outcome === 'unavailable') {
       const detail = 'the Idempotency-Key could not be claimed';
-      refuseRequest(turn, held, notRun('platform-unavailable', detail, retryAfterMs));
+      refuseRequest(context, request, notRun('platform-unavailable', detail, retryAfterMs));
       return;
     }
-    held.hasClaim = true;
-    beginWaiting(turn, held);
+    request.hasClaim = true;
+    enqueueRequest(context, request);
   }
 
-  private handlePolicy(turn: EntryTurn, agent: string, message: PolicyMessage): void {
+  private handlePolicy(context: EntryEventContext, agent: string, message: PolicyMessage): void {
     const { reply, isInstalled } = this.state.exchange.take(message);
     if (reply !== undefined) {
-      turn.send(agent, reply);
+      context.send(agent, reply);
     }
     if (isInstalled) {
-      this.onPolicyInstalled(turn);
+      this.onPolicyInstalled(context);
     }
   }
 
-  private onPolicyInstalled(turn: EntryTurn): void {
-    turn.count('policy.installed');
-    refreshPeers(turn);
-    for (const held of [...this.state.requests.values()]) {
-      this.reviewUnderNewPolicy(turn, held);
+  private onPolicyInstalled(context: EntryEventContext): void {
+    context.count('policy.installed');
+    refreshPeers(context);
+    for (const request of [...this.state.requests.values()]) {
+      this.refuseIfNoLongerPermitted(context, request);
     }
   }
 
-  private reviewUnderNewPolicy(turn: EntryTurn, held: HeldRequest): void {
-    const isUnbound = held.phase !== 'bound';
-    if (isUnbound && permittedEngines(this.state, held).engines.length === 0) {
-      const detail = 'policy changed and no longer permits this request on any engine';
-      refuseRequest(turn, held, notRun('not-permitted', detail));
+  private refuseIfNoLongerPermitted(context: EntryEventContext, request: ActiveRequest): void {
+    const isUnbound = request.phase !== 'bound';
+    if (isUnbound && permittedEngines(this.state, request).engines.length === 0) {
+      const detail = 'the current policy no longer permits this request on any engine';
+      refuseRequest(context, request, notRun('not-permitted', detail));
     }
   }
 
-  private tick(turn: EntryTurn): void {
-    const { checks, requests } = this.state;
-    let next = checks.peek();
-    while (next !== undefined && next.atMs <= turn.nowMs) {
-      checks.pop();
-      const held = requests.get(next.id);
-      if (held?.phase === 'waiting') {
-        checkWaitingRequest(turn, held);
-      } else if (held?.phase === 'bound') {
-        checkLostContact(turn, held);
+  private tick(context: EntryEventContext): void {
+    const { scheduledChecks, requests } = this.state;
+    let next = scheduledChecks.peek();
+    while (next !== undefined && next.atMs <= context.nowMs) {
+      scheduledChecks.pop();
+      const request = requests.get(next.id);
+      if (request?.phase === 'waiting') {
+        checkWaitingRequest(context, request);
+      } else if (request?.phase === 'bound') {
+        checkResumeTimeout(context, request);
       }
-      next = checks.peek();
+      next = scheduledChecks.peek();
     }
-    maintainPeers(turn);
+    maintainPeers(context);
   }
 
-  private finishLeaving(turn: EntryTurn): void {
+  private finishLeaving(context: EntryEventContext): void {
     if (this.state.isLeaving && !this.state.hasLeft && this.state.requests.size === 0) {
       this.state.hasLeft = true;
-      turn.emit({ kind: 'left' });
+      context.emit({ kind: 'left' });
     }
   }
 }
--- a/src/entry/entry-events.ts
+++ b/src/entry/entry-events.ts
@@ -1,4 +1,4 @@
-/** What happens to an entry, and what it does about it. */
+/** Events that an entry core handles, and effects that it returns. */
 import type { Decision, Measurement } from '../decision.js';
 import type { Machine } from '../membership/machine.js';
 import type { PolicyUpdate } from '../policy/replica.js';
@@ -8,29 +8,29 @@
 import type { RequestId } from '../request/request-id.js';
 import type { Tier } from '../request/tier.js';
 
-/** A request as the caller's interface hands it over. */
+/** A request as the HTTP server passes it to the entry core. */
 export interface ArrivedRequest {
   readonly id: RequestId;
   readonly tenant: string;
   readonly model: string;
   readonly dataLabels: Labels;
-  /** The caller may ask for a lower tier than policy gives, never for a higher one. */
+  /** Tier requested by the caller; may be lower than the tier that policy assigns, never higher. */
   readonly requestedTier?: Tier;
-  /** Time from arrival until the answer is of no more use, in milliseconds. */
+  /** Time from arrival until the deadline, in milliseconds. */
   readonly deadlineInMs: number;
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
   readonly prefixHash: string;
-  /** False when the caller marked the request as not repeatable. */
+  /** False if the caller marked the request as not safe to repeat. */
   readonly isRepeatable: boolean;
   readonly idempotencyKey?: string;
   readonly payload: RequestPayload;
 }
 
-/** How the claim of an idempotency key ended. */
+/** Result of claiming an idempotency key. */
 export type ClaimOutcome = 'claimed' | 'taken' | 'unavailable';
 
-/** Anything that happens to an entry. */
+/** An input of the entry core; `peer` is the name of an agent. */
 export type EntryEvent =
   | { readonly kind: 'request-arrived'; readonly request: ArrivedRequest }
   | { readonly kind: 'caller-gone'; readonly id: RequestId }
@@ -57,7 +57,7 @@
   | { readonly kind: 'tick' }
   | { readonly kind: 'leave' };
 
-/** Token counts and times of a whole answer. */
+/** Token counts of a complete response. */
 export interface AnswerUsage {
   readonly engine: string;
   readonly promptTokens: number;
@@ -65,7 +65,7 @@
   readonly outputTokens: number;
 }
 
-/** Anything that an entry does. */
+/** An action that the entry core asks its host to perform. */
 export type EntryEffect =
   | { readonly kind: 'send'; readonly peer: string; readonly message: Message }
   | {
--- a/src/entry/entry-state.ts
+++ b/src/entry/entry-state.ts
@@ -1,4 +1,4 @@
-/** What an entry holds: waiting and bound requests, and the agents it knows. */
+/** State of an entry: waiting and bound requests, and connected agents. */
 import type { Heap } from 'heap-js';
 import type { Machine, ProcessIdentity } from '../membership/machine.js';
 import type { EntryOptions } from '../options.js';
@@ -10,44 +10,46 @@
 import type { RequestDescription } from '../request/request.js';
 import type { RequestId } from '../request/request-id.js';
 import type { EntryEffect } from './entry-events.js';
-import type { EngineSpeeds } from './engine-speeds.js';
+import type { EngineSpeedEstimates } from './engine-speeds.js';
 
-/** Where a request stands. */
+/** Phase of a request at its entry. */
 export type RequestPhase =
   /** Its idempotency key is being claimed. */
   | 'claiming'
-  /** Offered to agents, bound to none. */
+  /** Offered to agents, but not bound. */
   | 'waiting'
-  /** Given to one agent. */
+  /** Assigned to one agent. */
   | 'bound';
 
-/** To whom a request is bound. */
+/** The agent that a request is bound to. */
 export interface Binding {
   readonly agent: string;
   readonly incarnation: string;
   readonly boundAtMs: number;
-  /** When the connection to the agent broke; undefined while it stands. */
-  contactLostAtMs: number | undefined;
+  /** When the connection to the agent was lost; undefined while it is connected. */
+  disconnectedAtMs: number | undefined;
 }
 
-/** A request that this entry holds. */
-export interface HeldRequest {
+/** A request that arrived at this entry and has not ended. */
+export interface ActiveRequest {
   readonly description: RequestDescription;
   readonly arrivedAtMs: number;
   phase: RequestPhase;
-  /** Agents that hold a bid. */
+  /** Agents with an open bid for the request. */
   readonly bids: Set<string>;
-  /** Agents, with incarnation, that refused the request; it is never offered to them again. */
+  /** Keys of agent incarnations that refused the request; it is not offered to them again. */
   readonly refusedBy: Set<string>;
-  /** Since when bids have been urgent at every reachable permitted agent. */
+  /**
+   * When the bids became urgent at all reachable permitted agents that may preempt a lower tier.
+   */
   urgentSinceMs: number | undefined;
-  /** Since when no reachable agent is permitted. */
+  /** Since when no permitted agent has been reachable; undefined while one is. */
   unreachableSinceMs: number | undefined;
   binding: Binding | undefined;
-  /** Number of the next chunk to hand to the caller. */
-  nextChunk: number;
-  hasStartedAnswer: boolean;
-  /** The engines permitted under the policy of `generation`; found anew when that changes. */
+  /** Index of the next chunk to deliver to the caller. */
+  nextChunkIndex: number;
+  hasStartedResponse: boolean;
+  /** Engines permitted by the policy of `generation`; recomputed when the generation changes. */
   permitted: { readonly generation: number; readonly engines: PermittedEngines } | undefined;
   /** Whether the idempotency key is claimed for this request. */
   hasClaim: boolean;
@@ -56,16 +58,16 @@
 /** State of the connection to an agent. */
 export type PeerConnectivity = 'disconnected' | 'connecting' | 'connected';
 
-/** An agent that this entry keeps a connection to. */
+/** An agent in this entry's subset, with the state of its connection. */
 export interface AgentPeer {
   machine: Machine;
   connectivity: PeerConnectivity;
   connectionNumber: number;
-  /** Incarnation at the last hello. */
+  /** Incarnation in the last hello message. */
   incarnation: string | undefined;
-  /** Whether this incarnation said that it leaves. */
+  /** Whether this incarnation sent a leaving message. */
   isLeaving: boolean;
-  /** Whether the list shows the machine as leaving. */
+  /** Whether the machine list marks the agent as leaving. */
   isListedLeaving: boolean;
   lastReceivedAtMs: number;
   lastSentAtMs: number;
@@ -73,39 +75,39 @@
   reconnectDelayMs: number;
   load: LoadMessage | undefined;
   loadReceivedAtMs: number;
-  /** When the permits of this agent lapse, oldest first. */
+  /** Expiry times of the permits received from this agent, oldest first. */
   permitExpiriesMs: number[];
   readonly bids: Set<RequestId>;
   readonly bound: Set<RequestId>;
 }
 
-/** A moment at which a held request must be looked at again. */
-export interface DueCheck {
+/** A scheduled check of a request. */
+export interface ScheduledCheck {
   readonly atMs: number;
   readonly id: RequestId;
 }
 
-/** All that an entry holds; nothing of it outlives the process. */
+/** In-memory state of an entry; none of it survives a restart. */
 export interface EntryState {
   readonly identity: ProcessIdentity;
   readonly options: EntryOptions;
   readonly random: RandomSource;
   readonly replica: PolicyReplica;
   readonly exchange: PolicyExchange;
-  readonly speeds: EngineSpeeds;
-  readonly requests: Map<RequestId, HeldRequest>;
+  readonly speedEstimates: EngineSpeedEstimates;
+  readonly requests: Map<RequestId, ActiveRequest>;
   readonly peers: Map<string, AgentPeer>;
-  readonly checks: Heap<DueCheck>;
+  readonly scheduledChecks: Heap<ScheduledCheck>;
   readonly waitingByTier: Map<number, Set<RequestId>>;
-  readonly heldByTenant: Map<string, number>;
+  readonly activeByTenant: Map<string, number>;
   fleet: readonly Machine[];
   waitingBytes: number;
   isLeaving: boolean;
   hasLeft: boolean;
 }
 
-/** One turn of an entry: its state, the time, and the effects so far. */
-export class EntryTurn {
+/** Context of handling one event: the state, the current time and the effects so far. */
+export class EntryEventContext {
   readonly effects: EntryEffect[] = [];
 
   constructor(
@@ -113,12 +115,12 @@
     readonly nowMs: number,
   ) {}
 
-  /** Adds an effect. */
+  /** Appends an effect to the result. */
   emit(effect: EntryEffect): void {
     this.effects.push(effect);
   }
 
-  /** Sends `message` if the agent is connected. */
+  /** Sends `message`; drops it if the agent is not connected. */
   send(peerName: string, message: Message): void {
     const peer = this.state.peers.get(peerName);
     if (peer?.connectivity !== 'connected') {
@@ -128,14 +130,19 @@
     this.emit({ kind: 'send', peer: peerName, message });
   }
 
-  /** Counts `value` under `metric`. */
+  /** Increments the counter `metric` by `value`. */
   count(metric: string, value = 1, tags?: Readonly<Record<string, string>>): void {
     this.emit({ kind: 'measure', measurement: { metric, value, type: 'count', tags } });
   }
 
-  /** Logs a decision about a request. */
-  decide(action: string, held: HeldRequest, reason: string, chosen?: readonly string[]): void {
-    const { id, tenant, tier } = held.description;
+  /** Appends a decision about a request to the decision log. */
+  logDecision(
+    action: string,
+    request: ActiveRequest,
+    reason: string,
+    chosen?: readonly string[],
+  ): void {
+    const { id, tenant, tier } = request.description;
     const { generation } = this.state.replica;
     this.emit({
       kind: 'decision',
@@ -149,7 +156,7 @@
   }
 }
 
-/** Number of waiting requests. */
+/** Returns the number of waiting requests. */
 export function countWaiting(state: EntryState): number {
   let count = 0;
   for (const ids of state.waitingByTier.values()) {
--- a/src/entry/queries/describe-request.ts
+++ b/src/entry/queries/describe-request.ts
@@ -1,20 +1,20 @@
-/** Query: what an agent is told of a request, in a bid and again in its bind. */
+/** Query for the request fields that both the bid and the bind carry. */
 import type { BidMessage } from '../../protocol/messages.js';
-import type { EntryTurn, HeldRequest } from '../entry-state.js';
+import type { EntryEventContext, ActiveRequest } from '../entry-state.js';
 
-/** The parts of a request that both messages carry. */
-export function describeForAgent(
-  turn: EntryTurn,
-  held: HeldRequest,
+/** Returns the request fields that are common to bids and binds. */
+export function agentRequestFields(
+  context: EntryEventContext,
+  request: ActiveRequest,
 ): Omit<BidMessage, 'kind' | 'isUrgent'> {
-  const { description } = held;
+  const { description } = request;
   return {
     id: description.id,
     tenant: description.tenant,
     model: description.model,
     dataLabels: description.dataLabels,
     tier: description.tier,
-    deadlineInMs: description.deadlineAtMs - turn.nowMs,
+    deadlineInMs: description.deadlineAtMs - context.nowMs,
     promptTokens: description.promptTokens,
     maxOutputTokens: description.maxOutputTokens,
   };
--- a/src/entry/queries/make-room.ts
+++ b/src/entry/queries/make-room.ts
@@ -1,25 +1,26 @@
-/** Queries: may a lower tier make room for a request, and may the request therefore be shed? */
+/** Queries on whether a request may preempt a lower tier, and whether it may be shed. */
 import { isHigherTier } from '../../request/tier.js';
-import type { AgentPeer, EntryState, HeldRequest } from '../entry-state.js';
+import type { AgentPeer, EntryState, ActiveRequest } from '../entry-state.js';
 import { isCandidate } from './rank-agents.js';
 
-/** Age up to which an agent's word of what it serves is relied on, in milliseconds. */
-const FRESH_LOAD_MS = 100;
+/** Maximum age of a load report that is relied on, in milliseconds. */
+const MAX_LOAD_REPORT_AGE_MS = 100;
 
 /**
- * Whether the agent may be serving a lower tier. One that just told of none need not hear of the
- * request: under overload that would be a bid to every agent for every request.
+ * Whether the agent may be serving a lower tier than the request's. An agent whose recent load
+ * report shows none gets no urgent bid: under overload, every request would otherwise be offered to
+ * every agent.
  */
-export function mayMakeRoom(peer: AgentPeer, held: HeldRequest, nowMs: number): boolean {
-  const isHintFresh = nowMs - peer.loadReceivedAtMs < FRESH_LOAD_MS;
+export function mayServeLowerTier(peer: AgentPeer, request: ActiveRequest, nowMs: number): boolean {
+  const isLoadFresh = nowMs - peer.loadReceivedAtMs < MAX_LOAD_REPORT_AGE_MS;
   const lowestTierServed = peer.load?.lowestTierServed ?? 0;
-  return !isHintFresh || isHigherTier(held.description.tier, lowestTierServed);
+  return !isLoadFresh || isHigherTier(request.description.tier, lowestTierServed);
 }
 
-/** Whether every reachable permitted agent just told that it serves no lower tier. */
-export function mayBeShed(state: EntryState, held: HeldRequest, nowMs: number): boolean {
+/** Whether recent load reports show that no reachable permitted agent serves a lower tier. */
+export function canBeShed(state: EntryState, request: ActiveRequest, nowMs: number): boolean {
   for (const [name, peer] of state.peers) {
-    if (isCandidate(state, held, name) && mayMakeRoom(peer, held, nowMs)) {
+    if (isCandidate(state, request, name) && mayServeLowerTier(peer, request, nowMs)) {
       return false;
     }
   }
--- a/src/entry/queries/rank-agents.ts
+++ b/src/entry/queries/rank-agents.ts
@@ -1,29 +1,32 @@
-/** Query: the reachable permitted agents for a request, best first. */
+/** Queries that select and rank the reachable permitted agents for a request. */
 import type { PermittedEngines } from '../../policy/eligibility.js';
 import { withJitter } from '../../random.js';
-import type { AgentPeer, EntryState, HeldRequest } from '../entry-state.js';
+import type { AgentPeer, EntryState, ActiveRequest } from '../entry-state.js';
 
-const RANDOM_SPREAD = 0.1;
+const RANKING_JITTER = 0.1;
 const OTHER_PLACE_PENALTY_MS = 2;
 const OTHER_REGION_PENALTY_MS = 60;
 
-/** An agent and how long a request is expected to take there. */
+/** An agent with the expected completion time of a request there. */
 export interface RankedAgent {
   readonly name: string;
   readonly expectedMs: number;
 }
 
-/** The engines that policy in force permits for the request. */
-export function permittedEngines(state: EntryState, held: HeldRequest): PermittedEngines {
+/** Returns the engines that the installed policy permits for the request. */
+export function permittedEngines(state: EntryState, request: ActiveRequest): PermittedEngines {
   const { generation, permitted } = state.replica;
-  if (held.permitted?.generation !== generation) {
-    held.permitted = { generation, engines: permitted.find(held.description) };
+  if (request.permitted?.generation !== generation) {
+    request.permitted = { generation, engines: permitted.find(request.description) };
   }
-  return held.permitted.engines;
+  return request.permitted.engines;
 }
 
-/** Whether policy in force permits the request on `agentName`, and the agent can take it. */
-export function isCandidate(state: EntryState, held: HeldRequest, agentName: string): boolean {
+/**
+ * Whether the installed policy permits the request on `agentName` and the agent is available for
+ * it.
+ */
+export function isCandidate(state: EntryState, request: ActiveRequest, agentName: string): boolean {
   const peer = state.peers.get(agentName);
   if (peer === undefined || peer.connectivity !== 'connected') {
     return false;
@@ -31,37 +34,39 @@
   if (peer.isLeaving || peer.isListedLeaving) {
     return false;
   }
-  if (held.refusedBy.has(refusalKey(agentName, peer))) {
+  if (request.refusedBy.has(refusalKey(agentName, peer))) {
     return false;
   }
-  return permittedEngines(state, held).engineSet.has(agentName);
+  return permittedEngines(state, request).engineSet.has(agentName);
 }
 
-/** The name under which a refusal by this incarnation of an agent is remembered. */
+/** Returns the key that identifies this incarnation of an agent in the set of refusals. */
 export function refusalKey(agentName: string, peer: AgentPeer): string {
   return `${agentName}/${peer.incarnation}`;
 }
 
-/** The reachable permitted agents that hold no bid of the request yet, best first. */
-export function rankAgents(state: EntryState, held: HeldRequest): RankedAgent[] {
+/** Returns the reachable permitted agents without a bid for the request, best first. */
+export function rankAgents(state: EntryState, request: ActiveRequest): RankedAgent[] {
   const ranked: RankedAgent[] = [];
   for (const [name, peer] of state.peers) {
-    if (!held.bids.has(name) && isCandidate(state, held, name)) {
-      const expected = expectedCompletionMs(state, held, name, peer);
-      ranked.push({ name, expectedMs: withJitter(state.random, expected, RANDOM_SPREAD) });
+    if (!request.bids.has(name) && isCandidate(state, request, name)) {
+      const expected = expectedCompletionMs(state, request, name, peer);
+      ranked.push({ name, expectedMs: withJitter(state.random, expected, RANKING_JITTER) });
     }
   }
   return ranked.sort((left, right) => left.expectedMs - right.expectedMs);
 }
 
-/** The shortest expected service time among reachable permitted agents, as though they were idle. */
-export function bestServiceMs(state: EntryState, held: HeldRequest): number | undefined {
+/**
+ * Returns the shortest expected service time among reachable permitted agents, ignoring their load.
+ */
+export function shortestServiceMs(state: EntryState, request: ActiveRequest): number | undefined {
   let best: number | undefined;
   for (const name of state.peers.keys()) {
-    if (!isCandidate(state, held, name)) {
+    if (!isCandidate(state, request, name)) {
       continue;
     }
-    const serviceMs = learnedServiceMs(state, held, name);
+    const serviceMs = estimatedServiceMs(state, request, name);
     if (best === undefined || serviceMs < best) {
       best = serviceMs;
     }
@@ -69,21 +74,21 @@
   return best;
 }
 
-/** Expected service time; zero for an engine that nothing is known of, which therefore gets a try. */
-function learnedServiceMs(state: EntryState, held: HeldRequest, name: string): number {
-  return state.speeds.samplesOf(name) === 0
+/** Returns the expected service time; zero for an engine without samples, so that it is tried. */
+function estimatedServiceMs(state: EntryState, request: ActiveRequest, name: string): number {
+  return state.speedEstimates.sampleCount(name) === 0
     ? 0
-    : state.speeds.expectedServiceMs(name, held.description);
+    : state.speedEstimates.expectedServiceMs(name, request.description);
 }
 
-/** Expected time from now to the end of the answer on one agent's engine. */
+/** Returns the expected time from now to the end of the response on one agent's engine. */
 export function expectedCompletionMs(
   state: EntryState,
-  held: HeldRequest,
+  request: ActiveRequest,
   name: string,
   peer: AgentPeer,
 ): number {
-  const serviceMs = state.speeds.expectedServiceMs(name, held.description);
+  const serviceMs = state.speedEstimates.expectedServiceMs(name, request.description);
   const waiting = peer.bids.size + (peer.load?.waitingBids ?? 0);
   const running = Math.max(peer.bound.size, peer.load?.running ?? 0);
   const capacity = peer.load?.capacity ?? 1;
--- a/test/agent.test.ts
+++ b/test/agent.test.ts
@@ -72,7 +72,7 @@
     .map((effect) => (effect.kind === 'send' ? effect.message.kind : effect.kind));
 }
 
-test('a request that was never received is refused for good, also when its bind comes late', (t) => {
+test('an agent refuses a late bind of a request that it reported as never received', (t) => {
   const core = createAgent();
   const id = `${PEER}:7`;
   t.deepEqual(kinds(send(core, { kind: 'resume-answer', id, fromChunk: 0 })), ['bind-refused']);
@@ -80,7 +80,7 @@
   t.deepEqual(kinds(late), ['bind-refused']);
 });
 
-test('a request whose record was dropped is told as unknown, not as never started', (t) => {
+test('an agent that dropped the record of a request reports that it may have run', (t) => {
   const core = createAgent();
   send(core, bind(1, 1));
   const usage = { promptTokens: 1, cachedPromptTokens: 0, outputTokens: 1 };
@@ -95,13 +95,13 @@
   t.deepEqual(kinds(resumed), ['answer-failed']);
 });
 
-test('a bind that comes twice starts the engine once', (t) => {
+test('a duplicate bind starts the request on the engine once', (t) => {
   const core = createAgent({ capacity: 4 });
   t.deepEqual(kinds(send(core, bind(1, 1))), ['engine-start']);
   t.deepEqual(kinds(send(core, bind(1, 1))), []);
 });
 
-test('messages of an older connection and about another entry are dropped', (t) => {
+test('an agent ignores messages of an earlier connection or for another entry', (t) => {
   const core = createAgent();
   connect(core, 2);
   t.deepEqual(send(core, bind(1, 1), 1, 1), []);
@@ -109,14 +109,14 @@
   t.deepEqual(kinds(send(core, foreign, 1, 2)), []);
 });
 
-test('a permit gives no right to a full engine nor to pass a higher tier', (t) => {
+test('a bind under a permit is refused at a full engine and preempts no lower tier', (t) => {
   const core = createAgent();
   send(core, bind(1, 3));
   t.deepEqual(kinds(send(core, bind(2, 1, true))), ['bind-refused']);
   t.deepEqual(kinds(send(core, bind(3, 1))), ['engine-pause', 'engine-start']);
 });
 
-test('an urgent bid of a higher tier is called at once; the lower tier makes room at its bind', (t) => {
+test('an urgent bid of a higher tier is called at once and its bind preempts a lower tier', (t) => {
   const core = createAgent();
   send(core, bind(1, 3));
   t.deepEqual(kinds(send(core, bid(2, 1))), []);
@@ -124,7 +124,7 @@
   t.deepEqual(kinds(send(core, bind(2, 1))), ['engine-pause', 'engine-start']);
 });
 
-test('a leaving agent calls nothing, refuses binds and leaves once all is acknowledged', (t) => {
+test('a leaving agent refuses bids and binds, and exits after all acknowledgements', (t) => {
   const core = createAgent();
   send(core, bind(1, 1));
   t.deepEqual(kinds(core.handle({ kind: 'leave' }, 2)), ['leaving']);
@@ -140,14 +140,14 @@
   t.deepEqual(kinds(send(core, { kind: 'leaving-acknowledged' })), ['left']);
 });
 
-test('a list that lags does not make a replaced process leave', (t) => {
+test('a machine list that still shows the previous process as leaving is ignored', (t) => {
   const core = createAgent();
   t.deepEqual(kinds(core.handle({ kind: 'fleet', ownState: 'leaving' }, 1)), []);
   core.handle({ kind: 'fleet', ownState: 'live' }, 2);
   t.deepEqual(kinds(core.handle({ kind: 'fleet', ownState: 'leaving' }, 3)), ['leaving']);
 });
 
-test('a bind that waited while the process was paused is refused, a later one is not', (t) => {
+test('a bind that arrived while the process was paused is refused, a later one is not', (t) => {
   const core = createAgent();
   core.handle({ kind: 'tick' }, 100);
   t.deepEqual(kinds(send(core, bind(1, 1), 30_000)), ['bind-refused']);
@@ -155,7 +155,7 @@
   t.deepEqual(kinds(send(core, bind(2, 1), 30_300)), ['engine-start']);
 });
 
-test('an idle agent that leaves still refuses a bind that was under way', (t) => {
+test('an idle agent that is leaving refuses a bind in transit before it leaves', (t) => {
   const core = createAgent();
   t.deepEqual(kinds(core.handle({ kind: 'leave' }, 2)), ['leaving']);
   t.deepEqual(kinds(send(core, bind(1, 1))), ['bind-refused']);
--- a/test/entry.test.ts
+++ b/test/entry.test.ts
@@ -6,7 +6,7 @@
 
 const AGENT = 'a-1';
 
-/** An entry with one connected agent that sent a permit at time 0. */
+/** Creates an entry with one connected agent that sent a permit at time 0. */
 function createEntryWithPermit(): EntryCore {
   const core = new EntryCore({
     identity: { name: 'entry', incarnation: 'entry.1', region: 'r', zone: 'z', place: 'hall-a' },
@@ -47,10 +47,10 @@
     .flatMap((effect) => (effect.kind === 'send' ? [effect.message.kind] : []));
 }
 
-test('a permit of an agent heard of lately binds at once', (t) => {
+test('an entry uses the permit of an agent that sent a message recently', (t) => {
   t.deepEqual(sentAt(createEntryWithPermit(), 500), ['bind']);
 });
 
-test('a permit of an agent that fell silent is not used: it may be frozen', (t) => {
+test('an entry does not use the permit of a silent agent, which may be frozen', (t) => {
   t.deepEqual(sentAt(createEntryWithPermit(), 1_500), ['bid']);
 });
