--- a/bench/quotas.ts
+++ b/bench/quotas.ts
@@ -37,10 +37,16 @@
       fault,
       gateways: Number(options['gateways']),
       seed,
-      lengthMs: Number(options['seconds']) * 1_000,
+      durationMs: Number(options['seconds']) * 1_000,
       basePort: Number(options['port']) + (run % 10) * 10,
     });
-    const { worstShare, averageShare, calmRefused, furtherTries, folder } = report;
+    const {
+      peakShare: worstShare,
+      averageShare,
+      moderateRefusedShare: calmRefused,
+      repeatedExecutions: furtherTries,
+      folder,
+    } = report;
     failed += worstShare > 1 ? 1 : 0;
     const shares = [worstShare, averageShare, calmRefused].map((figure) => figure.toFixed(3));
     console.log(
--- a/bench/soak/loopback-proxy.ts
+++ b/bench/soak/loopback-proxy.ts
@@ -10,7 +10,7 @@
 
 /** A TCP proxy on loopback with injectable faults. */
 export class LoopbackProxy {
-  mood: ProxyBehavior = 'passes';
+  behavior: ProxyBehavior = 'passes';
   private readonly server: Server;
   private readonly sockets = new Set<Socket>();
   private isClosed = false;
@@ -56,7 +56,7 @@
   }
 
   private accept(client: Socket): void {
-    if (this.mood === 'resets') {
+    if (this.behavior === 'resets') {
       client.resetAndDestroy();
       return;
     }
@@ -69,10 +69,10 @@
     this.sockets.add(from);
     from.setNoDelay(true);
     from.on('data', (bytes: Buffer) => {
-      if (this.mood === dropBehavior) {
+      if (this.behavior === dropBehavior) {
         return;
       }
-      const delayMs = this.mood === 'delays' ? DELAY_MS : 0;
+      const delayMs = this.behavior === 'delays' ? DELAY_MS : 0;
       if (delayMs === 0) {
         to.write(bytes);
       } else {
--- a/bench/soak/quota-run.ts
+++ b/bench/soak/quota-run.ts
@@ -31,7 +31,7 @@
   readonly gateways: number;
   readonly seed: number;
   /** Duration of the fault and of the load, in milliseconds. */
-  readonly lengthMs: number;
+  readonly durationMs: number;
   /** First port; each host uses several. */
   readonly basePort: number;
 }
@@ -39,13 +39,13 @@
 /** Results of a run. */
 export interface QuotaRunReport {
   /** Peak usage of the overloading tenant in a window, as a fraction of the allowed maximum. */
-  readonly worstShare: number;
+  readonly peakShare: number;
   /** Average usage of the overloading tenant, as a fraction of its rate. */
   readonly averageShare: number;
   /** Fraction of the moderate tenant's requests that were refused as over quota. */
-  readonly calmRefused: number;
+  readonly moderateRefusedShare: number;
   /** Number of executions beyond the first of each request. */
-  readonly furtherTries: number;
+  readonly repeatedExecutions: number;
   /** Folder that contains the processes' logs. */
   readonly folder: string;
 }
@@ -137,7 +137,7 @@
     const fromMs = performance.now();
     this.runEvery(SEND_INTERVAL_MS, () => this.sendDue(SEND_INTERVAL_MS));
     this.startFault();
-    await delay(this.options.lengthMs);
+    await delay(this.options.durationMs);
     const untilMs = performance.now();
     this.stopTimers();
     await delay(MS_PER_S);
@@ -297,10 +297,12 @@
       ({ tenant }) => tenant === MODERATE_TENANT.name,
     );
     return {
-      worstShare: maxTokensInWindow(executed) / MAX_WINDOW_TOKENS,
+      peakShare: maxTokensInWindow(executed) / MAX_WINDOW_TOKENS,
       averageShare: total / seconds / RATE_PER_S,
-      calmRefused: moderate.filter(({ status }) => status === 429).length / moderate.length,
-      furtherTries: this.executions.length - new Set(this.executions.map(({ id }) => id)).size,
+      moderateRefusedShare:
+        moderate.filter(({ status }) => status === 429).length / moderate.length,
+      repeatedExecutions:
+        this.executions.length - new Set(this.executions.map(({ id }) => id)).size,
       folder: this.processes.folder,
     };
   }
--- a/bench/soak/soak-faults.ts
+++ b/bench/soak/soak-faults.ts
@@ -113,11 +113,11 @@
     const proxies = fleet.backendProxies.filter(isInZone);
     markDisrupted(fleet.gateways, durationMs);
     agents.forEach((agent) => agent.signal('SIGSTOP'));
-    proxies.forEach((proxy) => (proxy.mood = behavior));
+    proxies.forEach((proxy) => (proxy.behavior = behavior));
     setTimeout(() => {
       agents.forEach((agent) => agent.signal('SIGCONT'));
       proxies.forEach((proxy) => {
-        proxy.mood = 'passes';
+        proxy.behavior = 'passes';
         proxy.resetAll();
       });
     }, durationMs);
@@ -181,12 +181,12 @@
   const behavior = pick(random, behaviors);
   const durationMs = randomInteger(random, 300, 1_500);
   markDisrupted(affected, durationMs);
-  proxy.mood = behavior;
+  proxy.behavior = behavior;
   if (behavior === 'resets') {
     proxy.resetAll();
   }
   setTimeout(() => {
-    proxy.mood = 'passes';
+    proxy.behavior = 'passes';
     proxy.resetAll();
   }, durationMs);
   return `link ${behavior} for ${durationMs} ms`;
--- a/bench/soak/soak-fleet.ts
+++ b/bench/soak/soak-fleet.ts
@@ -291,7 +291,7 @@
   }
 
   private async startBackend(index: number): Promise<void> {
-    const isLinkHealthy = () => this.backendProxies[index]?.mood === 'passes';
+    const isLinkHealthy = () => this.backendProxies[index]?.behavior === 'passes';
     const backend = new SoakBackend(`e-${index}`, this.random, this.onExecution, isLinkHealthy);
     await backend.start(backendHost(index), this.basePort + PORTS.real);
     const proxy = new LoopbackProxy(backendHost(index), this.basePort + PORTS.real);
--- a/src/agent/agent-core.ts
+++ b/src/agent/agent-core.ts
@@ -6,8 +6,8 @@
  */
 import type { Machine, ProcessIdentity } from '../membership/machine.js';
 import type { AgentOptions } from '../options.js';
-import { PolicyExchange } from '../policy/exchange.js';
-import type { PolicyMessage } from '../policy/exchange.js';
+import { PolicySynchronizer } from '../policy/exchange.js';
+import type { PolicySyncMessage } from '../policy/exchange.js';
 import { PolicyReplica } from '../policy/replica.js';
 import type { HelloMessage, Message } from '../protocol/messages.js';
 import { entryIncarnationOf } from '../request/request-id.js';
@@ -25,7 +25,7 @@
   handleEngineEvent,
   resumeResponse,
 } from './commands/stream-answer.js';
-import { describeLoad } from './queries/engine-load.js';
+import { createLoadMessage } from './queries/engine-load.js';
 import { RequestRecords } from './request-records.js';
 
 /** Values that an agent core is constructed from. */
@@ -47,7 +47,7 @@
     this.state = {
       ...parts,
       replica,
-      exchange: new PolicyExchange(replica),
+      exchange: new PolicySynchronizer(replica),
       peers: new Map(),
       bids: new BidQueue((tenant) => replica.policy.tenants.get(tenant)?.weight ?? 1),
       calls: new Map(),
@@ -126,7 +126,7 @@
         engineRequest.orphanedAtMs = undefined;
       }
     }
-    context.send(hello.incarnation, describeLoad(this.state));
+    context.send(hello.incarnation, createLoadMessage(this.state));
     if (this.state.isLeaving) {
       context.send(hello.incarnation, { kind: 'leaving' });
     }
@@ -219,8 +219,8 @@
     }
   }
 
-  private handlePolicy(context: AgentEventContext, peer: string, message: PolicyMessage): void {
-    const { reply, isInstalled } = this.state.exchange.take(message);
+  private handlePolicy(context: AgentEventContext, peer: string, message: PolicySyncMessage): void {
+    const { reply, isInstalled } = this.state.exchange.handleMessage(message);
     if (reply !== undefined) {
       context.send(peer, reply);
     }
--- a/src/agent/agent-state.ts
+++ b/src/agent/agent-state.ts
@@ -1,7 +1,7 @@
 /** State of an agent: bids, calls, running requests and unacknowledged responses. */
 import type { ProcessIdentity } from '../membership/machine.js';
 import type { AgentOptions } from '../options.js';
-import type { PolicyExchange } from '../policy/exchange.js';
+import type { PolicySynchronizer } from '../policy/exchange.js';
 import type { PolicyReplica } from '../policy/replica.js';
 import type { BindMessage, Message } from '../protocol/messages.js';
 import type { RequestId } from '../request/request-id.js';
@@ -61,7 +61,7 @@
   readonly identity: ProcessIdentity;
   readonly options: AgentOptions;
   readonly replica: PolicyReplica;
-  readonly exchange: PolicyExchange;
+  readonly exchange: PolicySynchronizer;
   /** Connected entries by incarnation. */
   readonly peers: Map<string, EntryPeer>;
   readonly bids: BidQueue;
--- a/src/agent/commands/call-bids.ts
+++ b/src/agent/commands/call-bids.ts
@@ -6,7 +6,7 @@
 import type { QueuedBid } from '../bid-queue.js';
 import {
   countOccupiedSlots,
-  describeLoad,
+  createLoadMessage,
   findPreemptible,
   findNextToResume,
   requestsInPhase,
@@ -68,7 +68,7 @@
  */
 export function sendLoadForUrgentBids(context: AgentEventContext): void {
   for (const peer of context.urgentBidPeers) {
-    context.send(peer, describeLoad(context.state));
+    context.send(peer, createLoadMessage(context.state));
   }
 }
 
@@ -144,7 +144,7 @@
   const peer = context.state.peers.get(peerName);
   if (peer !== undefined && context.nowMs - peer.lastLoadSentAtMs >= LOAD_INTERVAL_MS) {
     peer.lastLoadSentAtMs = context.nowMs;
-    context.send(peerName, describeLoad(context.state));
+    context.send(peerName, createLoadMessage(context.state));
   }
 }
 
--- a/src/agent/queries/engine-load.ts
+++ b/src/agent/queries/engine-load.ts
@@ -50,7 +50,7 @@
 }
 
 /** Creates the load report that is sent to entries. */
-export function describeLoad(state: AgentState): LoadMessage {
+export function createLoadMessage(state: AgentState): LoadMessage {
   const running = requestsInPhase(state, 'running');
   return {
     kind: 'load',
--- a/src/bin/demo.ts
+++ b/src/bin/demo.ts
@@ -5,7 +5,7 @@
 import { Command } from 'commander';
 import { callEntry } from '../demo/demo-caller.js';
 import type { CallerOutcome, PlannedRequest } from '../demo/demo-caller.js';
-import { findFaults, formatReport, readAccount } from '../demo/demo-report.js';
+import { findViolations, formatReport, fetchBackendRecords } from '../demo/demo-report.js';
 import { readFleet, readWorkload } from '../demo/fleet-file.js';
 import type { WorkloadClass } from '../demo/fleet-file.js';
 import { LocalFleet } from '../demo/local-fleet.js';
@@ -59,7 +59,7 @@
   options: DemoOptions,
 ): Promise<string[]> {
   const planned = planRequests(workload, Number(options.requests));
-  const entries = fleet.ofKind('entry');
+  const entries = fleet.processesOfKind('entry');
   const pending: Array<Promise<CallerOutcome>> = [];
   const intervalMs = 1_000 / Number(options.rate);
   const startedAtMs = performance.now();
@@ -67,7 +67,7 @@
     const dueInMs = startedAtMs + index * intervalMs - performance.now();
     await new Promise((resolve) => setTimeout(resolve, Math.max(0, dueInMs)));
     if (options.kill !== undefined && index === Math.floor(planned.length * KILL_AFTER_SHARE)) {
-      const target = fleet.ofKind(options.kill)[0]!;
+      const target = fleet.processesOfKind(options.kill)[0]!;
       print(`killing ${options.kill} ${target.name}`);
       fleet.kill(target);
     }
@@ -77,10 +77,10 @@
     }
   }
   const outcomes = await Promise.all(pending);
-  const backends = [...fleet.ofKind('engine'), ...fleet.ofKind('service')];
-  const backendReports = await Promise.all(backends.map(readAccount));
+  const backends = [...fleet.processesOfKind('engine'), ...fleet.processesOfKind('service')];
+  const backendReports = await Promise.all(backends.map(fetchBackendRecords));
   process.stdout.write(`\n${formatReport(workload, outcomes, backendReports)}\n\n`);
-  return findFaults(workload, outcomes, backendReports, options.kill !== undefined);
+  return findViolations(workload, outcomes, backendReports, options.kill !== undefined);
 }
 
 /** Sends a request to the entries in round-robin order, skipping any that refuses connections. */
--- a/src/bin/run-process.ts
+++ b/src/bin/run-process.ts
@@ -23,7 +23,7 @@
   /** Creates the adapter for the platform whose store is at `storeAddress` (IP:PORT). */
   createAdapter(storeAddress: string, storeTimeoutMs: number): GatewayAdapter;
   /** Creates the probe of the engine at `address` (IP:PORT). */
-  createEngineReport(address: string): EngineProbe;
+  createEngineProbe(address: string): EngineProbe;
 }
 
 const EXIT_BAD_SETTINGS = 2;
@@ -89,7 +89,7 @@
     places: new ZoneTopology(places.zones),
     limits,
     decode,
-    probeEngine: dependencies.createEngineReport(engine.address),
+    probeEngine: dependencies.createEngineProbe(engine.address),
     clock: SYSTEM_CLOCK,
     random: createRandom(),
     log,
--- a/src/bin/weirvale.ts
+++ b/src/bin/weirvale.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /** Command-line tool: prints expected failures as one message and sets the exit code. */
-import { CommandFailure } from '../cli/context.js';
+import { CommandError } from '../cli/context.js';
 import { EXIT } from '../cli/exit-codes.js';
 import { createProgram } from '../cli/program.js';
 
@@ -11,7 +11,7 @@
   });
   await program.parseAsync();
 } catch (cause) {
-  if (!(cause instanceof CommandFailure)) {
+  if (!(cause instanceof CommandError)) {
     throw cause;
   }
   process.stderr.write(`${cause.message}\n`);
--- a/src/cli/commands/change-policy.ts
+++ b/src/cli/commands/change-policy.ts
@@ -1,7 +1,7 @@
 /** Commands that change the active policy. */
 import { randomUUID } from 'node:crypto';
 import { userInfo } from 'node:os';
-import { findEdits } from '../../policy/change.js';
+import { diffPolicies } from '../../policy/change.js';
 import type { PolicyEdit } from '../../policy/change.js';
 import { policyEntrySchema } from '../../policy/document.js';
 import type { PolicyDocument, PolicyEntry } from '../../policy/document.js';
@@ -9,8 +9,8 @@
 import { changePolicy } from '../../policy/store.js';
 import type { StoredPolicy } from '../../policy/store.js';
 import {
-  toCommandFailure,
-  CommandFailure,
+  toCommandError,
+  CommandError,
   createKeyValueClient,
   printOutput,
   readPolicy,
@@ -23,7 +23,7 @@
 /** Applies a complete policy file as one change. */
 export async function applyPolicyFile(path: string, options: GlobalOptions): Promise<void> {
   const desired = readPolicyFile(path);
-  await submitChange(options, `apply ${path}`, (stored) => findEdits(stored.document, desired));
+  await submitChange(options, `apply ${path}`, (stored) => diffPolicies(stored.document, desired));
 }
 
 /** Adds labels to a policy entry, or changes their values. */
@@ -59,7 +59,7 @@
   const parsed = policyEntrySchema.safeParse(entryFromPairs('selector', pairs.map(parsePair)));
   if (!parsed.success) {
     const lines = parsed.error.issues.map((issue) => `${issue.path.join('.')}: ${issue.message}`);
-    throw new CommandFailure(EXIT.badInput, lines.join('\n'));
+    throw new CommandError(EXIT.badInput, lines.join('\n'));
   }
   const edit = { entry: `selector.${name}`, after: parsed.data };
   await submitChange(options, `selector ${name}`, () => [edit]);
@@ -83,7 +83,7 @@
   await submitChange(options, `${entryName}: ${summary}`, (stored) => {
     const before = requireEntry(stored.document, entryName);
     if (!('labels' in before)) {
-      throw new CommandFailure(EXIT.badInput, `${entryName} has no labels`);
+      throw new CommandError(EXIT.badInput, `${entryName} has no labels`);
     }
     return [{ entry: entryName, after: { ...before, labels: edit(before.labels) } }];
   });
@@ -107,10 +107,10 @@
     atMs: Date.now(),
     summary,
     edits,
-    seen: stored.document,
+    baseDocument: stored.document,
   });
   if (!result.ok) {
-    throw toCommandFailure(result.val);
+    throw toCommandError(result.val);
   }
   const { generation } = result.val;
   printOutput(
@@ -123,7 +123,7 @@
 function requireEntry(document: PolicyDocument, name: string): PolicyEntry {
   const entry = document[name];
   if (entry === undefined) {
-    throw new CommandFailure(EXIT.badInput, `the policy has no entry "${name}"`);
+    throw new CommandError(EXIT.badInput, `the policy has no entry "${name}"`);
   }
   return entry;
 }
--- a/src/cli/context.ts
+++ b/src/cli/context.ts
@@ -21,7 +21,7 @@
 }
 
 /** Ends a command with an exit code and an error message for the user. */
-export class CommandFailure extends WeirvaleError {
+export class CommandError extends WeirvaleError {
   readonly code = 'command-failed';
 
   constructor(
@@ -42,7 +42,7 @@
 export function createKeyValueClient(options: GlobalOptions): KeyValueClient {
   const url = options.platform ?? process.env[PLATFORM_ENV_VARIABLE];
   if (url === undefined) {
-    throw new CommandFailure(
+    throw new CommandError(
       EXIT.badInput,
       `no platform URL: use --platform or set ${PLATFORM_ENV_VARIABLE}`,
     );
@@ -54,7 +54,7 @@
 export async function readPolicy(client: KeyValueClient): Promise<StoredPolicy> {
   const stored = await readStoredPolicy(client);
   if (!stored.ok) {
-    throw new CommandFailure(EXIT.platformUnavailable, stored.val.message);
+    throw new CommandError(EXIT.platformUnavailable, stored.val.message);
   }
   return stored.val;
 }
@@ -70,7 +70,7 @@
   const parsed = parsePolicyIni(readInputFile(path));
   if (!parsed.ok) {
     const lines = parsed.val.problems.map((problem) => `${path}: ${describeProblem(problem)}`);
-    throw new CommandFailure(EXIT.badInput, lines.join('\n'));
+    throw new CommandError(EXIT.badInput, lines.join('\n'));
   }
   return parsed.val;
 }
@@ -80,26 +80,29 @@
   try {
     return readFileSync(path, 'utf8');
   } catch (cause) {
-    throw new CommandFailure(EXIT.badInput, `cannot read ${path}: ${(cause as Error).message}`);
+    throw new CommandError(EXIT.badInput, `cannot read ${path}: ${(cause as Error).message}`);
   }
 }
 
 /** Converts the error of a policy change to an error message and an exit code. */
-export function toCommandFailure(error: PolicyChangeError): CommandFailure {
+export function toCommandError(error: PolicyChangeError): CommandError {
   switch (error.code) {
     case 'policy-conflict': {
       const theirs =
-        error.theirs === undefined ? 'removed\n' : formatEntry(error.entry, error.theirs);
-      const yours = error.yours === undefined ? 'removed\n' : formatEntry(error.entry, error.yours);
+        error.storedEntry === undefined ? 'removed\n' : formatEntry(error.entry, error.storedEntry);
+      const yours =
+        error.requestedEntry === undefined
+          ? 'removed\n'
+          : formatEntry(error.entry, error.requestedEntry);
       const message = `${error.message}\n--- active\n${theirs}--- yours\n${yours}`;
-      return new CommandFailure(EXIT.conflict, message);
+      return new CommandError(EXIT.conflict, message);
     }
     case 'invalid-policy': {
       const lines = error.problems.map(describeProblem);
-      return new CommandFailure(EXIT.badInput, lines.join('\n'));
+      return new CommandError(EXIT.badInput, lines.join('\n'));
     }
     case 'policy-store-unavailable':
-      return new CommandFailure(EXIT.platformUnavailable, error.message);
+      return new CommandError(EXIT.platformUnavailable, error.message);
   }
 }
 
@@ -117,7 +120,7 @@
 export function parsePair(pair: string): [string, string] {
   const equals = pair.indexOf('=');
   if (equals < 1) {
-    throw new CommandFailure(EXIT.badInput, `"${pair}" is not of the form key=value`);
+    throw new CommandError(EXIT.badInput, `"${pair}" is not of the form key=value`);
   }
   return [pair.slice(0, equals), pair.slice(equals + 1)];
 }
--- a/src/cli/queries/explain-logs.ts
+++ b/src/cli/queries/explain-logs.ts
@@ -1,6 +1,6 @@
 /** Explains how one request was handled, from the log files of several processes. */
 import { readFileSync } from 'node:fs';
-import { CommandFailure, printOutput } from '../context.js';
+import { CommandError, printOutput } from '../context.js';
 import type { GlobalOptions } from '../context.js';
 import type { ExhaustedQuota } from '../../gateway/admission/gateway-refusal.js';
 import type { RegionReport } from '../../gateway/homes/home-report.js';
@@ -97,7 +97,7 @@
   lines.sort((left, right) => (left.time < right.time ? -1 : 1));
   const own = lines.filter((line) => line.request === id);
   if (own.length === 0) {
-    throw new CommandFailure(EXIT.failed, `no log line for request ${id} in these files`);
+    throw new CommandError(EXIT.failed, `no log line for request ${id} in these files`);
   }
   const stateChanges = own.flatMap((line) => findStateChanges(lines, line));
   const text = [
@@ -112,7 +112,7 @@
   try {
     text = readFileSync(file, 'utf8');
   } catch (cause) {
-    throw new CommandFailure(EXIT.badInput, `${file}: ${(cause as Error).message}`);
+    throw new CommandError(EXIT.badInput, `${file}: ${(cause as Error).message}`);
   }
   return text.split('\n').flatMap(parseLine);
 }
--- a/src/cli/queries/run-experiment.ts
+++ b/src/cli/queries/run-experiment.ts
@@ -6,7 +6,7 @@
 import type { OutcomeTotals } from '../../model/model-value.js';
 import type { ExperimentResult } from '../../model/run-experiment.js';
 import { runOnThreads } from '../../thread-pool.js';
-import { CommandFailure, printOutput, readInputFile, showProgress } from '../context.js';
+import { CommandError, printOutput, readInputFile, showProgress } from '../context.js';
 import type { GlobalOptions } from '../context.js';
 import { EXIT } from '../exit-codes.js';
 
@@ -26,7 +26,7 @@
 export async function runExperimentFile(path: string, options: ExperimentArguments): Promise<void> {
   const parsed = parseExperiment(readInputFile(path));
   if (!parsed.ok) {
-    throw new CommandFailure(EXIT.badInput, `${path}:\n${parsed.val.message}`);
+    throw new CommandError(EXIT.badInput, `${path}:\n${parsed.val.message}`);
   }
   const seeds = parseCount('seeds', options.seeds);
   const jobs = Array.from({ length: seeds }, (_, index) => ({
@@ -110,7 +110,7 @@
 function parseCount(name: string, text: string): number {
   const count = Number(text);
   if (!Number.isInteger(count) || count < 1) {
-    throw new CommandFailure(EXIT.badInput, `--${name} must be a whole number of at least 1`);
+    throw new CommandError(EXIT.badInput, `--${name} must be a whole number of at least 1`);
   }
   return count;
 }
--- a/src/cli/queries/run-simulation.ts
+++ b/src/cli/queries/run-simulation.ts
@@ -6,7 +6,7 @@
 import type { Fault } from '../../sim/fault.js';
 import { runSchedule, scheduleOf, searchSeeds, shrinkSchedule } from '../../sim/search.js';
 import type { SeedResult, SeedRun } from '../../sim/search.js';
-import { CommandFailure, printOutput, readInputFile, showProgress } from '../context.js';
+import { CommandError, printOutput, readInputFile, showProgress } from '../context.js';
 import type { GlobalOptions } from '../context.js';
 import { EXIT } from '../exit-codes.js';
 
@@ -56,7 +56,7 @@
 export async function replaySimulation(path: string, options: GlobalOptions): Promise<void> {
   const parsed = replaySchema.safeParse(JSON.parse(readInputFile(path)));
   if (!parsed.success) {
-    throw new CommandFailure(EXIT.badInput, `${path} is not a fault schedule saved by a search`);
+    throw new CommandError(EXIT.badInput, `${path} is not a fault schedule saved by a search`);
   }
   const { run, faults } = parsed.data;
   printResult(options, run, await runSchedule(run, faults), faults);
@@ -140,11 +140,11 @@
 
 function parseSeedRun(options: SimulationArguments, seed: number): SeedRun {
   if (options.deployment !== 'factoring' && options.deployment !== 'guild') {
-    throw new CommandFailure(EXIT.badInput, '--deployment must be factoring or guild');
+    throw new CommandError(EXIT.badInput, '--deployment must be factoring or guild');
   }
   if (FAULT_SETS[options.faults] === undefined) {
     const names = Object.keys(FAULT_SETS).join(', ');
-    throw new CommandFailure(EXIT.badInput, `--faults must be one of ${names}`);
+    throw new CommandError(EXIT.badInput, `--faults must be one of ${names}`);
   }
   return {
     deployment: options.deployment satisfies DeploymentName,
@@ -159,7 +159,7 @@
 function parseSeedRange(text: string): number[] {
   const match = /^(\d+)\.\.(\d+)$/.exec(text);
   if (match === null) {
-    throw new CommandFailure(EXIT.badInput, '--seeds must be of the form FIRST..LAST');
+    throw new CommandError(EXIT.badInput, '--seeds must be of the form FIRST..LAST');
   }
   const [first, last] = [Number(match[1]), Number(match[2])];
   return Array.from({ length: Math.max(0, last - first + 1) }, (_, index) => first + index);
--- a/src/cli/queries/show-policy.ts
+++ b/src/cli/queries/show-policy.ts
@@ -1,5 +1,5 @@
 /** Policy queries: check, diff, show, history, explain. */
-import { findEdits } from '../../policy/change.js';
+import { diffPolicies } from '../../policy/change.js';
 import { explainRequest } from '../../policy/explain.js';
 import type { EngineExplanation, RequestExplanation } from '../../policy/explain.js';
 import { formatPolicyIni } from '../../policy/ini-policy.js';
@@ -28,7 +28,7 @@
 export async function diffPolicyFile(path: string, options: GlobalOptions): Promise<void> {
   const desired = readPolicyFile(path);
   const stored = await readPolicy(createKeyValueClient(options));
-  const edits = findEdits(stored.document, desired);
+  const edits = diffPolicies(stored.document, desired);
   const text = edits
     .map(({ entry, after }) => {
       const sign = after === null ? '-' : stored.document[entry] === undefined ? '+' : '~';
--- a/src/cli/queries/show-settings.ts
+++ b/src/cli/queries/show-settings.ts
@@ -5,7 +5,7 @@
 import { formatSettings, formatSettingsReference, parseSettings } from '../../server/settings.js';
 import type { Settings } from '../../server/settings-schema.js';
 import type { InvalidSettingsError } from '../../settings-file.js';
-import { CommandFailure, printOutput, readInputFile } from '../context.js';
+import { CommandError, printOutput, readInputFile } from '../context.js';
 import type { GlobalOptions } from '../context.js';
 import { EXIT } from '../exit-codes.js';
 
@@ -35,7 +35,7 @@
     ? parseGatewaySettings(text)
     : parseSettings(text);
   if (!settings.ok) {
-    throw new CommandFailure(EXIT.badInput, `${path}:\n${settings.val.message}`);
+    throw new CommandError(EXIT.badInput, `${path}:\n${settings.val.message}`);
   }
   return settings.val;
 }
--- a/src/cli/queries/show-status.ts
+++ b/src/cli/queries/show-status.ts
@@ -1,6 +1,6 @@
 /** Fetches the state of running processes from their operators' interfaces. */
 import { request } from 'undici';
-import { CommandFailure, printOutput } from '../context.js';
+import { CommandError, printOutput } from '../context.js';
 import type { GlobalOptions } from '../context.js';
 import { EXIT } from '../exit-codes.js';
 
@@ -23,7 +23,7 @@
     });
     return await response.body.json();
   } catch (cause) {
-    throw new CommandFailure(
+    throw new CommandError(
       EXIT.failed,
       `cannot read the status of ${url}: ${(cause as Error).message}`,
     );
--- a/src/demo/demo-caller.ts
+++ b/src/demo/demo-caller.ts
@@ -1,6 +1,6 @@
 /** Sends one request as a caller does, and verifies the response. */
 import { Agent, request } from 'undici';
-import { answerText, serviceAnswer } from '../standin/answer-text.js';
+import { responseText, serviceResponse } from '../standin/answer-text.js';
 import { CALLER_HEADERS, CHAT_PATH } from '../server/caller-request.js';
 import type { WorkloadClass } from './fleet-file.js';
 
@@ -65,8 +65,8 @@
       return { ...outcome, id, kind: 'refused', reason, ran: refusal?.ran ?? '', durationMs };
     }
     const expected = isChat
-      ? answerText(prompt, workload.maxTokens)
-      : serviceAnswer(workload.path ?? '', prompt);
+      ? responseText(prompt, workload.maxTokens)
+      : serviceResponse(workload.path ?? '', prompt);
     const actual = isStreamed ? streamContent(text) : isChat ? jsonContent(text) : text;
     const trailers = response.trailers as Record<string, string>;
     const engine = String(response.headers['x-weirvale-engine'] ?? trailers['x-weirvale-engine']);
--- a/src/demo/demo-report.ts
+++ b/src/demo/demo-report.ts
@@ -5,7 +5,7 @@
 import type { FleetProcess } from './local-fleet.js';
 
 /** Requests and counters that a stand-in backend recorded itself. */
-export interface BackendAccount {
+export interface BackendRecords {
   readonly name: string;
   readonly place: string;
   readonly ids: readonly string[];
@@ -15,7 +15,7 @@
 }
 
 /** Fetches the records of a stand-in backend. */
-export async function readAccount(backend: FleetProcess): Promise<BackendAccount> {
+export async function fetchBackendRecords(backend: FleetProcess): Promise<BackendRecords> {
   const response = await request(`http://127.0.0.1:${backend.port}/handed`);
   const account = (await response.body.json()) as {
     handed: Array<{ id: string }>;
@@ -37,10 +37,10 @@
  * Finds violations of guarantees in the callers' outcomes and the backends' records: repeated
  * dispatch, wrong or lost responses, and runs in a place that the policy does not permit.
  */
-export function findFaults(
+export function findViolations(
   workload: readonly WorkloadClass[],
   outcomes: readonly CallerOutcome[],
-  accounts: readonly BackendAccount[],
+  accounts: readonly BackendRecords[],
   isKillExpected: boolean,
 ): string[] {
   const violations: string[] = [];
@@ -79,7 +79,7 @@
 export function formatReport(
   workload: readonly WorkloadClass[],
   outcomes: readonly CallerOutcome[],
-  accounts: readonly BackendAccount[],
+  accounts: readonly BackendRecords[],
 ): string {
   const placesById = groupPlacesByRequest(accounts);
   const lines = [
@@ -119,7 +119,7 @@
   );
 }
 
-function formatPrefill(accounts: readonly BackendAccount[]): string {
+function formatPrefill(accounts: readonly BackendRecords[]): string {
   const wasted = accounts.reduce((sum, account) => sum + account.wastedPrefillTokens, 0);
   const all = accounts.reduce((sum, account) => sum + account.prefilledTokens, 0);
   return `wasted prefill: ${wasted} of ${all} tokens`;
@@ -137,7 +137,7 @@
   return text === '' ? 'none' : text;
 }
 
-function groupPlacesByRequest(accounts: readonly BackendAccount[]): Map<string, string[]> {
+function groupPlacesByRequest(accounts: readonly BackendRecords[]): Map<string, string[]> {
   const placesById = new Map<string, string[]>();
   for (const account of accounts) {
     for (const id of account.ids) {
--- a/src/demo/local-fleet.ts
+++ b/src/demo/local-fleet.ts
@@ -57,12 +57,12 @@
     const entries = members.filter((member) => member.kind === 'entry');
     await Promise.all(entries.map((member) => this.startDaemon(member, 'entry', '')));
     await Promise.all(
-      this.ofKind('entry').map((entry) => waitUntilConnected(entry, backends.length)),
+      this.processesOfKind('entry').map((entry) => waitUntilConnected(entry, backends.length)),
     );
   }
 
   /** Returns the processes of one kind. */
-  ofKind(kind: FleetProcess['kind']): FleetProcess[] {
+  processesOfKind(kind: FleetProcess['kind']): FleetProcess[] {
     return this.processes.filter((member) => member.kind === kind);
   }
 
@@ -96,7 +96,7 @@
    */
   async stop(): Promise<void> {
     for (const kind of ['entry', 'agent', 'engine', 'service', 'platform'] as const) {
-      await Promise.all(this.ofKind(kind).map((member) => stopProcess(member.child)));
+      await Promise.all(this.processesOfKind(kind).map((member) => stopProcess(member.child)));
     }
   }
 
--- a/src/entry/commands/accept-request.ts
+++ b/src/entry/commands/accept-request.ts
@@ -1,10 +1,10 @@
 /** Commands that admit an incoming request or refuse it immediately. */
-import { notRun } from '../../request/refusal.js';
+import { notExecutedRefusal } from '../../request/refusal.js';
 import type { Refusal } from '../../request/refusal.js';
 import { isHigherTier } from '../../request/tier.js';
-import { sizeOf } from '../../request/request.js';
+import { estimateRequestBytes } from '../../request/request.js';
 import type { RequestDescription } from '../../request/request.js';
-import type { ArrivedRequest } from '../entry-events.js';
+import type { IncomingRequest } from '../entry-events.js';
 import { canBeShed } from '../queries/make-room.js';
 import { permittedEngines } from '../queries/rank-agents.js';
 import { countWaiting } from '../entry-state.js';
@@ -23,7 +23,7 @@
  * Admits a request: checks policy and limits, claims its idempotency key if required, and offers it
  * to agents.
  */
-export function acceptRequest(context: EntryEventContext, arrived: ArrivedRequest): void {
+export function acceptRequest(context: EntryEventContext, arrived: IncomingRequest): void {
   const request = trackRequest(context, createDescription(context, arrived));
   context.count('request.arrived', 1, { tier: `${request.description.tier}` });
   const refusal = findAdmissionRefusal(context, request) ?? shedIfOverLimit(context, request);
@@ -49,7 +49,7 @@
 
 function createDescription(
   context: EntryEventContext,
-  arrived: ArrivedRequest,
+  arrived: IncomingRequest,
 ): RequestDescription {
   const permitted = context.state.replica.permitted.find(arrived);
   const model = context.state.replica.policy.models.get(arrived.model);
@@ -97,24 +97,27 @@
   const { options, replica, isLeaving, activeByTenant } = context.state;
   const { description } = request;
   if (isLeaving) {
-    return notRun('draining', 'this entry is shutting down', options.retryAfterMs);
+    return notExecutedRefusal('draining', 'this entry is shutting down', options.retryAfterMs);
   }
   if (replica.generation === 0) {
-    return notRun(
+    return notExecutedRefusal(
       'platform-unavailable',
       'this entry has not received a policy yet',
       options.retryAfterMs,
     );
   }
   if (permittedEngines(context.state, request).engines.length === 0) {
-    return notRun('not-permitted', 'no selector permits this request on any engine');
+    return notExecutedRefusal('not-permitted', 'no selector permits this request on any engine');
   }
   if (!description.isRepeatable && description.idempotencyKey === undefined) {
-    return notRun('invalid-request', 'a request that is not repeatable needs an Idempotency-Key');
+    return notExecutedRefusal(
+      'invalid-request',
+      'a request that is not repeatable needs an Idempotency-Key',
+    );
   }
   const maxConcurrent = replica.policy.tenants.get(description.tenant)?.maxConcurrent ?? 0;
   if ((activeByTenant.get(description.tenant) ?? 0) > maxConcurrent) {
-    return notRun(
+    return notExecutedRefusal(
       'tenant-limit',
       'the tenant has reached its limit of concurrent requests at this entry',
       options.retryAfterMs,
@@ -141,7 +144,7 @@
       return undefined;
     }
     const detail = 'the queue is full and the request was of the lowest tier in it';
-    const refusal = notRun('overloaded', detail, options.retryAfterMs);
+    const refusal = notExecutedRefusal('overloaded', detail, options.retryAfterMs);
     if (victim === request) {
       return refusal;
     }
@@ -165,7 +168,7 @@
 function isOverLimit(context: EntryEventContext, request: ActiveRequest, factor: number): boolean {
   const { options, waitingBytes } = context.state;
   const count = countWaiting(context.state) + 1;
-  const bytes = waitingBytes + sizeOf(request.description);
+  const bytes = waitingBytes + estimateRequestBytes(request.description);
   return count > options.maxWaitingRequests * factor || bytes > options.maxWaitingBytes * factor;
 }
 
--- a/src/entry/commands/deliver-answer.ts
+++ b/src/entry/commands/deliver-answer.ts
@@ -4,7 +4,7 @@
   AnswerEndMessage,
   AnswerFailedMessage,
 } from '../../protocol/messages.js';
-import { mayHaveRun } from '../../request/refusal.js';
+import { possiblyExecutedRefusal } from '../../request/refusal.js';
 import type { RequestId } from '../../request/request-id.js';
 import type { EntryEventContext, ActiveRequest } from '../entry-state.js';
 import { removeRequest, refuseRequest } from './finish-request.js';
@@ -82,7 +82,11 @@
 ): void {
   context.send(agent, { kind: 'acknowledge', id: request.description.id });
   const { retryAfterMs } = context.state.options;
-  refuseRequest(context, request, mayHaveRun(failed.reason, failed.detail, retryAfterMs));
+  refuseRequest(
+    context,
+    request,
+    possiblyExecutedRefusal(failed.reason, failed.detail, retryAfterMs),
+  );
 }
 
 /** Drops a request whose caller disconnected: cancels it on its agent, or releases its claim. */
--- a/src/entry/commands/finish-request.ts
+++ b/src/entry/commands/finish-request.ts
@@ -1,6 +1,6 @@
 /** Commands that end a request or move it between phases. */
 import type { Refusal } from '../../request/refusal.js';
-import { sizeOf } from '../../request/request.js';
+import { estimateRequestBytes } from '../../request/request.js';
 import type { EntryEventContext, ActiveRequest, RequestPhase } from '../entry-state.js';
 
 /** Moves a request to `phase` and updates the waiting requests and their size in bytes. */
@@ -12,13 +12,13 @@
   const { id, tier } = request.description;
   if (request.phase === 'waiting') {
     context.state.waitingByTier.get(tier)?.delete(id);
-    context.state.waitingBytes -= sizeOf(request.description);
+    context.state.waitingBytes -= estimateRequestBytes(request.description);
   }
   request.phase = phase;
   if (phase === 'waiting') {
     const ids = context.state.waitingByTier.get(tier) ?? new Set();
     context.state.waitingByTier.set(tier, ids.add(id));
-    context.state.waitingBytes += sizeOf(request.description);
+    context.state.waitingBytes += estimateRequestBytes(request.description);
   }
 }
 
--- a/src/entry/commands/manage-peers.ts
+++ b/src/entry/commands/manage-peers.ts
@@ -3,7 +3,7 @@
 import { selectAgents } from '../../membership/subset.js';
 import type { HelloMessage } from '../../protocol/messages.js';
 import { withJitter } from '../../random.js';
-import { mayHaveRun } from '../../request/refusal.js';
+import { possiblyExecutedRefusal } from '../../request/refusal.js';
 import type { AgentPeer, EntryEventContext, ActiveRequest } from '../entry-state.js';
 import { refuseRequest, scheduleCheck } from './finish-request.js';
 import { checkWaitingRequest, placeBids } from './place-bids.js';
@@ -115,7 +115,7 @@
   const { resumeTimeoutMs, retryAfterMs } = context.state.options;
   if (context.nowMs - disconnectedAtMs >= resumeTimeoutMs) {
     const detail = 'the connection to the agent was lost and not restored in time';
-    refuseRequest(context, request, mayHaveRun('engine-lost', detail, retryAfterMs));
+    refuseRequest(context, request, possiblyExecutedRefusal('engine-lost', detail, retryAfterMs));
   }
 }
 
@@ -205,7 +205,7 @@
   if (request.binding.incarnation !== incarnation) {
     const detail = 'the agent of the engine was restarted';
     const { retryAfterMs } = context.state.options;
-    refuseRequest(context, request, mayHaveRun('engine-lost', detail, retryAfterMs));
+    refuseRequest(context, request, possiblyExecutedRefusal('engine-lost', detail, retryAfterMs));
     return;
   }
   request.binding.disconnectedAtMs = undefined;
--- a/src/entry/commands/place-bids.ts
+++ b/src/entry/commands/place-bids.ts
@@ -1,6 +1,6 @@
 /** Commands that offer a waiting request to agents. */
 import type { BidMessage } from '../../protocol/messages.js';
-import { notRun } from '../../request/refusal.js';
+import { notExecutedRefusal } from '../../request/refusal.js';
 import type { EntryEventContext, ActiveRequest } from '../entry-state.js';
 import { mayServeLowerTier } from '../queries/make-room.js';
 import { agentRequestFields } from '../queries/describe-request.js';
@@ -54,7 +54,11 @@
   }
   if (isDeadlineInfeasible(context, request, latestStartMs)) {
     const detail = 'no permitted engine can finish the request before its deadline';
-    refuseRequest(context, request, notRun('deadline-infeasible', detail, options.retryAfterMs));
+    refuseRequest(
+      context,
+      request,
+      notExecutedRefusal('deadline-infeasible', detail, options.retryAfterMs),
+    );
     return;
   }
   placeBids(context, request);
@@ -129,7 +133,7 @@
   const giveUpAtMs = Math.min(since + options.noEngineGraceMs, request.description.deadlineAtMs);
   if (context.nowMs >= giveUpAtMs) {
     const detail = 'no permitted engine is reachable';
-    refuseRequest(context, request, notRun('no-engine', detail, options.retryAfterMs));
+    refuseRequest(context, request, notExecutedRefusal('no-engine', detail, options.retryAfterMs));
     return;
   }
   scheduleCheck(context, request, giveUpAtMs);
--- a/src/entry/entry-core.ts
+++ b/src/entry/entry-core.ts
@@ -7,12 +7,12 @@
 import { Heap } from 'heap-js';
 import type { ProcessIdentity } from '../membership/machine.js';
 import type { EntryOptions } from '../options.js';
-import { PolicyExchange } from '../policy/exchange.js';
-import type { PolicyMessage } from '../policy/exchange.js';
+import { PolicySynchronizer } from '../policy/exchange.js';
+import type { PolicySyncMessage } from '../policy/exchange.js';
 import { PolicyReplica } from '../policy/replica.js';
 import type { Message } from '../protocol/messages.js';
 import type { RandomSource } from '../random.js';
-import { mayHaveRun, notRun } from '../request/refusal.js';
+import { possiblyExecutedRefusal, notExecutedRefusal } from '../request/refusal.js';
 import type { RequestId } from '../request/request-id.js';
 import { acceptRequest, enqueueRequest } from './commands/accept-request.js';
 import { handleCall, handleBidRefused } from './commands/bind-request.js';
@@ -60,7 +60,7 @@
     this.state = {
       ...parts,
       replica,
-      exchange: new PolicyExchange(replica),
+      exchange: new PolicySynchronizer(replica),
       speedEstimates: new EngineSpeedEstimates(),
       requests: new Map(),
       peers: new Map(),
@@ -235,20 +235,28 @@
     const { retryAfterMs } = this.state.options;
     if (outcome === 'taken') {
       const detail = 'this Idempotency-Key was already used; the earlier request may have run';
-      refuseRequest(context, request, mayHaveRun('duplicate-request', detail));
+      refuseRequest(context, request, possiblyExecutedRefusal('duplicate-request', detail));
       return;
     }
     if (outcome === 'unavailable') {
       const detail = 'the Idempotency-Key could not be claimed';
-      refuseRequest(context, request, notRun('platform-unavailable', detail, retryAfterMs));
+      refuseRequest(
+        context,
+        request,
+        notExecutedRefusal('platform-unavailable', detail, retryAfterMs),
+      );
       return;
     }
     request.hasClaim = true;
     enqueueRequest(context, request);
   }
 
-  private handlePolicy(context: EntryEventContext, agent: string, message: PolicyMessage): void {
-    const { reply, isInstalled } = this.state.exchange.take(message);
+  private handlePolicy(
+    context: EntryEventContext,
+    agent: string,
+    message: PolicySyncMessage,
+  ): void {
+    const { reply, isInstalled } = this.state.exchange.handleMessage(message);
     if (reply !== undefined) {
       context.send(agent, reply);
     }
@@ -269,7 +277,7 @@
     const isUnbound = request.phase !== 'bound';
     if (isUnbound && permittedEngines(this.state, request).engines.length === 0) {
       const detail = 'the current policy no longer permits this request on any engine';
-      refuseRequest(context, request, notRun('not-permitted', detail));
+      refuseRequest(context, request, notExecutedRefusal('not-permitted', detail));
     }
   }
 
--- a/src/entry/entry-events.ts
+++ b/src/entry/entry-events.ts
@@ -9,7 +9,7 @@
 import type { Tier } from '../request/tier.js';
 
 /** A request as the HTTP server passes it to the entry core. */
-export interface ArrivedRequest {
+export interface IncomingRequest {
   readonly id: RequestId;
   readonly tenant: string;
   readonly model: string;
@@ -32,7 +32,7 @@
 
 /** An input of the entry core; `peer` is the name of an agent. */
 export type EntryEvent =
-  | { readonly kind: 'request-arrived'; readonly request: ArrivedRequest }
+  | { readonly kind: 'request-arrived'; readonly request: IncomingRequest }
   | { readonly kind: 'caller-gone'; readonly id: RequestId }
   | { readonly kind: 'claim-resolved'; readonly id: RequestId; readonly outcome: ClaimOutcome }
   | {
@@ -58,7 +58,7 @@
   | { readonly kind: 'leave' };
 
 /** Token counts of a complete response. */
-export interface AnswerUsage {
+export interface ResponseUsage {
   readonly engine: string;
   readonly promptTokens: number;
   readonly cachedPromptTokens: number;
@@ -83,7 +83,7 @@
       readonly contentType: string;
     }
   | { readonly kind: 'answer-chunk'; readonly id: RequestId; readonly data: string | Uint8Array }
-  | { readonly kind: 'answer-end'; readonly id: RequestId; readonly usage: AnswerUsage }
+  | { readonly kind: 'answer-end'; readonly id: RequestId; readonly usage: ResponseUsage }
   | { readonly kind: 'refuse'; readonly id: RequestId; readonly refusal: Refusal }
   | {
       readonly kind: 'claim' | 'release-claim';
--- a/src/entry/entry-state.ts
+++ b/src/entry/entry-state.ts
@@ -2,7 +2,7 @@
 import type { Heap } from 'heap-js';
 import type { Machine, ProcessIdentity } from '../membership/machine.js';
 import type { EntryOptions } from '../options.js';
-import type { PolicyExchange } from '../policy/exchange.js';
+import type { PolicySynchronizer } from '../policy/exchange.js';
 import type { PermittedEngines } from '../policy/eligibility.js';
 import type { PolicyReplica } from '../policy/replica.js';
 import type { LoadMessage, Message } from '../protocol/messages.js';
@@ -93,7 +93,7 @@
   readonly options: EntryOptions;
   readonly random: RandomSource;
   readonly replica: PolicyReplica;
-  readonly exchange: PolicyExchange;
+  readonly exchange: PolicySynchronizer;
   readonly speedEstimates: EngineSpeedEstimates;
   readonly requests: Map<RequestId, ActiveRequest>;
   readonly peers: Map<string, AgentPeer>;
--- a/src/policy/change.ts
+++ b/src/policy/change.ts
@@ -45,7 +45,7 @@
 }
 
 /** Returns the edits that turn `from` into `to`, sorted by entry name. */
-export function findEdits(from: PolicyDocument, to: PolicyDocument): PolicyEdit[] {
+export function diffPolicies(from: PolicyDocument, to: PolicyDocument): PolicyEdit[] {
   const names = new Set([...Object.keys(from), ...Object.keys(to)]);
   return [...names]
     .sort()
--- a/src/policy/errors.ts
+++ b/src/policy/errors.ts
@@ -25,8 +25,8 @@
 
   constructor(
     readonly entry: EntryName,
-    readonly theirs: PolicyEntry | undefined,
-    readonly yours: PolicyEntry | undefined,
+    readonly storedEntry: PolicyEntry | undefined,
+    readonly requestedEntry: PolicyEntry | undefined,
   ) {
     super(`${entry} was modified by a concurrent change`);
   }
--- a/src/policy/exchange.ts
+++ b/src/policy/exchange.ts
@@ -12,10 +12,10 @@
 const SAME_PEER_INTERVAL_MS = 1_500;
 
 /** A message of the policy synchronization protocol. */
-export type PolicyMessage = Extract<Message, { kind: 'policy-request' | 'policy-update' }>;
+export type PolicySyncMessage = Extract<Message, { kind: 'policy-request' | 'policy-update' }>;
 
 /** Requests missing policy changes from peers and sends updates to peers with older generations. */
-export class PolicyExchange {
+export class PolicySynchronizer {
   private lastRequestAtMs = Number.NEGATIVE_INFINITY;
   /** Peers that reported a newer generation since the last install. */
   private readonly newerPeers = new Set<string>();
@@ -57,7 +57,7 @@
    * Handles a peer's request or update; returns the reply, if any, and whether a newer policy was
    * installed.
    */
-  take(message: PolicyMessage): {
+  handleMessage(message: PolicySyncMessage): {
     readonly reply: Message | undefined;
     readonly isInstalled: boolean;
   } {
--- a/src/policy/follower.ts
+++ b/src/policy/follower.ts
@@ -76,7 +76,7 @@
   }
 
   /** Updates the machine list, from which each zone's readers are elected. */
-  setFleet(machines: readonly Machine[]): void {
+  setMachines(machines: readonly Machine[]): void {
     const wasReader = this.isReader();
     this.machines = machines;
     if (!wasReader && this.isReader() && this.timer !== undefined) {
--- a/src/policy/store.ts
+++ b/src/policy/store.ts
@@ -54,7 +54,7 @@
   readonly summary: string;
   readonly edits: readonly PolicyEdit[];
   /** Document that the edits are based on; an edited entry that differs in the store conflicts. */
-  readonly seen: PolicyDocument;
+  readonly baseDocument: PolicyDocument;
 }
 
 /** Errors of changing the stored policy. */
@@ -180,7 +180,7 @@
 ): PolicyConflictError | undefined {
   for (const edit of change.edits) {
     const stored = document[edit.entry];
-    const base = change.seen[edit.entry];
+    const base = change.baseDocument[edit.entry];
     const requested = edit.after ?? undefined;
     const isUnchanged = canonicalJson(stored ?? null) === canonicalJson(base ?? null);
     const isAlreadyApplied = canonicalJson(stored ?? null) === canonicalJson(requested ?? null);
--- a/src/request/prompt.ts
+++ b/src/request/prompt.ts
@@ -11,7 +11,7 @@
 }
 
 /** Returns the prompt text: the contents of all messages, joined by newlines. */
-export function promptOf(messages: readonly ChatMessage[]): string {
+export function joinMessages(messages: readonly ChatMessage[]): string {
   return messages
     .map(({ content }) =>
       typeof content === 'string' ? content : content.map((part) => part.text).join(''),
@@ -25,7 +25,7 @@
 }
 
 /** Hashes a prompt's prefix; returns an empty string if the prompt is too short to cache. */
-export function prefixHashOf(prompt: string): string {
+export function hashPromptPrefix(prompt: string): string {
   return prompt.length < PREFIX_CHARACTERS
     ? ''
     : hashText(prompt.slice(0, PREFIX_CHARACTERS)).toString(36);
--- a/src/request/refusal.ts
+++ b/src/request/refusal.ts
@@ -54,11 +54,19 @@
 }
 
 /** Creates a refusal of a request that was not sent to any backend. */
-export function notRun(reason: RefusalReason, detail: string, retryAfterMs?: number): Refusal {
+export function notExecutedRefusal(
+  reason: RefusalReason,
+  detail: string,
+  retryAfterMs?: number,
+): Refusal {
   return { reason, ran: 'no', detail, retryAfterMs };
 }
 
 /** Creates a refusal of a request that a backend may have started to execute. */
-export function mayHaveRun(reason: RefusalReason, detail: string, retryAfterMs?: number): Refusal {
+export function possiblyExecutedRefusal(
+  reason: RefusalReason,
+  detail: string,
+  retryAfterMs?: number,
+): Refusal {
   return { reason, ran: 'unknown', detail, retryAfterMs };
 }
--- a/src/request/request-id.ts
+++ b/src/request/request-id.ts
@@ -4,7 +4,7 @@
 export type RequestId = string;
 
 /** Generates the request ids of one entry incarnation. */
-export class RequestIdSource {
+export class RequestIdGenerator {
   private sequence = 0;
 
   constructor(private readonly incarnation: string) {}
--- a/src/request/request.ts
+++ b/src/request/request.ts
@@ -45,7 +45,7 @@
 }
 
 /** Estimates the memory of a waiting request in bytes, for queue limits. */
-export function sizeOf(request: RequestDescription): number {
+export function estimateRequestBytes(request: RequestDescription): number {
   const FIXED_BYTES = 512;
   return FIXED_BYTES + request.payload.body.length;
 }
--- a/src/server/agent-role.ts
+++ b/src/server/agent-role.ts
@@ -3,7 +3,7 @@
 import type { Server, Socket } from 'node:net';
 import { AgentCore } from '../agent/agent-core.js';
 import type { AgentEffect, AgentEvent } from '../agent/agent-events.js';
-import { describeLoad } from '../agent/queries/engine-load.js';
+import { createLoadMessage } from '../agent/queries/engine-load.js';
 import { SYSTEM_CLOCK } from '../clock.js';
 import type { PolicyReplica, PolicyUpdate } from '../policy/replica.js';
 import { checkHello } from '../protocol/hello.js';
@@ -77,7 +77,7 @@
     return {
       leaving: state.isLeaving,
       entries: [...state.peers.values()].map((peer) => peer.name),
-      load: describeLoad(state),
+      load: createLoadMessage(state),
     };
   }
 
--- a/src/server/caller-request.ts
+++ b/src/server/caller-request.ts
@@ -1,11 +1,11 @@
 /** Parses and validates the HTTP requests of callers. */
 import type { IncomingMessage } from 'node:http';
 import { z } from 'zod';
-import type { ArrivedRequest } from '../entry/entry-events.js';
+import type { IncomingRequest } from '../entry/entry-events.js';
 import type { PolicyReplica } from '../policy/replica.js';
-import { estimateTokens, prefixHashOf, promptOf } from '../request/prompt.js';
+import { estimateTokens, hashPromptPrefix, joinMessages } from '../request/prompt.js';
 import type { RequestId } from '../request/request-id.js';
-import { notRun } from '../request/refusal.js';
+import { notExecutedRefusal } from '../request/refusal.js';
 import type { Refusal } from '../request/refusal.js';
 import type { Labels } from '../request/request.js';
 import { HIGHEST_TIER, LOWEST_TIER } from '../request/tier.js';
@@ -50,7 +50,7 @@
 
 /** A parsed request and the format of its response. */
 export interface CallerRequest {
-  readonly arrived: ArrivedRequest;
+  readonly arrived: IncomingRequest;
   readonly format: ResponseFormat;
 }
 
@@ -74,11 +74,11 @@
   limits: DeadlineLimits,
 ): Result<CallerRequest, Refusal> {
   if (replica.generation === 0) {
-    return err(notRun('platform-unavailable', 'no policy has been loaded yet', 2_000));
+    return err(notExecutedRefusal('platform-unavailable', 'no policy has been loaded yet', 2_000));
   }
   const tenant = authenticateTenant(request, replica);
   if (tenant === undefined) {
-    return err(notRun('unauthenticated', 'the API key is missing or unknown'));
+    return err(notExecutedRefusal('unauthenticated', 'the API key is missing or unknown'));
   }
   const headers = parseHeaders(request, limits);
   if (!headers.ok) {
@@ -91,15 +91,15 @@
   if (path.startsWith(SERVICES_PREFIX)) {
     return parseServiceRequest(request, body, { id, tenant, ...headers.val });
   }
-  return err(notRun('invalid-request', `unknown path ${path.slice(0, 100)}`));
+  return err(notExecutedRefusal('invalid-request', `unknown path ${path.slice(0, 100)}`));
 }
 
 type CallerHeaders = Pick<
-  ArrivedRequest,
+  IncomingRequest,
   'dataLabels' | 'requestedTier' | 'deadlineInMs' | 'isRepeatable' | 'idempotencyKey'
 >;
 
-type CommonRequestFields = CallerHeaders & Pick<ArrivedRequest, 'id' | 'tenant'>;
+type CommonRequestFields = CallerHeaders & Pick<IncomingRequest, 'id' | 'tenant'>;
 
 function authenticateTenant(request: IncomingMessage, replica: PolicyReplica): string | undefined {
   const match = /^Bearer (.+)$/.exec(request.headers.authorization ?? '');
@@ -128,7 +128,9 @@
     deadline === 'fault' ||
     dataLabels === 'fault'
   ) {
-    return err(notRun('invalid-request', `invalid header: ${invalidHeaders.join(', ')}`));
+    return err(
+      notExecutedRefusal('invalid-request', `invalid header: ${invalidHeaders.join(', ')}`),
+    );
   }
   return ok({
     dataLabels,
@@ -145,16 +147,16 @@
   common: CommonRequestFields,
 ): Result<CallerRequest, Refusal> {
   if (request.method !== 'POST') {
-    return err(notRun('invalid-request', `${CHAT_PATH} only accepts POST`));
+    return err(notExecutedRefusal('invalid-request', `${CHAT_PATH} only accepts POST`));
   }
   const parsed = chatSchema.safeParse(parseJson(body));
   if (!parsed.success) {
     const issue = parsed.error.issues[0];
     const detail = `the body is not a valid chat request: ${issue?.path.join('.')} ${issue?.message}`;
-    return err(notRun('invalid-request', detail));
+    return err(notExecutedRefusal('invalid-request', detail));
   }
   const chat = parsed.data;
-  const prompt = promptOf(chat.messages);
+  const prompt = joinMessages(chat.messages);
   const engineBody = { ...chat, stream: true, stream_options: { include_usage: true } };
   return ok({
     format: chat.stream ? 'event-stream' : 'chat-json',
@@ -163,7 +165,7 @@
       model: chat.model,
       promptTokens: estimateTokens(prompt),
       maxOutputTokens: chat.max_completion_tokens ?? chat.max_tokens ?? DEFAULT_MAX_OUTPUT_TOKENS,
-      prefixHash: prefixHashOf(prompt),
+      prefixHash: hashPromptPrefix(prompt),
       payload: {
         method: 'POST',
         path: CHAT_PATH,
--- a/src/server/caller-server.ts
+++ b/src/server/caller-server.ts
@@ -1,11 +1,11 @@
 /** HTTP server for callers: receives requests and writes their responses. */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
-import type { AnswerUsage, ArrivedRequest } from '../entry/entry-events.js';
+import type { ResponseUsage, IncomingRequest } from '../entry/entry-events.js';
 import type { PolicyReplica } from '../policy/replica.js';
-import { notRun } from '../request/refusal.js';
+import { notExecutedRefusal } from '../request/refusal.js';
 import type { Refusal } from '../request/refusal.js';
-import { RequestIdSource } from '../request/request-id.js';
+import { RequestIdGenerator } from '../request/request-id.js';
 import type { RequestId } from '../request/request-id.js';
 import { CallerResponseWriter, writeRefusal } from './caller-session.js';
 import { parseCallerRequest } from './caller-request.js';
@@ -13,7 +13,7 @@
 
 /** Callbacks for parsed requests and caller disconnects. */
 export interface CallerServerHandlers {
-  onRequest(request: ArrivedRequest): void;
+  onRequest(request: IncomingRequest): void;
   onCallerDisconnected(id: RequestId): void;
 }
 
@@ -21,7 +21,7 @@
 export class CallerServer {
   readonly server: Server;
   private readonly responses = new Map<RequestId, CallerResponseWriter>();
-  private readonly requestIds: RequestIdSource;
+  private readonly requestIds: RequestIdGenerator;
 
   constructor(
     private readonly settings: Settings,
@@ -29,7 +29,7 @@
     private readonly replica: PolicyReplica,
     private readonly handlers: CallerServerHandlers,
   ) {
-    this.requestIds = new RequestIdSource(incarnation);
+    this.requestIds = new RequestIdGenerator(incarnation);
     const { listen } = settings;
     this.server = createServer(
       {
@@ -53,7 +53,7 @@
   }
 
   /** Completes a response. */
-  endResponse(id: RequestId, usage: AnswerUsage): void {
+  endResponse(id: RequestId, usage: ResponseUsage): void {
     const writer = this.responses.get(id);
     this.responses.delete(id);
     writer?.end(usage);
@@ -78,7 +78,7 @@
     });
     request.on('end', () => {
       if (bodyLength > this.settings.listen.maxBodyBytes) {
-        writeRefusal(response, id, notRun('invalid-request', 'the body is too long'));
+        writeRefusal(response, id, notExecutedRefusal('invalid-request', 'the body is too long'));
         return;
       }
       this.submitRequest(id, request, response, Buffer.concat(chunks));
--- a/src/server/caller-session.ts
+++ b/src/server/caller-session.ts
@@ -4,7 +4,7 @@
  */
 import type { ServerResponse } from 'node:http';
 import { z } from 'zod';
-import type { AnswerUsage } from '../entry/entry-events.js';
+import type { ResponseUsage } from '../entry/entry-events.js';
 import type { Refusal } from '../request/refusal.js';
 import { httpStatusOf } from '../request/refusal.js';
 import type { ResponseFormat } from './caller-request.js';
@@ -58,7 +58,7 @@
   }
 
   /** Completes the response. */
-  end(usage: AnswerUsage): void {
+  end(usage: ResponseUsage): void {
     if (this.format === 'chat-json' && !this.isBackendError()) {
       this.endWithJson(usage);
       return;
@@ -91,7 +91,7 @@
     return this.format !== 'pass-through' && this.status !== HTTP_OK;
   }
 
-  private endWithJson(usage: AnswerUsage): void {
+  private endWithJson(usage: ResponseUsage): void {
     const content = this.bufferedChunks.map(deltaContentOf).join('');
     const body = JSON.stringify({
       id: this.id,
--- a/src/server/platform-link.ts
+++ b/src/server/platform-link.ts
@@ -77,7 +77,7 @@
       return;
     }
     if (fleet.ok) {
-      this.policyFollower.setFleet(fleet.val);
+      this.policyFollower.setMachines(fleet.val);
       this.dependencies.onFleet(fleet.val);
     }
     const delayMs = withJitter(
--- a/src/sim/sim-backend.ts
+++ b/src/sim/sim-backend.ts
@@ -1,7 +1,7 @@
 /** A simulated back end beside an agent; keeps the account of what it was handed. */
 import type { EngineEvent } from '../agent/agent-events.js';
 import type { BindMessage } from '../protocol/messages.js';
-import { serviceAnswer } from '../standin/answer-text.js';
+import { serviceResponse } from '../standin/answer-text.js';
 import { EngineModel } from '../standin/engine-model.js';
 import type { BackendProfile } from './deployment.js';
 import type { HandedRequest, Observations } from './observations.js';
@@ -116,7 +116,7 @@
       }
       this.close(id, true);
       sink({ kind: 'engine-started', id, status: 200, contentType: 'application/json' });
-      sink({ kind: 'engine-chunk', id, data: serviceAnswer(bind.payload.path, prompt) });
+      sink({ kind: 'engine-chunk', id, data: serviceResponse(bind.payload.path, prompt) });
       const usage = { promptTokens: 0, cachedPromptTokens: 0, outputTokens: 0 };
       sink({ kind: 'engine-ended', id, usage: { ...usage, prefillMs: 0, decodeMs: 0 } });
     }, this.profile.serviceMs);
--- a/src/sim/sim-callers.ts
+++ b/src/sim/sim-callers.ts
@@ -2,8 +2,8 @@
 import type { RandomSource } from '../random.js';
 import { randomInteger } from '../random.js';
 import type { Refusal } from '../request/refusal.js';
-import { prefixHashOf } from '../request/prompt.js';
-import { answerText, serviceAnswer } from '../standin/answer-text.js';
+import { hashPromptPrefix } from '../request/prompt.js';
+import { responseText, serviceResponse } from '../standin/answer-text.js';
 import type { Deployment, RequestClass } from './deployment.js';
 import type { CallerAttempt, Observations } from './observations.js';
 import type { CallerEnd, SimEntry } from './sim-entry.js';
@@ -143,7 +143,7 @@
         deadlineInMs: requestClass.deadlineMs,
         promptTokens: operation.promptTokens,
         maxOutputTokens: operation.maxOutputTokens,
-        prefixHash: isModel ? prefixHashOf(operation.prompt) : '',
+        prefixHash: isModel ? hashPromptPrefix(operation.prompt) : '',
         isRepeatable: requestClass.isRepeatable,
         idempotencyKey,
         payload: {
@@ -252,8 +252,8 @@
       idempotencyKey: operation.idempotencyKey,
       prompt,
       expectedAnswer: isModel
-        ? answerText(prompt, maxOutputTokens)
-        : serviceAnswer('/calls', prompt),
+        ? responseText(prompt, maxOutputTokens)
+        : serviceResponse('/calls', prompt),
       entry: entry.machine.name,
       sentAtMs,
       deadlineAtMs: sentAtMs + requestClass.deadlineMs,
--- a/src/sim/sim-daemon.ts
+++ b/src/sim/sim-daemon.ts
@@ -135,7 +135,7 @@
       network.transmit(PLATFORM_ADDRESS, this.machine, () =>
         this.deliver(startCount, () => {
           this.fleet = machines;
-          this.follower?.setFleet(machines);
+          this.follower?.setMachines(machines);
           this.onFleetChange();
         }),
       );
--- a/src/sim/sim-entry.ts
+++ b/src/sim/sim-entry.ts
@@ -1,13 +1,13 @@
 /** A simulated entry process: the core that the daemon runs, on simulated I/O. */
 import { ClaimStore } from '../entry/claim-store.js';
 import { EntryCore } from '../entry/entry-core.js';
-import type { ArrivedRequest, EntryEffect, EntryEvent } from '../entry/entry-events.js';
+import type { IncomingRequest, EntryEffect, EntryEvent } from '../entry/entry-events.js';
 import type { EntryOptions } from '../options.js';
 import { checkHello } from '../protocol/hello.js';
 import { PROTOCOL_VERSION } from '../protocol/messages.js';
 import type { Message } from '../protocol/messages.js';
 import type { Refusal } from '../request/refusal.js';
-import { RequestIdSource } from '../request/request-id.js';
+import { RequestIdGenerator } from '../request/request-id.js';
 import type { SimAgent } from './sim-agent.js';
 import { SimDaemon } from './sim-daemon.js';
 import type { SimDaemonParts } from './sim-daemon.js';
@@ -36,7 +36,7 @@
 export class SimEntry extends SimDaemon {
   core!: EntryCore;
   isLeaving = false;
-  private ids!: RequestIdSource;
+  private ids!: RequestIdGenerator;
   private claims!: ClaimStore;
   private readonly connections = new Map<string, OpenConnection>();
   private readonly callers = new Map<string, CallerEnd>();
@@ -50,7 +50,7 @@
   }
 
   /** Takes a request from a caller. */
-  receive(request: Omit<ArrivedRequest, 'id'>, caller: CallerEnd): void {
+  receive(request: Omit<IncomingRequest, 'id'>, caller: CallerEnd): void {
     const id = this.ids.next();
     this.callers.set(id, caller);
     caller.onAccepted(id);
@@ -74,7 +74,7 @@
 
   protected override createCore(): void {
     this.isLeaving = false;
-    this.ids = new RequestIdSource(this.incarnation);
+    this.ids = new RequestIdGenerator(this.incarnation);
     this.claims = new ClaimStore(this.keyValue);
     this.connections.clear();
     this.callers.clear();
--- a/src/sim/sim-operator.ts
+++ b/src/sim/sim-operator.ts
@@ -1,5 +1,5 @@
 /** Simulated operators: they change the policy through the platform, alone and against each other. */
-import { applyEdits, findEdits } from '../policy/change.js';
+import { applyEdits, diffPolicies } from '../policy/change.js';
 import type { PolicyEdit } from '../policy/change.js';
 import type { PolicyDocument, PolicyEntry } from '../policy/document.js';
 import { changePolicy, readStoredPolicy } from '../policy/store.js';
@@ -27,7 +27,7 @@
 
   /** Puts a whole policy in force while nothing else runs. */
   async putInForce(document: PolicyDocument, changeId: string): Promise<void> {
-    const done = this.change(changeId, () => findEdits({}, document));
+    const done = this.change(changeId, () => diffPolicies({}, document));
     const SETTLE_MS = 1_000;
     await this.world.clock.runUntil(this.world.clock.now() + SETTLE_MS);
     await done;
@@ -82,7 +82,7 @@
       atMs: clock.now(),
       summary: changeId,
       edits,
-      seen: stored.val.document,
+      baseDocument: stored.val.document,
     });
     const outcome = result.ok ? `generation ${result.val.generation}` : result.val.code;
     observations.log(clock.now(), `${changeId}: ${outcome}`);
--- a/src/sim/sim-platform.ts
+++ b/src/sim/sim-platform.ts
@@ -131,7 +131,7 @@
         }
         void perform(model).then((value) => {
           clock.notePromise();
-          if (kind === 'write' && model.takeLostAnswer()) {
+          if (kind === 'write' && model.consumeLostResponse()) {
             return;
           }
           const delayMs = network.latencyMs(PLATFORM_ADDRESS, address) + this.platform.slowMs;
--- a/src/slot-agent/engine-look.ts
+++ b/src/slot-agent/engine-look.ts
@@ -12,7 +12,7 @@
  * Creates a probe that issues `call` and decodes the response body with `read`; the body is
  * undefined if the response has none.
  */
-export function createEngineLook(
+export function createHttpEngineProbe(
   call: JsonCall,
   read: (body: unknown) => EngineProbeResult,
 ): EngineProbe {
--- a/src/standin/answer-text.ts
+++ b/src/standin/answer-text.ts
@@ -21,11 +21,11 @@
 }
 
 /** Returns a fake engine's complete response to `prompt`. */
-export function answerText(prompt: string, maxOutputTokens: number): string {
+export function responseText(prompt: string, maxOutputTokens: number): string {
   return responseTokens(prompt, 0, responseTokenCount(prompt, maxOutputTokens));
 }
 
 /** Returns a fake plain service's response body. */
-export function serviceAnswer(path: string, body: string): string {
+export function serviceResponse(path: string, body: string): string {
   return JSON.stringify({ path, receipt: hashText(`${path}\n${body}`).toString(36) });
 }
--- a/src/standin/engine-server.ts
+++ b/src/standin/engine-server.ts
@@ -3,7 +3,7 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { z } from 'zod';
 import { SYSTEM_CLOCK } from '../clock.js';
-import { estimateTokens, prefixHashOf, promptOf } from '../request/prompt.js';
+import { estimateTokens, hashPromptPrefix, joinMessages } from '../request/prompt.js';
 import { EngineModel } from './engine-model.js';
 import type { EngineJobUsage, EngineModelOptions } from './engine-model.js';
 import { readText, writeJson } from './json-body.js';
@@ -76,7 +76,7 @@
     return;
   }
   const chat = parsed.data;
-  const prompt = promptOf(chat.messages);
+  const prompt = joinMessages(chat.messages);
   response.writeHead(HTTP_OK, { 'content-type': 'text/event-stream' });
   response.flushHeaders();
   response.on('close', () => model.cancel(id));
@@ -85,7 +85,7 @@
     prompt,
     promptTokens: estimateTokens(prompt),
     maxOutputTokens: chat.max_tokens,
-    prefixHash: prefixHashOf(prompt),
+    prefixHash: hashPromptPrefix(prompt),
     priority,
   };
   model.submit(job, {
--- a/src/standin/key-value-model.ts
+++ b/src/standin/key-value-model.ts
@@ -74,7 +74,7 @@
   }
 
   /** Returns whether to drop the response of the current write, and decrements `answersToLose`. */
-  takeLostAnswer(): boolean {
+  consumeLostResponse(): boolean {
     if (this.answersToLose === 0) {
       return false;
     }
--- a/src/standin/platform-server.ts
+++ b/src/standin/platform-server.ts
@@ -95,7 +95,7 @@
     return;
   }
   const result = await perform(model, call);
-  if (isWrite && model.takeLostAnswer()) {
+  if (isWrite && model.consumeLostResponse()) {
     response.destroy();
     return;
   }
--- a/src/standin/service-server.ts
+++ b/src/standin/service-server.ts
@@ -1,7 +1,7 @@
 /** Fake plain service over HTTP: responds after a delay and records the calls it executed. */
 import { createServer } from 'node:http';
 import type { Server } from 'node:http';
-import { serviceAnswer } from './answer-text.js';
+import { serviceResponse } from './answer-text.js';
 import { readText, writeJson } from './json-body.js';
 
 const HTTP_OK = 200;
@@ -24,7 +24,7 @@
       }
       setTimeout(() => {
         response.writeHead(HTTP_OK, { 'content-type': 'application/json' });
-        response.end(serviceAnswer(request.url ?? '/', body));
+        response.end(serviceResponse(request.url ?? '/', body));
       }, latencyMs);
     })();
   });
--- a/test/daemon.test.ts
+++ b/test/daemon.test.ts
@@ -6,7 +6,7 @@
 import { FrameEncoder } from '../src/protocol/framing.js';
 import { createDaemonContext, Daemon } from '../src/server/daemon.js';
 import { EntryRole } from '../src/server/entry-role.js';
-import { answerText } from '../src/standin/answer-text.js';
+import { responseText } from '../src/standin/answer-text.js';
 import { LocalSystem, LOOPBACK, waitUntil } from './support/local-system.js';
 import { SHOP_KEY, smallPolicy } from './support/policy.js';
 
@@ -70,7 +70,7 @@
 
   const plain = await sendRequest(entry.callers, chat('hello'));
   const answer = JSON.parse(plain.text) as { choices: [{ message: { content: string } }] };
-  t.is(answer.choices[0].message.content, answerText('hello', 20));
+  t.is(answer.choices[0].message.content, responseText('hello', 20));
   const streamed = await sendRequest(entry.callers, chat('hello', true));
   t.true(streamed.text.endsWith('data: [DONE]\n\n'));
 
--- a/test/follower.test.ts
+++ b/test/follower.test.ts
@@ -3,7 +3,7 @@
 import { DEFAULT_FOLLOWER_OPTIONS, PolicyFollower } from '../src/policy/follower.js';
 import { PolicyReplica } from '../src/policy/replica.js';
 import { POLICY_HEAD_KEY, changePolicy } from '../src/policy/store.js';
-import { findEdits } from '../src/policy/change.js';
+import { diffPolicies } from '../src/policy/change.js';
 import { SeededRandom } from '../src/random.js';
 import { SimNetwork } from '../src/sim/sim-network.js';
 import { SimKeyValueClient, SimPlatform } from '../src/sim/sim-platform.js';
@@ -35,8 +35,8 @@
       author: 'test',
       atMs: 0,
       summary: '',
-      edits: findEdits(from as never, to as never),
-      seen: from as never,
+      edits: diffPolicies(from as never, to as never),
+      baseDocument: from as never,
     });
   void put('first', {}, smallPolicy());
   await clock.runUntil(500);
@@ -55,7 +55,7 @@
   follower.start();
   await clock.runUntil(1_000);
   t.is(replica.generation, 1);
-  follower.setFleet([SELF]);
+  follower.setMachines([SELF]);
   await clock.runUntil(1_500);
   void put('second', smallPolicy(), {
     ...smallPolicy(),
--- a/test/policy.test.ts
+++ b/test/policy.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { applyEdits, digestAfterEdits, findEdits, policyDigest } from '../src/policy/change.js';
+import { applyEdits, digestAfterEdits, diffPolicies, policyDigest } from '../src/policy/change.js';
 import { compilePolicy } from '../src/policy/compiled-policy.js';
 import { decideEligibility, findPermittedEngines } from '../src/policy/eligibility.js';
 import { formatPolicyIni, parsePolicyIni } from '../src/policy/ini-policy.js';
@@ -78,7 +78,7 @@
   ];
   const after = applyEdits(before, edits);
   t.is(digestAfterEdits(policyDigest(before), before, edits), policyDigest(after));
-  t.deepEqual(findEdits(before, after).length, 2);
+  t.deepEqual(diffPolicies(before, after).length, 2);
 });
 
 function createChangeRecord(
--- a/test/quota-restarts.test.ts
+++ b/test/quota-restarts.test.ts
@@ -13,11 +13,15 @@
  */
 test('quota: no tenant exceeds its limit while gateways are killed and restarted in turn', async (t) => {
   execFileSync('node', ['platform/build.mjs']);
-  const { worstShare, calmRefused, folder } = await runQuotas({
+  const {
+    peakShare: worstShare,
+    moderateRefusedShare: calmRefused,
+    folder,
+  } = await runQuotas({
     fault: 'kill-in-turn',
     gateways: 8,
     seed: 1,
-    lengthMs: 13_000,
+    durationMs: 13_000,
     basePort: 24_000,
   });
   t.log(`${worstShare} of the limit, ${calmRefused} of calm requests refused; logs in ${folder}`);
@@ -26,11 +30,15 @@
 });
 
 test('quota: a request that back ends run twice is charged twice', async (t) => {
-  const { worstShare, furtherTries, folder } = await runQuotas({
+  const {
+    peakShare: worstShare,
+    repeatedExecutions: furtherTries,
+    folder,
+  } = await runQuotas({
     fault: 'lost-answers',
     gateways: 3,
     seed: 1,
-    lengthMs: 10_000,
+    durationMs: 10_000,
     basePort: 24_010,
   });
   t.log(`${worstShare} of the limit, ${furtherTries} further attempts; logs in ${folder}`);
@@ -39,11 +47,11 @@
 });
 
 test('quota: gateways that never receive messages from each other share one limit', async (t) => {
-  const { worstShare, folder } = await runQuotas({
+  const { peakShare: worstShare, folder } = await runQuotas({
     fault: 'apart',
     gateways: 4,
     seed: 1,
-    lengthMs: 10_000,
+    durationMs: 10_000,
     basePort: 24_020,
   });
   t.log(`${worstShare} of the limit; logs in ${folder}`);
--- a/test/slot-agent-links.test.ts
+++ b/test/slot-agent-links.test.ts
@@ -161,11 +161,11 @@
   await proxy.start('127.0.5.2', 28_953);
   const { known, stop } = startLinks(28_953, '127.0.5.2');
   t.true(await waitFor(() => known.path.heardAtMs !== undefined));
-  proxy.mood = 'cut-from-target';
+  proxy.behavior = 'cut-from-target';
   t.true(await waitFor(() => known.path.isAgentSilent));
   t.true(await waitFor(() => known.agent !== undefined));
   t.true(known.path.isAgentSilent);
-  proxy.mood = 'passes';
+  proxy.behavior = 'passes';
   t.true(await waitFor(() => !known.path.isAgentSilent));
   stop();
   proxy.stop();
--- a/test/support/local-system.ts
+++ b/test/support/local-system.ts
@@ -1,6 +1,6 @@
 import type { Server } from 'node:http';
 import { readStoredPolicy, changePolicy } from '../../src/policy/store.js';
-import { findEdits } from '../../src/policy/change.js';
+import { diffPolicies } from '../../src/policy/change.js';
 import type { PolicyDocument } from '../../src/policy/document.js';
 import { HttpKeyValueClient } from '../../src/key-value/http-key-value.js';
 import { AgentRole } from '../../src/server/agent-role.js';
@@ -42,8 +42,8 @@
       author: 'test',
       atMs: 0,
       summary: 'test',
-      edits: findEdits(stored.document, policy),
-      seen: stored.document,
+      edits: diffPolicies(stored.document, policy),
+      baseDocument: stored.document,
     };
     (await changePolicy(this.keyValue, change)).unwrap();
   }
