--- a/src/sim/checks/dispatched-once.ts
+++ b/src/sim/checks/dispatched-once.ts
@@ -1,23 +1,23 @@
-/** Check: no request is handed to a back end twice, and no idempotency key runs twice. */
+/** Check `dispatched-once`: no request and no idempotency key is dispatched to a backend twice. */
 import type { Observations } from '../observations.js';
 import type { Violation } from './violation.js';
 
-/** Looks at the back ends' accounts only. */
+/** Returns a violation for each repeated dispatch that the backends recorded. */
 export function checkDispatchedOnce(observations: Observations): Violation[] {
   const violations: Violation[] = [];
-  const seen = new Map<string, string>();
-  for (const handed of observations.handed) {
-    const names = [`request ${handed.requestId}`];
-    if (handed.idempotencyKey !== undefined) {
-      names.push(`key ${handed.idempotencyKey}`);
+  const engineByName = new Map<string, string>();
+  for (const dispatch of observations.dispatches) {
+    const names = [`request ${dispatch.requestId}`];
+    if (dispatch.idempotencyKey !== undefined) {
+      names.push(`key ${dispatch.idempotencyKey}`);
     }
     for (const name of names) {
-      const first = seen.get(name);
-      if (first !== undefined) {
-        const detail = `${name} ran on ${first} and on ${handed.engine}`;
-        violations.push({ check: 'dispatched-once', atMs: handed.atMs, detail });
+      const firstEngine = engineByName.get(name);
+      if (firstEngine !== undefined) {
+        const detail = `${name} ran on ${firstEngine} and on ${dispatch.engine}`;
+        violations.push({ check: 'dispatched-once', atMs: dispatch.atMs, detail });
       }
-      seen.set(name, handed.engine);
+      engineByName.set(name, dispatch.engine);
     }
   }
   return violations;
--- a/src/sim/checks/leaving.ts
+++ b/src/sim/checks/leaving.ts
@@ -1,29 +1,42 @@
-/** Check: a back end that is leaving is handed nothing a few seconds after it starts to leave. */
-import type { Observations, PlannedLeave } from '../observations.js';
+/**
+ * Check `leaving`: a backend that shuts down gracefully (machine state `leaving`) receives no
+ * requests once the shutdown has had time to propagate.
+ */
+import type { Observations, GracefulShutdown } from '../observations.js';
 import type { Violation } from './violation.js';
 
-/** Time until no new work, by the way the leave was made known, in milliseconds. */
-export const LEAVE_BOUND_MS = { signal: 1_000, list: 6_000 } as const;
-/** A list that lags more than usual delays a leave made known by the list alone. */
-const LIST_FAULT_EXTRA_MS = 12_000;
+/**
+ * Time after which a backend that shuts down must receive no new requests, by how the shutdown was
+ * signalled, in milliseconds.
+ */
+export const SHUTDOWN_LIMIT_MS = { signal: 1_000, list: 6_000 } as const;
+/** Added while the machine list lags more than usual, for shutdowns signalled by the list alone. */
+const LIST_FAULT_ALLOWANCE_MS = 12_000;
 
-/** Looks at leaves and at the back ends' accounts. */
-export function checkLeaving(observations: Observations): Violation[] {
-  return observations.leaves.flatMap((leave) => {
-    const untilMs = leave.restartedAtMs ?? Number.POSITIVE_INFINITY;
-    const fromMs = leave.atMs + boundOf(observations, leave);
-    return observations.handed
-      .filter((one) => one.engine === leave.process && one.atMs > fromMs && one.atMs < untilMs)
-      .map((one) => ({
+/** Returns a violation for each request dispatched to a backend after its shutdown took effect. */
+export function checkGracefulShutdown(observations: Observations): Violation[] {
+  return observations.shutdowns.flatMap((shutdown) => {
+    const untilMs = shutdown.restartedAtMs ?? Number.POSITIVE_INFINITY;
+    const fromMs = shutdown.atMs + shutdownLimitMs(observations, shutdown);
+    return observations.dispatches
+      .filter(
+        (dispatch) =>
+          dispatch.engine === shutdown.process && dispatch.atMs > fromMs && dispatch.atMs < untilMs,
+      )
+      .map((dispatch) => ({
         check: 'leaving',
-        atMs: one.atMs,
-        detail: `${one.requestId} was handed to ${one.engine} ${(one.atMs - leave.atMs).toFixed(0)} ms after it began to leave by ${leave.by}`,
+        atMs: dispatch.atMs,
+        detail: `${dispatch.requestId} was dispatched to ${dispatch.engine} ${(dispatch.atMs - shutdown.atMs).toFixed(0)} ms after its shutdown by ${shutdown.trigger} began`,
       }));
   });
 }
 
-function boundOf(observations: Observations, leave: PlannedLeave): number {
-  const bound = LEAVE_BOUND_MS[leave.by];
-  const isListSlow = observations.isDisturbed(['list'], leave.atMs, leave.atMs + bound);
-  return leave.by === 'list' && isListSlow ? bound + LIST_FAULT_EXTRA_MS : bound;
+function shutdownLimitMs(observations: Observations, shutdown: GracefulShutdown): number {
+  const limitMs = SHUTDOWN_LIMIT_MS[shutdown.trigger];
+  const isListDelayed = observations.isAffectedByFault(
+    ['list'],
+    shutdown.atMs,
+    shutdown.atMs + limitMs,
+  );
+  return shutdown.trigger === 'list' && isListDelayed ? limitMs + LIST_FAULT_ALLOWANCE_MS : limitMs;
 }
--- a/src/sim/checks/policy-in-force.ts
+++ b/src/sim/checks/policy-in-force.ts
@@ -1,132 +1,140 @@
 /**
- * Check: an accepted change is in force in every reachable place within the bound;
- * a generation never goes down; no request starts where the policy in force
- * forbids; no accepted change is lost and none is applied twice.
+ * Check `policy-in-force`: every reachable process applies an accepted change within the time
+ * limit; the generation of a process never decreases; no request is dispatched to an engine that
+ * the active policy forbids; no accepted change is lost or applied twice.
  */
 import { parseHead, POLICY_HEAD_KEY } from '../../policy/store.js';
-import type { AcceptedChange, HandedRequest } from '../observations.js';
-import type { World } from '../world.js';
+import type { AcceptedChange, DispatchedRequest } from '../observations.js';
+import type { SimCluster } from '../world.js';
 import type { Violation } from './violation.js';
 
-/** Time until an accepted change is in force everywhere, in milliseconds; the users' bound is 19 s. */
-export const POLICY_BOUND_MS = 19_000;
+/** Time limit for applying an accepted change everywhere, in milliseconds; documented as 19 s. */
+export const POLICY_PROPAGATION_LIMIT_MS = 19_000;
 
-const CHECK = 'policy-in-force';
+const CHECK_NAME = 'policy-in-force';
 
-/** Looks at generations, at the back ends' accounts and at the platform's store. */
-export function checkPolicyInForce(world: World): Violation[] {
+/** Checks the generations in use, the dispatches of the backends and the policy store. */
+export function checkActivePolicy(cluster: SimCluster): Violation[] {
   return [
-    ...findReverts(world),
-    ...findLateProcesses(world),
-    ...findForbiddenStarts(world),
-    ...findLostChanges(world),
+    ...findGenerationRegressions(cluster),
+    ...findStaleProcesses(cluster),
+    ...findForbiddenDispatches(cluster),
+    ...findLostOrDuplicateChanges(cluster),
   ];
 }
 
-/** A place never goes back: not within one start of a process, and not across its restarts. */
-function findReverts(world: World): Violation[] {
+/** Finds decreases of a process's generation, within one incarnation and across restarts. */
+function findGenerationRegressions(cluster: SimCluster): Violation[] {
   const highest = new Map<string, number>();
-  return world.observations.generations.flatMap(({ process, generation, atMs }) => {
-    const before = highest.get(process) ?? 0;
-    highest.set(process, Math.max(before, generation));
-    return generation >= before
+  return cluster.observations.generationChanges.flatMap(({ process, generation, atMs }) => {
+    const previous = highest.get(process) ?? 0;
+    highest.set(process, Math.max(previous, generation));
+    return generation >= previous
       ? []
       : [
           {
-            check: CHECK,
+            check: CHECK_NAME,
             atMs,
-            detail: `${process} went from generation ${before} to ${generation}`,
+            detail: `generation of ${process} decreased from ${previous} to ${generation}`,
           },
         ];
   });
 }
 
-function findLateProcesses(world: World): Violation[] {
-  const nowMs = world.clock.now();
-  return world.observations.acceptedChanges.flatMap((change) => {
-    const dueMs = change.acceptedAtMs + POLICY_BOUND_MS;
-    if (dueMs > nowMs || isDisturbedFor(world, 'platform', change.acceptedAtMs, dueMs)) {
+function findStaleProcesses(cluster: SimCluster): Violation[] {
+  const nowMs = cluster.clock.now();
+  return cluster.observations.acceptedChanges.flatMap((change) => {
+    const deadlineMs = change.acceptedAtMs + POLICY_PROPAGATION_LIMIT_MS;
+    if (deadlineMs > nowMs || hadFault(cluster, 'platform', change.acceptedAtMs, deadlineMs)) {
       return [];
     }
-    return [...world.agents.values(), ...world.entries]
-      .filter((process) => wasReachable(world, process.machine.name, change, dueMs))
-      .filter((process) => generationAt(world, process.machine.name, dueMs) < change.generation)
+    return [...cluster.agents.values(), ...cluster.entries]
+      .filter((process) => wasReachable(cluster, process.machine.name, change, deadlineMs))
+      .filter(
+        (process) => generationAt(cluster, process.machine.name, deadlineMs) < change.generation,
+      )
       .map((process) => ({
-        check: CHECK,
-        atMs: dueMs,
-        detail: `generation ${change.generation} is not in force on ${process.machine.name} after ${POLICY_BOUND_MS} ms`,
+        check: CHECK_NAME,
+        atMs: deadlineMs,
+        detail: `generation ${change.generation} was not applied by ${process.machine.name} within ${POLICY_PROPAGATION_LIMIT_MS} ms`,
       }));
   });
 }
 
-function generationAt(world: World, process: string, atMs: number): number {
-  return world.observations.generations
+function generationAt(cluster: SimCluster, process: string, atMs: number): number {
+  return cluster.observations.generationChanges
     .filter((one) => one.process === process && one.atMs <= atMs)
     .reduce((highest, one) => Math.max(highest, one.generation), 0);
 }
 
 function wasReachable(
-  world: World,
+  cluster: SimCluster,
   process: string,
   change: AcceptedChange,
-  dueMs: number,
+  deadlineMs: number,
 ): boolean {
-  const { leaves } = world.observations;
-  const isLeaving = leaves.some(
-    (leave) =>
-      leave.process === process &&
-      leave.atMs <= dueMs &&
-      (leave.restartedAtMs ?? Number.POSITIVE_INFINITY) >= change.acceptedAtMs,
+  const { shutdowns } = cluster.observations;
+  const isLeaving = shutdowns.some(
+    (shutdown) =>
+      shutdown.process === process &&
+      shutdown.atMs <= deadlineMs &&
+      (shutdown.restartedAtMs ?? Number.POSITIVE_INFINITY) >= change.acceptedAtMs,
   );
-  return !isLeaving && !isDisturbedFor(world, process, change.acceptedAtMs, dueMs);
+  return !isLeaving && !hadFault(cluster, process, change.acceptedAtMs, deadlineMs);
 }
 
-/** Whether a fault touched `name` for any part of the time in which the change had to spread. */
-function isDisturbedFor(world: World, name: string, fromMs: number, untilMs: number): boolean {
-  return world.observations.isDisturbed([name], fromMs, untilMs);
+/** Whether a fault affected `name` at any time while the change had to propagate. */
+function hadFault(cluster: SimCluster, name: string, fromMs: number, untilMs: number): boolean {
+  return cluster.observations.isAffectedByFault([name], fromMs, untilMs);
 }
 
-function findForbiddenStarts(world: World): Violation[] {
-  const { handed, acceptedChanges } = world.observations;
-  return handed.flatMap((one) => {
-    const inForce = acceptedChanges.find((change) => change.generation === one.generation);
-    if (inForce === undefined || isPermitted(world, one, inForce)) {
+function findForbiddenDispatches(cluster: SimCluster): Violation[] {
+  const { dispatches, acceptedChanges } = cluster.observations;
+  return dispatches.flatMap((dispatch) => {
+    const activeChange = acceptedChanges.find(
+      (change) => change.generation === dispatch.generation,
+    );
+    if (activeChange === undefined || isPermitted(cluster, dispatch, activeChange)) {
       return [];
     }
-    const detail = `${one.requestId} (${one.dataClass}) started on ${one.engine}, which generation ${one.generation} forbids`;
-    return [{ check: CHECK, atMs: one.atMs, detail }];
+    const detail = `${dispatch.requestId} (${dispatch.dataClass}) was dispatched to ${dispatch.engine}, which generation ${dispatch.generation} forbids`;
+    return [{ check: CHECK_NAME, atMs: dispatch.atMs, detail }];
   });
 }
 
-/** The rules of the deployment, read without the code that decides eligibility. */
-function isPermitted(world: World, handed: HandedRequest, change: AcceptedChange): boolean {
-  const engine = change.document[`engine.${handed.engine}`];
+/** Applies the deployment's rules independently of the eligibility code under test. */
+function isPermitted(
+  cluster: SimCluster,
+  dispatch: DispatchedRequest,
+  change: AcceptedChange,
+): boolean {
+  const engine = change.document[`engine.${dispatch.engine}`];
   const isDrained = engine?.kind === 'engine' && engine.labels['state'] === 'drained';
-  const permitted = world.permittedBackends(handed.dataClass).map((backend) => backend.name);
-  return !isDrained && permitted.includes(handed.engine);
+  const permitted = cluster.permittedBackends(dispatch.dataClass).map((backend) => backend.name);
+  return !isDrained && permitted.includes(dispatch.engine);
 }
 
-function findLostChanges(world: World): Violation[] {
-  const head = parseHead(world.platform.model.get(POLICY_HEAD_KEY)?.value);
-  const atMs = world.clock.now();
-  const times = new Map<string, number>();
+function findLostOrDuplicateChanges(cluster: SimCluster): Violation[] {
+  const head = parseHead(cluster.platform.model.get(POLICY_HEAD_KEY)?.value);
+  const atMs = cluster.clock.now();
+  const applyCounts = new Map<string, number>();
   for (const record of head.recent) {
-    times.set(record.changeId, (times.get(record.changeId) ?? 0) + 1);
+    applyCounts.set(record.changeId, (applyCounts.get(record.changeId) ?? 0) + 1);
   }
-  const isWholeHistory = head.recent.length === head.generation;
-  const lost = world.observations.acceptedChanges
-    .filter(({ changeId }) => isWholeHistory && !times.has(changeId))
+  const isHistoryComplete = head.recent.length === head.generation;
+  const lost = cluster.observations.acceptedChanges
+    .filter(({ changeId }) => isHistoryComplete && !applyCounts.has(changeId))
     .map(({ changeId }) => ({
-      check: CHECK,
+      check: CHECK_NAME,
       atMs,
-      detail: `${changeId} was accepted and is lost`,
+      detail: `accepted change ${changeId} is missing from the store`,
     }));
-  const doubled = [...times]
+  const duplicated = [...applyCounts]
     .filter(([, count]) => count > 1)
     .map(([changeId, count]) => ({
-      check: CHECK,
+      check: CHECK_NAME,
       atMs,
       detail: `${changeId} was applied ${count} times`,
     }));
-  return [...lost, ...doubled];
+  return [...lost, ...duplicated];
 }
--- a/src/sim/checks/tier-order.ts
+++ b/src/sim/checks/tier-order.ts
@@ -1,33 +1,33 @@
 /**
- * Check: when a request is shed, no permitted engine that could have served it in
- * time goes on serving a lower tier in its place.
+ * Check `tier-order`: when a request is shed, no permitted engine that could have served it before
+ * its deadline keeps running a request of a lower tier. A larger tier number is a lower tier.
  */
-import type { World } from '../world.js';
+import type { SimCluster } from '../world.js';
 import type { CallerAttempt, ShedSnapshot } from '../observations.js';
 import type { BackendProfile } from '../deployment.js';
 import type { Violation } from './violation.js';
 
-/** An engine counts only if the request would have fitted with this margin. */
-const FIT_FACTOR = 2;
-const FIT_MARGIN_MS = 1_500;
-/** Faults touch the choice for as long as it takes to notice them. */
-const FAULT_REACH_MS = 10_000;
+/** An engine counts only if it could have met the deadline with this safety factor and margin. */
+const DEADLINE_SAFETY_FACTOR = 2;
+const DEADLINE_MARGIN_MS = 1_500;
+/** How long a fault may affect dispatch decisions before it is detected, in milliseconds. */
+const FAULT_DETECTION_MS = 10_000;
 
-/** Looks at sheds and at what ran on the engines then. */
-export function checkTierOrder(world: World): Violation[] {
-  return world.observations.sheds.flatMap((shed) => findBreaches(world, shed));
+/** Returns a violation for each lower-tier request that outlived a shed of a higher tier. */
+export function checkTierOrder(cluster: SimCluster): Violation[] {
+  return cluster.observations.sheds.flatMap((shed) => findTierViolations(cluster, shed));
 }
 
-function findBreaches(world: World, shed: ShedSnapshot): Violation[] {
-  const { observations } = world;
+function findTierViolations(cluster: SimCluster, shed: ShedSnapshot): Violation[] {
+  const { observations } = cluster;
   return shed.stillRunning.flatMap((running) => {
-    const profile = world.deployment.backends.find((one) => one.name === running.engine)!;
+    const profile = cluster.deployment.backends.find((backend) => backend.name === running.engine)!;
     const names = [running.engine, shed.attempt.entry];
-    const isBreach =
-      fitsOn(profile, shed.attempt) &&
-      !observations.isDisturbed(names, shed.atMs - FAULT_REACH_MS, shed.atMs) &&
-      isInService(world, running.engine, shed);
-    if (!isBreach) {
+    const isViolation =
+      couldMeetDeadline(profile, shed.attempt) &&
+      !observations.isAffectedByFault(names, shed.atMs - FAULT_DETECTION_MS, shed.atMs) &&
+      isInService(cluster, running.engine, shed);
+    if (!isViolation) {
       return [];
     }
     const { attempt } = shed;
@@ -36,31 +36,34 @@
   });
 }
 
-/** Whether the engine, had it taken the request when it came, would have finished it in time. */
-function fitsOn(profile: BackendProfile, attempt: CallerAttempt): boolean {
+/** Whether the engine would have met the deadline if it had started the request on arrival. */
+function couldMeetDeadline(profile: BackendProfile, attempt: CallerAttempt): boolean {
   if (profile.engine === undefined) {
     return true;
   }
   const { prefillTokensPerMs, stepMs } = profile.engine;
-  const outputTokens = attempt.expectedAnswer.split(' ').length;
+  const outputTokens = attempt.expectedResponse.split(' ').length;
   const serviceMs = attempt.promptTokens / prefillTokensPerMs + outputTokens * stepMs;
-  return serviceMs * FIT_FACTOR + FIT_MARGIN_MS <= attempt.deadlineAtMs - attempt.sentAtMs;
+  return (
+    serviceMs * DEADLINE_SAFETY_FACTOR + DEADLINE_MARGIN_MS <=
+    attempt.deadlineAtMs - attempt.sentAtMs
+  );
 }
 
-/** An engine that was drained, was leaving or had just come back is no alternative. */
-function isInService(world: World, engine: string, shed: ShedSnapshot): boolean {
-  const { leaves, acceptedChanges } = world.observations;
-  const isLeaving = leaves.some(
-    (leave) =>
-      leave.process === engine &&
-      leave.atMs <= shed.atMs &&
-      (leave.restartedAtMs ?? Number.POSITIVE_INFINITY) > shed.atMs - FAULT_REACH_MS,
+/** Whether the engine was neither drained, shutting down nor recently restarted. */
+function isInService(cluster: SimCluster, engine: string, shed: ShedSnapshot): boolean {
+  const { shutdowns, acceptedChanges } = cluster.observations;
+  const isLeaving = shutdowns.some(
+    (shutdown) =>
+      shutdown.process === engine &&
+      shutdown.atMs <= shed.atMs &&
+      (shutdown.restartedAtMs ?? Number.POSITIVE_INFINITY) > shed.atMs - FAULT_DETECTION_MS,
   );
-  const wasRelabelled = acceptedChanges.some(
+  const hasLabelChange = acceptedChanges.some(
     (change) =>
       change.entries.length === 1 &&
       change.entries[0] === `engine.${engine}` &&
       change.acceptedAtMs <= shed.atMs,
   );
-  return !isLeaving && !wasRelabelled;
+  return !isLeaving && !hasLabelChange;
 }
--- a/src/sim/checks/told-not-run.ts
+++ b/src/sim/checks/told-not-run.ts
@@ -1,16 +1,21 @@
-/** Check: a request whose caller was told that it was not run is never handed to a back end, to the end of the run. */
+/**
+ * Check `told-not-run`: a request that was refused with `ran: 'no'` is not dispatched to a backend
+ * at any time before the end of the simulation.
+ */
 import type { Observations } from '../observations.js';
 import type { Violation } from './violation.js';
 
-/** Looks at refusals and at the back ends' accounts. */
-export function checkToldNotRun(observations: Observations): Violation[] {
-  const handed = new Map(observations.handed.map((one) => [one.requestId, one]));
+/** Returns a violation for each request that was refused as not run and also dispatched. */
+export function checkRefusedNotRun(observations: Observations): Violation[] {
+  const dispatchById = new Map(
+    observations.dispatches.map((dispatch) => [dispatch.requestId, dispatch]),
+  );
   return observations.attempts.flatMap((attempt) => {
-    const ran = handed.get(attempt.requestId ?? '');
-    if (attempt.refusal?.ran !== 'no' || ran === undefined) {
+    const dispatch = dispatchById.get(attempt.requestId ?? '');
+    if (attempt.refusal?.ran !== 'no' || dispatch === undefined) {
       return [];
     }
-    const detail = `${ran.requestId} was refused as ${attempt.refusal.reason}, not run, but ran on ${ran.engine}`;
-    return [{ check: 'told-not-run', atMs: ran.atMs, detail }];
+    const detail = `${dispatch.requestId} was refused as not run (${attempt.refusal.reason}), but ran on ${dispatch.engine}`;
+    return [{ check: 'told-not-run', atMs: dispatch.atMs, detail }];
   });
 }
--- a/src/sim/checks/violation.ts
+++ b/src/sim/checks/violation.ts
@@ -1,8 +1,8 @@
-/** What a check finds. */
+/** The result type of the simulation checks. */
 
-/** A breach of a promise. */
+/** A violation of a guarantee that a simulation check found. */
 export interface Violation {
-  /** Name of the check. */
+  /** Name of the check that found the violation. */
   readonly check: string;
   readonly atMs: number;
   readonly detail: string;
--- a/src/sim/checks/whole-answer.ts
+++ b/src/sim/checks/whole-answer.ts
@@ -1,35 +1,35 @@
 /**
- * Check: whoever got an answer got the whole answer to its own request; every
- * request ends; none is lost unless a fault that can lose it touched its path;
- * a refusal comes at once and is not held to the deadline.
+ * Check `whole-answer`: an answered caller received the complete response to its own request;
+ * every request ends; no request is lost unless a fault that can lose requests affected its path;
+ * a refusal is sent immediately and does not wait for the deadline.
  */
 import type { CallerAttempt, Observations } from '../observations.js';
-import type { World } from '../world.js';
+import type { SimCluster } from '../world.js';
 import type { Violation } from './violation.js';
 
-/** Longest time that a request may go on past its deadline without an ending, in milliseconds. */
-const LONGEST_OVERRUN_MS = 45_000;
-/** Faults reach into requests for as long as it takes to notice them. */
-const FAULT_REACH_MS = 16_000;
+/** Longest time that a request may stay pending after its deadline, in milliseconds. */
+const MAX_DEADLINE_OVERRUN_MS = 45_000;
+/** How long a fault may affect requests before it is detected, in milliseconds. */
+const FAULT_DETECTION_MS = 16_000;
 
-/** Looks at what callers got. */
-export function checkWholeAnswer(world: World): Violation[] {
-  const { observations } = world;
-  const nowMs = world.clock.now();
+/** Returns a violation for each attempt with a wrong, incomplete or missing result. */
+export function checkCompleteResponse(cluster: SimCluster): Violation[] {
+  const { observations } = cluster;
+  const nowMs = cluster.clock.now();
   return observations.attempts.flatMap((attempt) =>
-    findFault(observations, attempt, findEngines(world, attempt), nowMs),
+    findAttemptViolations(observations, attempt, findCandidateEngines(cluster, attempt), nowMs),
   );
 }
 
-/** The engine that was handed the request; if none was, every one that may have been on its way. */
-function findEngines(world: World, attempt: CallerAttempt): readonly string[] {
-  const handed = world.observations.findHanded(attempt.requestId ?? '');
-  return handed === undefined
-    ? world.permittedBackends(attempt.dataClass).map((backend) => backend.name)
-    : [handed.engine];
+/** Returns the engine that received the request, or every permitted engine if none did. */
+function findCandidateEngines(cluster: SimCluster, attempt: CallerAttempt): readonly string[] {
+  const dispatch = cluster.observations.findDispatch(attempt.requestId ?? '');
+  return dispatch === undefined
+    ? cluster.permittedBackends(attempt.dataClass).map((backend) => backend.name)
+    : [dispatch.engine];
 }
 
-function findFault(
+function findAttemptViolations(
   observations: Observations,
   attempt: CallerAttempt,
   engines: readonly string[],
@@ -43,36 +43,44 @@
     },
   ];
   if (attempt.outcome === 'answered') {
-    return attempt.answer === attempt.expectedAnswer
+    return attempt.response === attempt.expectedResponse
       ? []
-      : violation('got an answer that is not whole or not its own');
+      : violation('received an incomplete response or one to another request');
   }
-  const isCut = attempt.answer !== '' && !attempt.expectedAnswer.startsWith(attempt.answer);
-  if (isCut) {
-    return violation('got parts of an answer that is not its own');
+  const isForeignResponse =
+    attempt.response !== '' && !attempt.expectedResponse.startsWith(attempt.response);
+  if (isForeignResponse) {
+    return violation('received chunks of a response to another request');
   }
   if (attempt.outcome === 'pending') {
-    const isOverdue = nowMs > attempt.deadlineAtMs + LONGEST_OVERRUN_MS;
-    const isAllowed = isDisturbed(observations, attempt, engines, nowMs);
-    return isOverdue && !isAllowed ? violation('never ended') : [];
+    const isOverdue = nowMs > attempt.deadlineAtMs + MAX_DEADLINE_OVERRUN_MS;
+    const isExcused = isAffectedByFault(observations, attempt, engines, nowMs);
+    return isOverdue && !isExcused ? violation('never completed') : [];
   }
   const mayHaveRun = attempt.outcome === 'connection-lost' || attempt.refusal?.ran === 'unknown';
   const isExempt =
     attempt.refusal?.reason === 'preempted' || attempt.refusal?.reason === 'duplicate-request';
-  const wasTaken = attempt.requestId !== undefined;
-  if (mayHaveRun && wasTaken && !isExempt && !isDisturbed(observations, attempt, engines, nowMs)) {
-    return violation(`was lost without cause: ${attempt.refusal?.detail ?? attempt.outcome}`);
+  const wasAccepted = attempt.requestId !== undefined;
+  if (
+    mayHaveRun &&
+    wasAccepted &&
+    !isExempt &&
+    !isAffectedByFault(observations, attempt, engines, nowMs)
+  ) {
+    return violation(
+      `was lost without a fault that explains it: ${attempt.refusal?.detail ?? attempt.outcome}`,
+    );
   }
   return [];
 }
 
-function isDisturbed(
+function isAffectedByFault(
   observations: Observations,
   attempt: CallerAttempt,
   engines: readonly string[],
   nowMs: number,
 ): boolean {
   const names = [attempt.entry, ...engines];
-  const fromMs = attempt.sentAtMs - FAULT_REACH_MS;
-  return observations.isDisturbed(names, fromMs, attempt.endedAtMs ?? nowMs);
+  const fromMs = attempt.sentAtMs - FAULT_DETECTION_MS;
+  return observations.isAffectedByFault(names, fromMs, attempt.endedAtMs ?? nowMs);
 }
--- a/src/sim/deployment.ts
+++ b/src/sim/deployment.ts
@@ -1,14 +1,14 @@
-/** The two deployments of the brief as the simulator builds them. */
+/** The two deployments that simulations run on. */
 import type { PolicyDocument, PolicyEntry } from '../policy/document.js';
 import type { RandomSource } from '../random.js';
 import { randomInteger } from '../random.js';
 import type { EngineModelOptions } from '../standin/engine-model.js';
 import type { NetworkOptions } from './sim-network.js';
 
-/** Name of a deployment. */
+/** Names of the available deployments. */
 export type DeploymentName = 'factoring' | 'guild';
 
-/** A class of requests. */
+/** Properties shared by the requests of one class. */
 export interface RequestClass {
   readonly name: string;
   readonly tenants: readonly string[];
@@ -16,34 +16,34 @@
   readonly dataClass: string;
   readonly tier: number;
   readonly needsApprovedPlace: boolean;
-  /** Shortest and longest prompt, in tokens; 0 for a plain service. */
+  /** Smallest and largest prompt, in tokens; 0 for a service that runs no model. */
   readonly promptTokens: readonly [number, number];
-  /** Shortest and longest limit of the answer, in tokens. */
+  /** Smallest and largest output limit, in tokens. */
   readonly outputTokens: readonly [number, number];
   readonly deadlineMs: number;
-  /** Relative number of requests. */
+  /** Relative weight of the class in the request mix. */
   readonly share: number;
   readonly isRepeatable: boolean;
 }
 
-/** A back end and where it stands. */
+/** A backend, its place and its speed. */
 export interface BackendProfile {
   readonly name: string;
   readonly place: string;
   readonly model: string;
-  /** Undefined for a plain service. */
+  /** Undefined for a service that runs no model. */
   readonly engine: EngineModelOptions | undefined;
-  /** Time of one call of a plain service, in milliseconds. */
+  /** Duration of one call to a service that runs no model, in milliseconds. */
   readonly serviceMs: number;
 }
 
-/** A place with its clearance. */
+/** A place and whether classes that need approval may run there. */
 export interface PlaceProfile {
   readonly name: string;
   readonly isApproved: boolean;
 }
 
-/** A whole deployment. */
+/** Regions, places, processes and request classes of a simulated deployment. */
 export interface Deployment {
   readonly name: DeploymentName;
   readonly region: string;
@@ -169,7 +169,7 @@
   },
 ];
 
-/** Builds a deployment; the speeds of its engines follow from `random`. */
+/** Builds a deployment; engine and service speeds are drawn from `random`. */
 export function createDeployment(name: DeploymentName, random: RandomSource): Deployment {
   const isFactoring = name === 'factoring';
   const placeNames = isFactoring
@@ -202,7 +202,7 @@
   };
 }
 
-/** The policy that the deployment starts with. */
+/** Builds the initial policy of a deployment. */
 export function createPolicy(deployment: Deployment): PolicyDocument {
   const document: Record<string, PolicyEntry> = {
     'label.class': { kind: 'label', values: deployment.classes.map((one) => one.dataClass) },
@@ -226,20 +226,24 @@
     const limits = { keys: [], weight: 1, maxConcurrent: 1_000_000 };
     document[`tenant.${tenant}`] = { kind: 'tenant', labels: {}, ...limits };
   }
-  for (const one of deployment.classes) {
-    document[`model.${one.model}`] = { kind: 'model', labels: {}, repeatable: one.isRepeatable };
-    document[`selector.${one.name}`] = createSelector({
+  for (const requestClass of deployment.classes) {
+    document[`model.${requestClass.model}`] = {
+      kind: 'model',
+      labels: {},
+      repeatable: requestClass.isRepeatable,
+    };
+    document[`selector.${requestClass.name}`] = createSelector({
       effect: 'allow',
-      tier: one.tier,
-      data: { class: [one.dataClass] },
-      place: one.needsApprovedPlace ? { clearance: ['approved'] } : {},
+      tier: requestClass.tier,
+      data: { class: [requestClass.dataClass] },
+      place: requestClass.needsApprovedPlace ? { clearance: ['approved'] } : {},
     });
   }
   return document;
 }
 
 function createSelector(
-  parts: Partial<Extract<PolicyEntry, { kind: 'selector' }>>,
+  overrides: Partial<Extract<PolicyEntry, { kind: 'selector' }>>,
 ): Extract<PolicyEntry, { kind: 'selector' }> {
   return {
     kind: 'selector',
@@ -251,7 +255,7 @@
     data: {},
     engine: {},
     place: {},
-    ...parts,
+    ...overrides,
   };
 }
 
--- a/src/sim/fault.ts
+++ b/src/sim/fault.ts
@@ -1,7 +1,7 @@
-/** Faults of a simulated run: what they are, and schedules of them for fast-check to make and shrink. */
+/** Fault kinds of the simulation, and a fast-check arbitrary for fault schedules. */
 import * as fc from 'fast-check';
 
-/** Kinds of fault, each with what it does. */
+/** Kinds of fault; replay files store these names. */
 export const FAULT_KINDS = [
   'kill-agent',
   'kill-entry',
@@ -28,19 +28,19 @@
   'operator-race',
 ] as const;
 
-/** A kind of fault. */
+/** Name of a fault kind. */
 export type FaultKind = (typeof FAULT_KINDS)[number];
 
-/** One fault of a schedule. */
+/** One scheduled fault; replay files store these fields. */
 export interface Fault {
   readonly kind: FaultKind;
   readonly atMs: number;
   readonly durationMs: number;
-  /** Chooses what is hit, modulo the number of candidates. */
+  /** Index of the process or place to affect, modulo the number of candidates. */
   readonly target: number;
 }
 
-/** Named sets of faults. */
+/** Sets of fault kinds by the name that selects them. */
 export const FAULT_SETS: Readonly<Record<string, readonly FaultKind[]>> = {
   none: [],
   all: FAULT_KINDS,
@@ -53,12 +53,12 @@
   policy: ['policy-change', 'operator-race'],
 };
 
-const LONGEST_FAULT_MS = 20_000;
-const SHORTEST_FAULT_MS = 50;
+const MAX_FAULT_DURATION_MS = 20_000;
+const MIN_FAULT_DURATION_MS = 50;
 const MAX_TARGET = 1_000;
 
-/** Schedules of up to `maxFaults` faults of the given kinds within `durationMs`. */
-export function faultSchedules(
+/** Generates schedules of up to `maxFaults` faults of the given kinds within `durationMs`. */
+export function faultScheduleArbitrary(
   kinds: readonly FaultKind[],
   durationMs: number,
   maxFaults: number,
@@ -69,7 +69,7 @@
   const fault = fc.record({
     kind: fc.constantFrom(...kinds),
     atMs: fc.integer({ min: 0, max: durationMs }),
-    durationMs: fc.integer({ min: SHORTEST_FAULT_MS, max: LONGEST_FAULT_MS }),
+    durationMs: fc.integer({ min: MIN_FAULT_DURATION_MS, max: MAX_FAULT_DURATION_MS }),
     target: fc.integer({ min: 0, max: MAX_TARGET }),
   });
   return fc.array(fault, { minLength: Math.min(2, maxFaults), maxLength: maxFaults, size: 'max' });
--- a/src/sim/inject-fault.ts
+++ b/src/sim/inject-fault.ts
@@ -1,20 +1,23 @@
-/** Brings about the faults of a schedule. */
+/** Injects the scheduled faults into a simulation. */
 import type { Fault, FaultKind } from './fault.js';
-import type { NetworkCut } from './sim-network.js';
+import type { NetworkPartition } from './sim-network.js';
 import type { SimAgent } from './sim-agent.js';
 import type { SimEntry } from './sim-entry.js';
-import type { World } from './world.js';
+import type { SimCluster } from './world.js';
 
-type Injector = (world: World, fault: Fault) => void;
+type FaultInjector = (cluster: SimCluster, fault: Fault) => void;
 
 const BURST_FACTOR = 5;
 const SLOW_FACTOR = 3;
 const EXTRA_DELAY_MS = 40;
-const LOST_ANSWERS = 2;
+const LOST_RESPONSES = 2;
 const LONG_LIST_LAG_MS = 10_000;
 
-/** Faults that can lose no request: what is lost under them alone is a fault of weirvale. */
-const HARMLESS_KINDS: ReadonlySet<FaultKind> = new Set<FaultKind>([
+/**
+ * Fault kinds that must not lose requests: a request lost under these alone is a defect of
+ * weirvale.
+ */
+const LOSSLESS_FAULT_KINDS: ReadonlySet<FaultKind> = new Set<FaultKind>([
   'leave-agent',
   'leave-place',
   'leave-by-list',
@@ -26,60 +29,60 @@
   'skewed-balancer',
 ]);
 
-/** Schedules every fault of a run. */
-export function scheduleFaults(world: World, faults: readonly Fault[]): void {
+/** Schedules the injection of every fault. */
+export function scheduleFaults(cluster: SimCluster, faults: readonly Fault[]): void {
   for (const fault of faults) {
-    world.clock.setTimeout(() => {
-      world.observations.log(world.clock.now(), `fault ${fault.kind} ${fault.target}`);
-      INJECTORS[fault.kind](world, fault);
+    cluster.clock.setTimeout(() => {
+      cluster.observations.log(cluster.clock.now(), `fault ${fault.kind} ${fault.target}`);
+      INJECTORS[fault.kind](cluster, fault);
     }, fault.atMs);
   }
 }
 
-const INJECTORS: Readonly<Record<FaultKind, Injector>> = {
-  'kill-agent': (world, fault) => killAndRestart(world, fault, pickAgent(world, fault)),
-  'kill-entry': (world, fault) => killAndRestart(world, fault, pickEntry(world, fault)),
-  'freeze-agent': (world, fault) => freeze(world, fault, pickAgent(world, fault)),
-  'freeze-entry': (world, fault) => freeze(world, fault, pickEntry(world, fault)),
-  'crash-engine': (world, fault) => {
-    const agent = pickAgent(world, fault);
-    note(world, fault, [agent.machine.name]);
+const INJECTORS: Readonly<Record<FaultKind, FaultInjector>> = {
+  'kill-agent': (cluster, fault) => killAndRestart(cluster, fault, pickAgent(cluster, fault)),
+  'kill-entry': (cluster, fault) => killAndRestart(cluster, fault, pickEntry(cluster, fault)),
+  'freeze-agent': (cluster, fault) => freezeProcess(cluster, fault, pickAgent(cluster, fault)),
+  'freeze-entry': (cluster, fault) => freezeProcess(cluster, fault, pickEntry(cluster, fault)),
+  'crash-engine': (cluster, fault) => {
+    const agent = pickAgent(cluster, fault);
+    recordFault(cluster, fault, [agent.machine.name]);
     agent.backend.crash(fault.durationMs);
   },
-  'slow-engine': (world, fault) => {
-    const { engine } = pickAgent(world, fault).backend;
+  'slow-engine': (cluster, fault) => {
+    const { engine } = pickAgent(cluster, fault).backend;
     if (engine !== undefined) {
       engine.slowFactor = SLOW_FACTOR;
-      afterwards(world, fault, () => (engine.slowFactor = 1));
+      undoAfterFault(cluster, fault, () => (engine.slowFactor = 1));
     }
   },
-  'cut-pair': (world, fault) => {
-    const names = [pickEntry(world, fault).machine.name, pickAgent(world, fault).machine.name];
-    cut(world, fault, names, [
+  'cut-pair': (cluster, fault) => {
+    const names = [pickEntry(cluster, fault).machine.name, pickAgent(cluster, fault).machine.name];
+    partitionNetwork(cluster, fault, names, [
       { from: names[0]!, to: names[1]! },
       { from: names[1]!, to: names[0]! },
     ]);
   },
-  'cut-one-way': (world, fault) => {
-    const names = [pickEntry(world, fault).machine.name, pickAgent(world, fault).machine.name];
+  'cut-one-way': (cluster, fault) => {
+    const names = [pickEntry(cluster, fault).machine.name, pickAgent(cluster, fault).machine.name];
     const isForward = fault.target % 2 === 0;
     const [from, to] = isForward ? names : [names[1], names[0]];
-    cut(world, fault, names, [{ from: from!, to: to! }]);
+    partitionNetwork(cluster, fault, names, [{ from: from!, to: to! }]);
   },
-  'cut-zone': (world, fault) => {
-    const { places } = world.deployment;
+  'cut-zone': (cluster, fault) => {
+    const { places } = cluster.deployment;
     const zone = places[fault.target % places.length]!.name;
     const others = places.map((place) => place.name).filter((name) => name !== zone);
-    const cuts = others.flatMap((other) => [
+    const partitions = others.flatMap((other) => [
       { from: zone, to: other },
       { from: other, to: zone },
     ]);
-    cut(world, fault, ['*'], cuts);
+    partitionNetwork(cluster, fault, ['*'], partitions);
   },
-  'cut-platform': (world, fault) => {
-    const { name } = pickAgent(world, fault).machine;
-    cut(
-      world,
+  'cut-platform': (cluster, fault) => {
+    const { name } = pickAgent(cluster, fault).machine;
+    partitionNetwork(
+      cluster,
       fault,
       [name],
       [
@@ -88,158 +91,177 @@
       ],
     );
   },
-  'delay-network': (world, fault) => {
-    world.network.extraDelayMs = EXTRA_DELAY_MS;
-    note(world, fault, ['*']);
-    afterwards(world, fault, () => (world.network.extraDelayMs = 0));
+  'delay-network': (cluster, fault) => {
+    cluster.network.extraLatencyMs = EXTRA_DELAY_MS;
+    recordFault(cluster, fault, ['*']);
+    undoAfterFault(cluster, fault, () => (cluster.network.extraLatencyMs = 0));
   },
-  'platform-outage': (world, fault) => {
-    world.platform.model.isDown = true;
-    note(world, fault, ['platform']);
-    afterwards(world, fault, () => (world.platform.model.isDown = false));
+  'platform-outage': (cluster, fault) => {
+    cluster.platform.model.isDown = true;
+    recordFault(cluster, fault, ['platform']);
+    undoAfterFault(cluster, fault, () => (cluster.platform.model.isDown = false));
   },
-  'platform-slow': (world, fault) => {
+  'platform-slow': (cluster, fault) => {
     const SLOW_MS = 1_500;
-    world.platform.slowMs = SLOW_MS;
-    note(world, fault, ['platform']);
-    afterwards(world, fault, () => (world.platform.slowMs = 0));
-  },
-  'platform-lost-answers': (world, fault) => {
-    world.platform.model.answersToLose += LOST_ANSWERS;
-    note(world, fault, ['platform']);
-  },
-  'list-lag': (world, fault) => {
-    const usualMs = world.platform.listLagMs;
-    world.platform.listLagMs = LONG_LIST_LAG_MS;
-    note(world, fault, ['list'], LONG_LIST_LAG_MS);
-    afterwards(world, fault, () => (world.platform.listLagMs = usualMs));
-  },
-  burst: (world, fault) => {
-    world.callers.rateFactor = BURST_FACTOR;
-    afterwards(world, fault, () => (world.callers.rateFactor = 1));
-  },
-  'skewed-balancer': (world, fault) => {
-    world.callers.onlyEntry = pickEntry(world, fault);
-    afterwards(world, fault, () => (world.callers.onlyEntry = undefined));
-  },
-  'leave-agent': (world, fault) => leaveAgent(world, fault, pickAgent(world, fault), 'signal'),
-  'leave-by-list': (world, fault) => leaveAgent(world, fault, pickAgent(world, fault), 'list'),
-  'leave-place': (world, fault) => {
-    const { places } = world.deployment;
+    cluster.platform.extraLatencyMs = SLOW_MS;
+    recordFault(cluster, fault, ['platform']);
+    undoAfterFault(cluster, fault, () => (cluster.platform.extraLatencyMs = 0));
+  },
+  'platform-lost-answers': (cluster, fault) => {
+    cluster.platform.model.answersToLose += LOST_RESPONSES;
+    recordFault(cluster, fault, ['platform']);
+  },
+  'list-lag': (cluster, fault) => {
+    const normalLagMs = cluster.platform.listLagMs;
+    cluster.platform.listLagMs = LONG_LIST_LAG_MS;
+    recordFault(cluster, fault, ['list'], LONG_LIST_LAG_MS);
+    undoAfterFault(cluster, fault, () => (cluster.platform.listLagMs = normalLagMs));
+  },
+  burst: (cluster, fault) => {
+    cluster.callers.rateFactor = BURST_FACTOR;
+    undoAfterFault(cluster, fault, () => (cluster.callers.rateFactor = 1));
+  },
+  'skewed-balancer': (cluster, fault) => {
+    cluster.callers.pinnedEntry = pickEntry(cluster, fault);
+    undoAfterFault(cluster, fault, () => (cluster.callers.pinnedEntry = undefined));
+  },
+  'leave-agent': (cluster, fault) =>
+    shutDownAgent(cluster, fault, pickAgent(cluster, fault), 'signal'),
+  'leave-by-list': (cluster, fault) =>
+    shutDownAgent(cluster, fault, pickAgent(cluster, fault), 'list'),
+  'leave-place': (cluster, fault) => {
+    const { places } = cluster.deployment;
     const place = places[fault.target % places.length]!.name;
-    for (const agent of world.agents.values()) {
+    for (const agent of cluster.agents.values()) {
       if (agent.machine.place === place) {
-        leaveAgent(world, fault, agent, 'signal');
+        shutDownAgent(cluster, fault, agent, 'signal');
       }
     }
   },
-  'leave-entry': (world, fault) => {
-    const entry = pickEntry(world, fault);
+  'leave-entry': (cluster, fault) => {
+    const entry = pickEntry(cluster, fault);
     if (!entry.isAlive || entry.isLeaving) {
       return;
     }
-    noteLeave(world, entry, 'signal');
-    entry.leave();
-    restartOnceEnded(world, fault, entry);
+    recordShutdown(cluster, entry, 'signal');
+    entry.shutDown();
+    restartAfterExit(cluster, fault, entry);
   },
-  'policy-change': (world, fault) => {
-    world.operator.toggleEngine(pickAgent(world, fault).machine.name);
+  'policy-change': (cluster, fault) => {
+    cluster.operator.toggleDrained(pickAgent(cluster, fault).machine.name);
   },
-  'operator-race': (world, fault) => {
-    const names = [...world.agents.keys()];
+  'operator-race': (cluster, fault) => {
+    const names = [...cluster.agents.keys()];
     const other = names[(fault.target + 1) % names.length]!;
-    world.operator.race(pickAgent(world, fault).machine.name, other);
+    cluster.operator.raceChanges(pickAgent(cluster, fault).machine.name, other);
   },
 };
 
-function pickAgent(world: World, fault: Fault): SimAgent {
-  const agents = [...world.agents.values()];
+function pickAgent(cluster: SimCluster, fault: Fault): SimAgent {
+  const agents = [...cluster.agents.values()];
   return agents[fault.target % agents.length]!;
 }
 
-function pickEntry(world: World, fault: Fault): SimEntry {
-  return world.entries[fault.target % world.entries.length]!;
+function pickEntry(cluster: SimCluster, fault: Fault): SimEntry {
+  return cluster.entries[fault.target % cluster.entries.length]!;
 }
 
-function note(world: World, fault: Fault, targets: readonly string[], extraMs = 0): void {
-  if (HARMLESS_KINDS.has(fault.kind)) {
+function recordFault(
+  cluster: SimCluster,
+  fault: Fault,
+  targets: readonly string[],
+  extraDurationMs = 0,
+): void {
+  if (LOSSLESS_FAULT_KINDS.has(fault.kind)) {
     return;
   }
-  const fromMs = world.clock.now();
-  const untilMs = fromMs + fault.durationMs + extraMs;
-  world.observations.faults.push({ kind: fault.kind, targets, fromMs, untilMs });
+  const fromMs = cluster.clock.now();
+  const untilMs = fromMs + fault.durationMs + extraDurationMs;
+  cluster.observations.faults.push({ kind: fault.kind, targets, fromMs, untilMs });
 }
 
-function afterwards(world: World, fault: Fault, undo: () => void): void {
-  world.clock.setTimeout(undo, fault.durationMs);
+function undoAfterFault(cluster: SimCluster, fault: Fault, undo: () => void): void {
+  cluster.clock.setTimeout(undo, fault.durationMs);
 }
 
-function killAndRestart(world: World, fault: Fault, process: SimAgent | SimEntry): void {
-  note(world, fault, [process.machine.name]);
+function killAndRestart(cluster: SimCluster, fault: Fault, process: SimAgent | SimEntry): void {
+  recordFault(cluster, fault, [process.machine.name]);
   process.kill();
-  afterwards(world, fault, () => {
+  undoAfterFault(cluster, fault, () => {
     if (!process.isAlive) {
-      world.restart(process);
+      cluster.restart(process);
     }
   });
 }
 
-function freeze(world: World, fault: Fault, process: SimAgent | SimEntry): void {
-  note(world, fault, [process.machine.name]);
+function freezeProcess(cluster: SimCluster, fault: Fault, process: SimAgent | SimEntry): void {
+  recordFault(cluster, fault, [process.machine.name]);
   process.freeze();
-  afterwards(world, fault, () => process.unfreeze());
+  undoAfterFault(cluster, fault, () => process.unfreeze());
 }
 
-function cut(
-  world: World,
+function partitionNetwork(
+  cluster: SimCluster,
   fault: Fault,
   targets: readonly string[],
-  cuts: readonly NetworkCut[],
+  partitions: readonly NetworkPartition[],
 ): void {
-  note(world, fault, targets);
-  for (const one of cuts) {
-    world.network.cut(one);
+  recordFault(cluster, fault, targets);
+  for (const partition of partitions) {
+    cluster.network.addPartition(partition);
   }
-  afterwards(world, fault, () => {
-    for (const one of cuts) {
-      world.network.heal(one);
+  undoAfterFault(cluster, fault, () => {
+    for (const partition of partitions) {
+      cluster.network.removePartition(partition);
     }
   });
 }
 
-function leaveAgent(world: World, fault: Fault, agent: SimAgent, by: 'signal' | 'list'): void {
+function shutDownAgent(
+  cluster: SimCluster,
+  fault: Fault,
+  agent: SimAgent,
+  trigger: 'signal' | 'list',
+): void {
   const { name } = agent.machine;
-  if (!agent.isAlive || world.observations.currentLeave(name) !== undefined) {
+  if (!agent.isAlive || cluster.observations.findActiveShutdown(name) !== undefined) {
     return;
   }
-  noteLeave(world, agent, by);
-  world.platform.setMachine({ ...agent.machine, state: 'leaving' });
-  if (by === 'signal') {
-    agent.leave();
+  recordShutdown(cluster, agent, trigger);
+  cluster.platform.setMachine({ ...agent.machine, state: 'leaving' });
+  if (trigger === 'signal') {
+    agent.shutDown();
   }
-  restartOnceEnded(world, fault, agent);
+  restartAfterExit(cluster, fault, agent);
 }
 
-function noteLeave(world: World, process: SimAgent | SimEntry, by: 'signal' | 'list'): void {
-  world.observations.leaves.push({
+function recordShutdown(
+  cluster: SimCluster,
+  process: SimAgent | SimEntry,
+  trigger: 'signal' | 'list',
+): void {
+  cluster.observations.shutdowns.push({
     process: process.machine.name,
-    by,
-    atMs: world.clock.now(),
+    trigger,
+    atMs: cluster.clock.now(),
     restartedAtMs: undefined,
   });
 }
 
-/** The machine is replaced once its process has left in good order. */
-function restartOnceEnded(world: World, fault: Fault, process: SimAgent | SimEntry): void {
+/**
+ * Restarts the process, as the platform replaces its machine, once its graceful shutdown is
+ * complete.
+ */
+function restartAfterExit(cluster: SimCluster, fault: Fault, process: SimAgent | SimEntry): void {
   const startCount = process.startCount;
-  afterwards(world, fault, () => {
+  undoAfterFault(cluster, fault, () => {
     if (process.startCount !== startCount) {
       return;
     }
     if (process.isAlive) {
-      restartOnceEnded(world, fault, process);
+      restartAfterExit(cluster, fault, process);
     } else {
-      world.restart(process);
+      cluster.restart(process);
     }
   });
 }
--- a/src/sim/model-check.ts
+++ b/src/sim/model-check.ts
@@ -1,33 +1,41 @@
 /**
- * A systematic search of small cases: two entries, two agents, two requests for one idempotency
- * key, one fault at every step, and one message delivered out of turn at every step.
+ * Bounded model checking of the entry and agent cores: two entries, two agents and two requests
+ * with the same idempotency key. Each case injects one fault and reorders one delivery, at every
+ * combination of steps.
  *
- * The cores are the daemons'. A case is run from its beginning each time, so nothing is copied.
+ * The cores are those that the daemons run. Every case starts from the initial state, so no state
+ * is copied.
  */
 import type { PolicyDocument } from '../policy/document.js';
-import { CASE_FAULTS, SmallWorld } from './small-world.js';
-import type { SmallCase, SmallCaseHooks, SmallCaseResult } from './small-world.js';
+import { CASE_FAULTS, ModelCheckRun } from './small-world.js';
+import type { ModelCheckCase, ModelCheckHooks, ModelCheckResult } from './small-world.js';
 
-/** Runs every case with up to `steps` steps for fault and out-of-turn delivery; returns what broke. */
-export function checkSmallCases(
+/**
+ * Runs every combination of a fault before one of the first `steps` steps and a reordered delivery
+ * at one of the first `reorderedSteps` steps; returns the cases with violations.
+ */
+export function runModelCheck(
   document: PolicyDocument,
   steps: number,
-  outOfTurnSteps: number,
-  hooks: SmallCaseHooks = {},
-): { readonly caseCount: number; readonly broken: ReadonlyArray<SmallCase & SmallCaseResult> } {
-  const broken: Array<SmallCase & SmallCaseResult> = [];
+  reorderedSteps: number,
+  hooks: ModelCheckHooks = {},
+): {
+  readonly caseCount: number;
+  readonly failedCases: ReadonlyArray<ModelCheckCase & ModelCheckResult>;
+} {
+  const failedCases: Array<ModelCheckCase & ModelCheckResult> = [];
   let caseCount = 0;
   for (const fault of CASE_FAULTS) {
     for (let faultStep = 0; faultStep < (fault === 'none' ? 1 : steps); faultStep += 1) {
-      for (let outOfTurnStep = 0; outOfTurnStep <= outOfTurnSteps; outOfTurnStep += 1) {
-        const one = { fault, faultStep, outOfTurnStep };
-        const result = new SmallWorld(document, one, hooks).run();
+      for (let reorderedStep = 0; reorderedStep <= reorderedSteps; reorderedStep += 1) {
+        const modelCheckCase = { fault, faultStep, reorderedStep };
+        const result = new ModelCheckRun(document, modelCheckCase, hooks).run();
         caseCount += 1;
-        if (result.faults.length > 0) {
-          broken.push({ ...one, ...result });
+        if (result.violations.length > 0) {
+          failedCases.push({ ...modelCheckCase, ...result });
         }
       }
     }
   }
-  return { caseCount, broken };
+  return { caseCount, failedCases };
 }
--- a/src/sim/observations.ts
+++ b/src/sim/observations.ts
@@ -1,36 +1,39 @@
-/** What callers, back ends and operators saw: all that the checks may look at. */
+/**
+ * Observations of callers, backends and operators. The checks may use nothing else of the simulated
+ * processes.
+ */
 import { createHash } from 'node:crypto';
 import type { PolicyDocument } from '../policy/document.js';
 import type { Refusal } from '../request/refusal.js';
 
-/** One try of a caller, from its own side. */
+/** One attempt of a caller, as the caller observed it. */
 export interface CallerAttempt {
-  /** Number of the try, unique in the run. */
+  /** Number of the attempt, unique in the simulation. */
   readonly attempt: number;
   readonly className: string;
   readonly tenant: string;
   readonly model: string;
   readonly dataClass: string;
-  /** Tier that policy gives the class. */
+  /** Tier that the policy assigns to the class. */
   readonly tier: number;
   readonly promptTokens: number;
   readonly idempotencyKey: string | undefined;
   readonly prompt: string;
-  readonly expectedAnswer: string;
+  readonly expectedResponse: string;
   readonly entry: string;
   readonly sentAtMs: number;
   readonly deadlineAtMs: number;
-  /** Identifier that the entry gave the request; undefined until the entry had it. */
+  /** Identifier that the entry assigned; undefined until the entry accepted the request. */
   requestId: string | undefined;
-  answer: string;
+  response: string;
   outcome: 'pending' | 'answered' | 'refused' | 'connection-lost' | 'hung-up';
   refusal: Refusal | undefined;
   endedAtMs: number | undefined;
-  firstPartAtMs: number | undefined;
+  firstChunkAtMs: number | undefined;
 }
 
-/** One request as a back end was handed it. */
-export interface HandedRequest {
+/** One request that was dispatched to a backend. */
+export interface DispatchedRequest {
   readonly requestId: string;
   readonly engine: string;
   readonly place: string;
@@ -38,113 +41,116 @@
   readonly prompt: string;
   readonly dataClass: string;
   readonly idempotencyKey: string | undefined;
-  /** Generation in force at the agent when it handed the request over. */
+  /** Policy generation that was active at the agent on dispatch. */
   readonly generation: number;
   endedAtMs: number | undefined;
-  /** Whether the back end ran it to its end. */
+  /** Whether the backend ran the request to completion. */
   isComplete: boolean;
 }
 
-/** A change of policy that an operator was told is accepted. */
+/** A policy change that the store acknowledged to an operator. */
 export interface AcceptedChange {
   readonly changeId: string;
   readonly generation: number;
   readonly acceptedAtMs: number;
   readonly document: PolicyDocument;
-  /** Entries that the change set. */
+  /** Names of the policy entries that the change set. */
   readonly entries: readonly string[];
 }
 
-/** A generation that came into force in one process. */
-export interface GenerationInForce {
+/** A policy generation that became active in one process. */
+export interface GenerationChange {
   readonly process: string;
   readonly incarnation: string;
   readonly generation: number;
   readonly atMs: number;
 }
 
-/** A fault as it was brought about. */
+/** A fault that was injected. */
 export interface InjectedFault {
   readonly kind: string;
-  /** Names or zones that the fault touches; `*` for all. */
+  /** Names or zones that the fault affects; `*` for all. */
   readonly targets: readonly string[];
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
-/** How long a lower tier may go on after a higher one was shed, in milliseconds. */
-export const TIER_WINDOW_MS = 250;
+/**
+ * How long a request of a lower tier may keep running after a higher tier was shed, in
+ * milliseconds.
+ */
+export const PREEMPTION_WINDOW_MS = 250;
 
-/** A request of a lower tier that an engine runs. */
-export interface RunningLowerTier {
+/** A running request of a lower tier than the shed one. */
+export interface RunningRequest {
   readonly engine: string;
   readonly requestId: string;
   readonly tier: number;
 }
 
-/** The engine's running requests at the moment a request was shed. */
+/** Requests that were running when a request was shed. */
 export interface ShedSnapshot {
   readonly attempt: CallerAttempt;
   readonly atMs: number;
-  /** Requests that run on permitted engines and have a lower tier, by engine. */
-  readonly lowerTierRunning: readonly RunningLowerTier[];
-  /** Those of them that run, and are not paused, when the window is over. */
-  stillRunning: readonly RunningLowerTier[];
+  /** Requests of a lower tier that were running on permitted engines. */
+  readonly lowerTierRunning: readonly RunningRequest[];
+  /** Those still running, not paused, when the preemption window ended. */
+  stillRunning: readonly RunningRequest[];
 }
 
-/** A process that was told to leave. */
-export interface PlannedLeave {
+/** A graceful shutdown of a process, by signal or by its state in the machine list. */
+export interface GracefulShutdown {
   readonly process: string;
-  readonly by: 'signal' | 'list';
+  readonly trigger: 'signal' | 'list';
   readonly atMs: number;
-  /** When it was started again; undefined while it is gone. */
+  /** When the process was restarted; undefined until then. */
   restartedAtMs: number | undefined;
 }
 
-/** What callers, back ends and operators saw. */
+/** Collects the observations of one simulation. */
 export class Observations {
   readonly attempts: CallerAttempt[] = [];
-  readonly handed: HandedRequest[] = [];
-  private readonly latestHanded = new Map<string, HandedRequest>();
+  readonly dispatches: DispatchedRequest[] = [];
+  private readonly latestDispatches = new Map<string, DispatchedRequest>();
   readonly acceptedChanges: AcceptedChange[] = [];
-  readonly generations: GenerationInForce[] = [];
+  readonly generationChanges: GenerationChange[] = [];
   readonly faults: InjectedFault[] = [];
   readonly sheds: ShedSnapshot[] = [];
-  readonly leaves: PlannedLeave[] = [];
+  readonly shutdowns: GracefulShutdown[] = [];
   private readonly hash = createHash('sha256');
   private lineCount = 0;
 
-  /** Keeps a request that a back end was handed. */
-  addHanded(handed: HandedRequest): void {
-    this.handed.push(handed);
-    this.latestHanded.set(handed.requestId, handed);
+  /** Records a dispatch. */
+  addDispatch(dispatch: DispatchedRequest): void {
+    this.dispatches.push(dispatch);
+    this.latestDispatches.set(dispatch.requestId, dispatch);
   }
 
-  /** The latest time that a request was handed over. */
-  findHanded(requestId: string): HandedRequest | undefined {
-    return this.latestHanded.get(requestId);
+  /** Returns the latest dispatch of a request. */
+  findDispatch(requestId: string): DispatchedRequest | undefined {
+    return this.latestDispatches.get(requestId);
   }
 
-  /** Adds a line to the event log, of which the digest is kept. */
+  /** Adds a line to the event log; only its digest is stored. */
   log(atMs: number, text: string): void {
     this.lineCount += 1;
     this.hash.update(`${atMs.toFixed(1)} ${text}\n`);
   }
 
-  /** Digest of the event log so far. */
+  /** Returns the digest of the event log so far. */
   digest(): string {
     return `${this.lineCount}-${this.hash.copy().digest('hex').slice(0, 16)}`;
   }
 
-  /** The leave of `process` that is under way, if any. */
-  currentLeave(process: string): PlannedLeave | undefined {
-    return this.leaves.find(
-      (leave) => leave.process === process && leave.restartedAtMs === undefined,
+  /** Returns the shutdown of `process` that has not been followed by a restart, if any. */
+  findActiveShutdown(process: string): GracefulShutdown | undefined {
+    return this.shutdowns.find(
+      (shutdown) => shutdown.process === process && shutdown.restartedAtMs === undefined,
     );
   }
 
-  /** Whether a fault that can lose requests touched one of `names` between two times. */
-  isDisturbed(names: readonly string[], fromMs: number, untilMs: number): boolean {
+  /** Whether a fault that can lose requests affected one of `names` between two times. */
+  isAffectedByFault(names: readonly string[], fromMs: number, untilMs: number): boolean {
     return this.faults.some(
       (fault) =>
         fault.fromMs <= untilMs &&
--- a/src/sim/search-worker.ts
+++ b/src/sim/search-worker.ts
@@ -1,4 +1,4 @@
-/** A thread of the search: runs the seeds that it is sent, one after the other. */
+/** Worker thread of the seed search: runs the seeds that it receives one at a time. */
 import { parentPort } from 'node:worker_threads';
 import { runSeed } from './search.js';
 import type { SeedRun } from './search.js';
--- a/src/sim/search.ts
+++ b/src/sim/search.ts
@@ -1,24 +1,24 @@
-/** Searches seeds for a run that breaks a promise, several at a time, and shrinks what it finds. */
+/** Searches seeds in parallel for a simulation with violations, and shrinks its fault schedule. */
 import * as fc from 'fast-check';
 import type { Violation } from './checks/violation.js';
 import type { DeploymentName } from './deployment.js';
-import { faultSchedules, FAULT_SETS } from './fault.js';
+import { faultScheduleArbitrary, FAULT_SETS } from './fault.js';
 import type { Fault } from './fault.js';
 import { runOnThreads } from '../thread-pool.js';
-import { createSchedule, simulate } from './simulate.js';
+import { sampleFaultSchedule, simulate } from './simulate.js';
 
-/** What one seed is run with; everything of a run follows from it. */
+/** Options that fully determine the simulation of one seed; replay files store these fields. */
 export interface SeedRun {
   readonly deployment: DeploymentName;
   readonly seed: number;
   readonly load: number;
   readonly durationMs: number;
-  /** Name of a set of faults. */
+  /** Key of `FAULT_SETS`. */
   readonly faultSet: string;
   readonly maxFaults: number;
 }
 
-/** What one seed gave. */
+/** Result of the simulation of one seed. */
 export interface SeedResult {
   readonly seed: number;
   readonly violations: readonly Violation[];
@@ -27,12 +27,12 @@
   readonly attemptCount: number;
 }
 
-/** Runs one seed. */
+/** Runs the simulation of a seed with the fault schedule that the seed determines. */
 export async function runSeed(run: SeedRun): Promise<SeedResult> {
   return runSchedule(run, scheduleOf(run));
 }
 
-/** Runs one seed under a given schedule of faults. */
+/** Runs the simulation of a seed with a given fault schedule. */
 export async function runSchedule(run: SeedRun, faults: readonly Fault[]): Promise<SeedResult> {
   const { deployment, seed, load, durationMs } = run;
   const result = await simulate({ deployment, seed, load, durationMs, faults });
@@ -40,18 +40,21 @@
   return { seed, violations, digest, virtualMs, attemptCount: attempts.length };
 }
 
-/** The schedule of faults of a seed. */
+/** Returns the fault schedule that a seed determines. */
 export function scheduleOf(run: SeedRun): Fault[] {
   const kinds = FAULT_SETS[run.faultSet] ?? [];
-  return createSchedule(run.seed, kinds, run.durationMs, run.maxFaults);
+  return sampleFaultSchedule(run.seed, kinds, run.durationMs, run.maxFaults);
 }
 
-/** The smallest schedule that fast-check finds within `timeLimitMs` under which the run still breaks a promise. */
+/**
+ * Returns the smallest fault schedule that fast-check finds within `timeLimitMs` with which the
+ * simulation still has violations.
+ */
 export async function shrinkSchedule(run: SeedRun, timeLimitMs: number): Promise<Fault[]> {
   const kinds = FAULT_SETS[run.faultSet] ?? [];
   let smallest = scheduleOf(run);
   const property = fc.asyncProperty(
-    faultSchedules(kinds, run.durationMs, run.maxFaults),
+    faultScheduleArbitrary(kinds, run.durationMs, run.maxFaults),
     async (faults) => {
       const { violations } = await runSchedule(run, faults);
       if (violations.length > 0) {
@@ -69,7 +72,10 @@
   return smallest;
 }
 
-/** Runs `runs` on `jobs` threads; `onResult` hears of each, and ends the search by returning false. */
+/**
+ * Runs `runs` on `jobs` threads; `onResult` receives each result and stops the search by returning
+ * false.
+ */
 export function searchSeeds(
   runs: readonly SeedRun[],
   jobs: number,
--- a/src/sim/sim-agent.ts
+++ b/src/sim/sim-agent.ts
@@ -1,4 +1,4 @@
-/** A simulated agent process: the core that the daemon runs, on simulated I/O. */
+/** A simulated agent process: the `AgentCore` that the daemon runs, on simulated I/O. */
 import { AgentCore } from '../agent/agent-core.js';
 import type { AgentEffect, AgentEvent } from '../agent/agent-events.js';
 import type { AgentOptions } from '../options.js';
@@ -6,35 +6,35 @@
 import type { Frame, HelloMessage, Message } from '../protocol/messages.js';
 import { checkHello } from '../protocol/hello.js';
 import type { SimBackend } from './sim-backend.js';
-import type { ConnectionEnd, SimConnection } from './sim-network.js';
+import type { ConnectionHandlers, SimConnection } from './sim-network.js';
 import { SimDaemon } from './sim-daemon.js';
-import type { SimDaemonParts } from './sim-daemon.js';
+import type { SimDaemonContext } from './sim-daemon.js';
 
 interface OpenConnection {
   readonly connection: SimConnection;
   readonly number: number;
 }
 
-/** A simulated agent process. */
+/** Runs an `AgentCore` on the simulated network, clock and backend. */
 export class SimAgent extends SimDaemon {
   core!: AgentCore;
   private readonly connections = new Map<string, OpenConnection>();
 
   constructor(
-    parts: SimDaemonParts,
+    context: SimDaemonContext,
     private readonly options: AgentOptions,
     readonly backend: SimBackend,
   ) {
-    super(parts);
+    super(context);
   }
 
-  /** Takes a connection from an entry. */
-  accept(connection: SimConnection): ConnectionEnd | undefined {
+  /** Accepts a connection from an entry. */
+  accept(connection: SimConnection): ConnectionHandlers | undefined {
     let hello: HelloMessage | undefined;
     return {
       onFrame: (frame) => {
         if (hello === undefined) {
-          hello = this.greet(connection, frame);
+          hello = this.handleHello(connection, frame);
           return;
         }
         const { incarnation: peer, connectionNumber } = hello;
@@ -42,20 +42,20 @@
       },
       onClose: () => {
         if (hello !== undefined) {
-          this.loseConnection(connection, hello);
+          this.handleConnectionClosed(connection, hello);
         }
       },
     };
   }
 
-  /** Tells the process to leave, as SIGTERM does. */
-  leave(): void {
+  /** Starts a graceful shutdown, as SIGTERM does. */
+  shutDown(): void {
     this.deliver(this.startCount, () => this.handle({ kind: 'leave' }));
   }
 
   protected override createCore(): void {
     this.core = new AgentCore({ identity: this.identity, options: this.options });
-    this.parts.hooks.onAgentCore?.(this.core);
+    this.context.hooks.onAgentCore?.(this.core);
     this.connections.clear();
   }
 
@@ -81,7 +81,7 @@
       connection.closeFrom(this);
     }
     this.connections.clear();
-    this.backend.loseAgent();
+    this.backend.handleAgentExit();
   }
 
   private handle(event: AgentEvent): void {
@@ -89,18 +89,19 @@
       return;
     }
     const effects = this.core.handle(event, this.clock.now());
-    const changed = this.parts.hooks.changeAgentEffects?.(effects, this.core) ?? effects;
-    this.noteGeneration();
+    const performedEffects =
+      this.context.hooks.transformAgentEffects?.(effects, this.core) ?? effects;
+    this.recordGeneration();
     const outbox = new Map<string, Message[]>();
-    for (const effect of changed) {
-      this.perform(effect, outbox);
+    for (const effect of performedEffects) {
+      this.applyEffect(effect, outbox);
     }
     for (const [peer, messages] of outbox) {
       this.connections.get(peer)?.connection.send(this, this.replica.generation, messages);
     }
   }
 
-  private perform(effect: AgentEffect, outbox: Map<string, Message[]>): void {
+  private applyEffect(effect: AgentEffect, outbox: Map<string, Message[]>): void {
     const startCount = this.startCount;
     switch (effect.kind) {
       case 'send':
@@ -127,11 +128,11 @@
         this.kill();
         break;
       default:
-        this.parts.hooks.onAgentReport?.(effect, this.machine.name);
+        this.context.hooks.onAgentEffect?.(effect, this.machine.name);
     }
   }
 
-  private greet(connection: SimConnection, frame: Frame): HelloMessage | undefined {
+  private handleHello(connection: SimConnection, frame: Frame): HelloMessage | undefined {
     const checked = checkHello(frame, 'entry');
     if (!checked.ok) {
       connection.closeFrom(this);
@@ -165,7 +166,7 @@
     }
   }
 
-  private loseConnection(connection: SimConnection, hello: HelloMessage): void {
+  private handleConnectionClosed(connection: SimConnection, hello: HelloMessage): void {
     const { incarnation: peer, connectionNumber } = hello;
     if (this.connections.get(peer)?.connection === connection) {
       this.connections.delete(peer);
--- a/src/sim/sim-backend.ts
+++ b/src/sim/sim-backend.ts
@@ -1,24 +1,27 @@
-/** A simulated back end beside an agent; keeps the account of what it was handed. */
+/** The simulated backend of an agent; records the requests that are dispatched to it. */
 import type { EngineEvent } from '../agent/agent-events.js';
 import type { BindMessage } from '../protocol/messages.js';
 import { serviceAnswer } from '../standin/answer-text.js';
 import { EngineModel } from '../standin/engine-model.js';
 import type { BackendProfile } from './deployment.js';
-import type { HandedRequest, Observations } from './observations.js';
+import type { DispatchedRequest, Observations } from './observations.js';
 import { readSimPayload } from './sim-payload.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-const LOCAL_LATENCY_MS = 0.1;
+const LOOPBACK_LATENCY_MS = 0.1;
 
-/** Who hears what comes of a request. */
+/** Receives the events of a request. */
 export type EngineEventSink = (event: EngineEvent) => void;
 
-/** A simulated back end. */
+/** A model engine, or a service that runs no model, on the virtual clock. */
 export class SimBackend {
-  /** Whether the back end accepts connections. */
+  /** Whether the backend accepts connections. */
   isUp = true;
   readonly engine: EngineModel | undefined;
-  private readonly open = new Map<string, { record: HandedRequest; sink: EngineEventSink }>();
+  private readonly openRequests = new Map<
+    string,
+    { record: DispatchedRequest; sink: EngineEventSink }
+  >();
 
   constructor(
     private readonly clock: VirtualClock,
@@ -28,7 +31,7 @@
     this.engine = profile.engine === undefined ? undefined : new EngineModel(clock, profile.engine);
   }
 
-  /** Takes a request from the agent; `sink` hears what comes of it. */
+  /** Starts a request for the agent; `sink` receives its events. */
   start(bind: BindMessage, generation: number, sink: EngineEventSink): void {
     this.clock.setTimeout(() => {
       if (!this.isUp) {
@@ -37,56 +40,56 @@
         return;
       }
       this.run(bind, generation, sink);
-    }, LOCAL_LATENCY_MS);
+    }, LOOPBACK_LATENCY_MS);
   }
 
-  /** Pauses a request. */
+  /** Pauses a running request. */
   pause(id: string): void {
-    this.clock.setTimeout(() => this.engine?.pause(id), LOCAL_LATENCY_MS);
+    this.clock.setTimeout(() => this.engine?.pause(id), LOOPBACK_LATENCY_MS);
   }
 
-  /** Goes on with a paused request. */
+  /** Resumes a paused request. */
   resume(id: string): void {
-    this.clock.setTimeout(() => this.engine?.resume(id), LOCAL_LATENCY_MS);
+    this.clock.setTimeout(() => this.engine?.resume(id), LOOPBACK_LATENCY_MS);
   }
 
-  /** Ends a request for good. */
+  /** Cancels a request. */
   cancel(id: string): void {
     this.clock.setTimeout(() => {
       this.engine?.cancel(id);
-      this.close(id, false);
-    }, LOCAL_LATENCY_MS);
+      this.closeRequest(id, false);
+    }, LOOPBACK_LATENCY_MS);
   }
 
-  /** The agent is gone: an engine stops what it ran for it, as for any caller that hangs up. */
-  loseAgent(): void {
-    for (const id of [...this.open.keys()]) {
+  /** Cancels the engine's requests when the agent exits, as for any client that disconnects. */
+  handleAgentExit(): void {
+    for (const id of [...this.openRequests.keys()]) {
       if (this.engine !== undefined) {
         this.engine.cancel(id);
-        this.close(id, false);
+        this.closeRequest(id, false);
       }
     }
   }
 
-  /** The back end dies and is down for a while. */
+  /** Crashes the backend and keeps it down for `downMs`. */
   crash(downMs: number): void {
     this.isUp = false;
     this.engine?.crash();
-    for (const [id, { sink }] of [...this.open]) {
-      this.close(id, false);
-      sink({ kind: 'engine-failed', id, isNotStarted: false, detail: 'the engine died' });
+    for (const [id, { sink }] of [...this.openRequests]) {
+      this.closeRequest(id, false);
+      sink({ kind: 'engine-failed', id, isNotStarted: false, detail: 'engine crashed' });
     }
     this.clock.setTimeout(() => (this.isUp = true), downMs);
   }
 
-  /** Requests that run now, paused ones not counted. */
+  /** Returns the running requests, without paused ones. */
   runningIds(): string[] {
-    return this.engine === undefined ? [...this.open.keys()] : this.engine.runningIds();
+    return this.engine === undefined ? [...this.openRequests.keys()] : this.engine.runningIds();
   }
 
   private run(bind: BindMessage, generation: number, sink: EngineEventSink): void {
     const payload = readSimPayload(bind.payload.body);
-    const record: HandedRequest = {
+    const record: DispatchedRequest = {
       requestId: bind.id,
       engine: this.profile.name,
       place: this.profile.place,
@@ -98,9 +101,9 @@
       endedAtMs: undefined,
       isComplete: false,
     };
-    this.observations.addHanded(record);
+    this.observations.addDispatch(record);
     this.observations.log(record.atMs, `handed ${bind.id} to ${this.profile.name}`);
-    this.open.set(bind.id, { record, sink });
+    this.openRequests.set(bind.id, { record, sink });
     if (this.engine === undefined) {
       this.runService(bind, payload.prompt, sink);
     } else {
@@ -111,10 +114,10 @@
   private runService(bind: BindMessage, prompt: string, sink: EngineEventSink): void {
     const { id } = bind;
     this.clock.setTimeout(() => {
-      if (!this.open.has(id)) {
+      if (!this.openRequests.has(id)) {
         return;
       }
-      this.close(id, true);
+      this.closeRequest(id, true);
       sink({ kind: 'engine-started', id, status: 200, contentType: 'application/json' });
       sink({ kind: 'engine-chunk', id, data: serviceAnswer(bind.payload.path, prompt) });
       const usage = { promptTokens: 0, cachedPromptTokens: 0, outputTokens: 0 };
@@ -130,33 +133,33 @@
   ): void {
     const { id, promptTokens, maxOutputTokens, prefixHash } = bind;
     const startedAtMs = this.clock.now();
-    let firstAtMs: number | undefined;
+    let firstChunkAtMs: number | undefined;
     sink({ kind: 'engine-started', id, status: 200, contentType: 'text/event-stream' });
     engine.submit(
       { id, prompt, promptTokens, maxOutputTokens, prefixHash, priority: bind.tier },
       {
         onTokens: (data) => {
-          firstAtMs ??= this.clock.now();
+          firstChunkAtMs ??= this.clock.now();
           sink({ kind: 'engine-chunk', id, data });
         },
         onEnd: (usage) => {
-          this.close(id, true);
-          const prefillMs = (firstAtMs ?? startedAtMs) - startedAtMs;
-          const decodeMs = this.clock.now() - (firstAtMs ?? startedAtMs);
+          this.closeRequest(id, true);
+          const prefillMs = (firstChunkAtMs ?? startedAtMs) - startedAtMs;
+          const decodeMs = this.clock.now() - (firstChunkAtMs ?? startedAtMs);
           sink({ kind: 'engine-ended', id, usage: { ...usage, prefillMs, decodeMs } });
         },
         onFailed: (detail) => {
-          this.close(id, false);
+          this.closeRequest(id, false);
           sink({ kind: 'engine-failed', id, isNotStarted: false, detail });
         },
       },
     );
   }
 
-  private close(id: string, isComplete: boolean): void {
-    const open = this.open.get(id);
+  private closeRequest(id: string, isComplete: boolean): void {
+    const open = this.openRequests.get(id);
     if (open !== undefined) {
-      this.open.delete(id);
+      this.openRequests.delete(id);
       open.record.endedAtMs = this.clock.now();
       open.record.isComplete = isComplete;
     }
--- a/src/sim/sim-callers.ts
+++ b/src/sim/sim-callers.ts
@@ -1,4 +1,7 @@
-/** Simulated callers behind a balancer: they send, check nothing, and note what they got. */
+/**
+ * Simulated callers behind a load balancer: they send requests and record the results without
+ * checking them.
+ */
 import type { RandomSource } from '../random.js';
 import { randomInteger } from '../random.js';
 import type { Refusal } from '../request/refusal.js';
@@ -6,32 +9,32 @@
 import { answerText, serviceAnswer } from '../standin/answer-text.js';
 import type { Deployment, RequestClass } from './deployment.js';
 import type { CallerAttempt, Observations } from './observations.js';
-import type { CallerEnd, SimEntry } from './sim-entry.js';
+import type { CallerCallbacks, SimEntry } from './sim-entry.js';
 import { OrderedStream } from './sim-network.js';
 import type { NetworkAddress, SimNetwork } from './sim-network.js';
 import { createSimPayload } from './sim-payload.js';
 import type { VirtualClock } from './virtual-clock.js';
 
 const CALLER_ADDRESS: NetworkAddress = { name: 'callers', zone: 'callers' };
-const HANG_UP_SHARE = 0.02;
-const MAX_TRIES = 4;
-const RETRY_PAUSE_MS = 500;
-const SHARED_PREFIXES = 12;
+const DISCONNECT_FRACTION = 0.02;
+const MAX_ATTEMPTS = 4;
+const RETRY_DELAY_MS = 500;
+const SHARED_PREFIX_COUNT = 12;
 const PREFIX_LENGTH = 600;
 
-/** What callers are made from. */
-export interface SimCallersParts {
+/** Dependencies of `SimCallers`. */
+export interface SimCallersContext {
   readonly clock: VirtualClock;
   readonly network: SimNetwork;
   readonly random: RandomSource;
   readonly deployment: Deployment;
   readonly entries: readonly SimEntry[];
   readonly observations: Observations;
-  /** Called the moment an entry refuses a request. */
+  /** Called when an entry refuses a request, before the refusal reaches the caller. */
   readonly onRefused: (attempt: CallerAttempt, refusal: Refusal) => void;
 }
 
-/** One operation of a caller, the same over all its tries. */
+/** One operation of a caller; unchanged over all its attempts. */
 interface Operation {
   readonly requestClass: RequestClass;
   readonly tenant: string;
@@ -39,7 +42,7 @@
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
   readonly idempotencyKey: string | undefined;
-  tries: number;
+  attemptCount: number;
 }
 
 type CallerMessage =
@@ -48,33 +51,33 @@
   | { readonly kind: 'refused'; readonly refusal: Refusal }
   | { readonly kind: 'lost' };
 
-/** Simulated callers. */
+/** Generates a stream of requests and retries those that may be retried. */
 export class SimCallers {
   private operationCount = 0;
   private nextEntry = 0;
   private isStopped = false;
-  /** Factor on the rate of arrivals, for bursts. */
+  /** Multiplier of the arrival rate, for bursts. */
   rateFactor = 1;
-  /** The balancer sends everything to this entry; undefined spreads it. */
-  onlyEntry: SimEntry | undefined;
+  /** Entry that receives all requests; undefined for round-robin over all entries. */
+  pinnedEntry: SimEntry | undefined;
 
   constructor(
-    private readonly parts: SimCallersParts,
+    private readonly context: SimCallersContext,
     private readonly requestsPerSecond: number,
   ) {}
 
-  /** Sends requests at random moments until `stop`. */
+  /** Sends requests with exponentially distributed pauses until `stop`. */
   start(): void {
     this.scheduleNext();
   }
 
-  /** Sends no new operations. */
+  /** Stops sending new operations. */
   stop(): void {
     this.isStopped = true;
   }
 
   private scheduleNext(): void {
-    const { clock, random } = this.parts;
+    const { clock, random } = this.context;
     const MS_PER_SECOND = 1_000;
     const meanMs = MS_PER_SECOND / (this.requestsPerSecond * this.rateFactor);
     const pauseMs = -Math.log(1 - random.next()) * meanMs;
@@ -87,11 +90,11 @@
   }
 
   private createOperation(): Operation {
-    const { random, deployment } = this.parts;
+    const { random, deployment } = this.context;
     const requestClass = pickClass(random, deployment.classes);
     this.operationCount += 1;
     const promptTokens = randomInteger(random, ...requestClass.promptTokens);
-    const prefix = 'p'.repeat(PREFIX_LENGTH) + randomInteger(random, 1, SHARED_PREFIXES);
+    const prefix = 'p'.repeat(PREFIX_LENGTH) + randomInteger(random, 1, SHARED_PREFIX_COUNT);
     const isLong = promptTokens * 4 > PREFIX_LENGTH;
     const name = `${requestClass.name} ${this.operationCount}`;
     return {
@@ -101,38 +104,38 @@
       promptTokens,
       maxOutputTokens: randomInteger(random, ...requestClass.outputTokens),
       idempotencyKey: requestClass.isRepeatable ? undefined : `key-${this.operationCount}`,
-      tries: 0,
+      attemptCount: 0,
     };
   }
 
   private send(operation: Operation): void {
-    const { clock, network, observations } = this.parts;
-    operation.tries += 1;
+    const { clock, network, observations } = this.context;
+    operation.attemptCount += 1;
     const entry = this.pickEntry();
     const attempt = this.createAttempt(operation, entry);
     observations.attempts.push(attempt);
     network.transmit(CALLER_ADDRESS, entry.machine, () => {
       if (!entry.isAlive || entry.isLeaving) {
         network.transmit(entry.machine, CALLER_ADDRESS, () =>
-          this.finish(operation, attempt, 'lost'),
+          this.completeAttempt(operation, attempt, 'lost'),
         );
         return;
       }
-      entry.deliver(entry.startCount, () => this.arrive(operation, attempt, entry));
+      entry.deliver(entry.startCount, () => this.deliverToEntry(operation, attempt, entry));
     });
-    if (this.parts.random.next() < HANG_UP_SHARE && operation.requestClass.isRepeatable) {
-      const afterMs = this.parts.random.next() * operation.requestClass.deadlineMs;
-      clock.setTimeout(() => this.hangUp(attempt, entry), afterMs);
+    if (this.context.random.next() < DISCONNECT_FRACTION && operation.requestClass.isRepeatable) {
+      const afterMs = this.context.random.next() * operation.requestClass.deadlineMs;
+      clock.setTimeout(() => this.disconnect(attempt, entry), afterMs);
     }
   }
 
-  private arrive(operation: Operation, attempt: CallerAttempt, entry: SimEntry): void {
+  private deliverToEntry(operation: Operation, attempt: CallerAttempt, entry: SimEntry): void {
     const { requestClass, idempotencyKey } = operation;
     const stream = new OrderedStream<CallerMessage>(
-      this.parts.network,
+      this.context.network,
       entry.machine,
       CALLER_ADDRESS,
-      (message) => this.take(operation, attempt, message),
+      (message) => this.handleMessage(operation, attempt, message),
     );
     const isModel = operation.promptTokens > 0;
     entry.receive(
@@ -153,96 +156,105 @@
           body: createSimPayload(operation.prompt),
         },
       },
-      this.createEnd(attempt, stream),
+      this.createCallbacks(attempt, stream),
     );
   }
 
-  private createEnd(attempt: CallerAttempt, stream: OrderedStream<CallerMessage>): CallerEnd {
+  private createCallbacks(
+    attempt: CallerAttempt,
+    stream: OrderedStream<CallerMessage>,
+  ): CallerCallbacks {
     return {
       onAccepted: (id) => (attempt.requestId = id),
-      onPart: (data) => stream.send({ kind: 'part', data }),
+      onChunk: (data) => stream.send({ kind: 'part', data }),
       onEnd: () => stream.send({ kind: 'end' }),
       onRefused: (refusal) => {
-        this.parts.onRefused(attempt, refusal);
+        this.context.onRefused(attempt, refusal);
         stream.send({ kind: 'refused', refusal });
       },
       onConnectionLost: () => stream.send({ kind: 'lost' }),
     };
   }
 
-  private take(operation: Operation, attempt: CallerAttempt, message: CallerMessage): void {
+  private handleMessage(
+    operation: Operation,
+    attempt: CallerAttempt,
+    message: CallerMessage,
+  ): void {
     if (attempt.outcome !== 'pending') {
       return;
     }
     switch (message.kind) {
       case 'part':
-        attempt.firstPartAtMs ??= this.parts.clock.now();
-        attempt.answer += message.data;
+        attempt.firstChunkAtMs ??= this.context.clock.now();
+        attempt.response += message.data;
         break;
       case 'end':
-        this.finish(operation, attempt, 'end');
+        this.completeAttempt(operation, attempt, 'end');
         break;
       case 'refused':
         attempt.refusal = message.refusal;
-        this.finish(operation, attempt, 'refused');
+        this.completeAttempt(operation, attempt, 'refused');
         break;
       case 'lost':
-        this.finish(operation, attempt, 'lost');
+        this.completeAttempt(operation, attempt, 'lost');
         break;
     }
   }
 
-  private finish(
+  private completeAttempt(
     operation: Operation,
     attempt: CallerAttempt,
-    ending: 'end' | 'refused' | 'lost',
+    result: 'end' | 'refused' | 'lost',
   ): void {
-    const { clock, observations } = this.parts;
+    const { clock, observations } = this.context;
     if (attempt.outcome !== 'pending') {
       return;
     }
     attempt.outcome =
-      ending === 'end' ? 'answered' : ending === 'refused' ? 'refused' : 'connection-lost';
+      result === 'end' ? 'answered' : result === 'refused' ? 'refused' : 'connection-lost';
     attempt.endedAtMs = clock.now();
     const reason = attempt.refusal?.reason ?? '';
     observations.log(clock.now(), `attempt ${attempt.attempt} ${attempt.outcome} ${reason}`);
-    this.maybeRetry(operation, attempt);
+    this.retryIfNeeded(operation, attempt);
   }
 
-  /** A connection that never reached an entry is tried elsewhere; so is an operation with a key. */
-  private maybeRetry(operation: Operation, attempt: CallerAttempt): void {
-    const wasNeverTaken = attempt.requestId === undefined;
-    const isKeyed = operation.idempotencyKey !== undefined;
-    const isWorthRetrying = attempt.outcome !== 'answered' && (wasNeverTaken || isKeyed);
-    if (isWorthRetrying && operation.tries < MAX_TRIES) {
-      const pauseMs = attempt.refusal?.retryAfterMs ?? RETRY_PAUSE_MS;
-      this.parts.clock.setTimeout(() => this.send(operation), pauseMs);
+  /**
+   * Retries an attempt that no entry accepted, and any failed operation with an idempotency key.
+   */
+  private retryIfNeeded(operation: Operation, attempt: CallerAttempt): void {
+    const wasNeverAccepted = attempt.requestId === undefined;
+    const hasIdempotencyKey = operation.idempotencyKey !== undefined;
+    const shouldRetry = attempt.outcome !== 'answered' && (wasNeverAccepted || hasIdempotencyKey);
+    if (shouldRetry && operation.attemptCount < MAX_ATTEMPTS) {
+      const delayMs = attempt.refusal?.retryAfterMs ?? RETRY_DELAY_MS;
+      this.context.clock.setTimeout(() => this.send(operation), delayMs);
     }
   }
 
-  private hangUp(attempt: CallerAttempt, entry: SimEntry): void {
+  private disconnect(attempt: CallerAttempt, entry: SimEntry): void {
     if (attempt.outcome !== 'pending' || attempt.requestId === undefined) {
       return;
     }
     const id = attempt.requestId;
     attempt.outcome = 'hung-up';
-    this.parts.network.transmit(CALLER_ADDRESS, entry.machine, () =>
-      entry.deliver(entry.startCount, () => entry.loseCaller(id)),
+    this.context.network.transmit(CALLER_ADDRESS, entry.machine, () =>
+      entry.deliver(entry.startCount, () => entry.handleCallerDisconnect(id)),
     );
   }
 
   private pickEntry(): SimEntry {
-    const { entries } = this.parts;
+    const { entries } = this.context;
     this.nextEntry += 1;
-    return this.onlyEntry ?? entries[this.nextEntry % entries.length]!;
+    return this.pinnedEntry ?? entries[this.nextEntry % entries.length]!;
   }
 
   private createAttempt(operation: Operation, entry: SimEntry): CallerAttempt {
     const { requestClass, prompt, maxOutputTokens } = operation;
-    const sentAtMs = this.parts.clock.now();
+    const sentAtMs = this.context.clock.now();
     const isModel = operation.promptTokens > 0;
     return {
-      attempt: this.parts.observations.attempts.length,
+      attempt: this.context.observations.attempts.length,
       className: requestClass.name,
       tenant: operation.tenant,
       model: requestClass.model,
@@ -251,29 +263,29 @@
       promptTokens: operation.promptTokens,
       idempotencyKey: operation.idempotencyKey,
       prompt,
-      expectedAnswer: isModel
+      expectedResponse: isModel
         ? answerText(prompt, maxOutputTokens)
         : serviceAnswer('/calls', prompt),
       entry: entry.machine.name,
       sentAtMs,
       deadlineAtMs: sentAtMs + requestClass.deadlineMs,
       requestId: undefined,
-      answer: '',
+      response: '',
       outcome: 'pending',
       refusal: undefined,
       endedAtMs: undefined,
-      firstPartAtMs: undefined,
+      firstChunkAtMs: undefined,
     };
   }
 }
 
 function pickClass(random: RandomSource, classes: readonly RequestClass[]): RequestClass {
-  const total = classes.reduce((sum, one) => sum + one.share, 0);
-  let rest = random.next() * total;
-  for (const one of classes) {
-    rest -= one.share;
-    if (rest < 0) {
-      return one;
+  const totalShare = classes.reduce((sum, requestClass) => sum + requestClass.share, 0);
+  let remaining = random.next() * totalShare;
+  for (const requestClass of classes) {
+    remaining -= requestClass.share;
+    if (remaining < 0) {
+      return requestClass;
     }
   }
   return classes[0]!;
--- a/src/sim/sim-daemon.ts
+++ b/src/sim/sim-daemon.ts
@@ -1,4 +1,4 @@
-/** What simulated entries and agents share: platform, policy, list, tick. */
+/** Platform client, policy follower, machine list and ticks of simulated entries and agents. */
 import type { AgentCore } from '../agent/agent-core.js';
 import type { AgentEffect } from '../agent/agent-events.js';
 import type { EntryCore } from '../entry/entry-core.js';
@@ -16,18 +16,23 @@
 import { SimProcess } from './sim-process.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** Ways for a test to break the code under test, so that the checks are seen to fail. */
+/**
+ * Hooks with which a test injects defects into the code under test, to verify that the checks
+ * detect them.
+ */
 export interface SimHooks {
   onAgentCore?(core: AgentCore): void;
   onEntryCore?(core: EntryCore): void;
-  changeAgentEffects?(effects: AgentEffect[], core: AgentCore): AgentEffect[];
-  changeEntryEffects?(effects: EntryEffect[], core: EntryCore): EntryEffect[];
-  onAgentReport?(effect: AgentEffect, name: string): void;
-  onEntryReport?(effect: EntryEffect, name: string): void;
+  transformAgentEffects?(effects: AgentEffect[], core: AgentCore): AgentEffect[];
+  transformEntryEffects?(effects: EntryEffect[], core: EntryCore): EntryEffect[];
+  /** Observes the effects of an agent that the simulation does not apply, such as measurements. */
+  onAgentEffect?(effect: AgentEffect, name: string): void;
+  /** Observes every effect of an entry. */
+  onEntryEffect?(effect: EntryEffect, name: string): void;
 }
 
-/** What a simulated daemon is made from. */
-export interface SimDaemonParts {
+/** Dependencies of a simulated daemon. */
+export interface SimDaemonContext {
   readonly clock: VirtualClock;
   readonly network: SimNetwork;
   readonly platform: SimPlatform;
@@ -44,56 +49,56 @@
 const PLATFORM_TIMEOUT_MS = 2_000;
 const SEED_RANGE = 2 ** 31;
 
-/** What simulated entries and agents share. */
+/** Base class of simulated entries and agents. */
 export abstract class SimDaemon extends SimProcess {
   protected fleet: readonly Machine[] = [];
   protected keyValue!: SimKeyValueClient;
   protected random!: RandomSource;
   private follower: PolicyFollower | undefined;
-  private shownGeneration = 0;
+  private recordedGeneration = 0;
 
-  constructor(protected readonly parts: SimDaemonParts) {
-    super(parts.clock, parts.machine);
+  constructor(protected readonly context: SimDaemonContext) {
+    super(context.clock, context.machine);
   }
 
-  /** Who and where the current start of the process is. */
+  /** Identity of the process in its current incarnation. */
   get identity(): ProcessIdentity {
     const { name, region, zone, place } = this.machine;
     return { name, region, zone, place, incarnation: this.incarnation };
   }
 
-  /** Generation in force in the process; 0 while it is down. */
+  /** Policy generation that is active in the process; 0 while it is down. */
   get generation(): number {
     return this.isAlive ? this.replica.generation : 0;
   }
 
   protected override onStart(): void {
-    const { platform, random } = this.parts;
+    const { platform, random } = this.context;
     const startCount = this.startCount;
-    this.shownGeneration = 0;
+    this.recordedGeneration = 0;
     this.fleet = [];
     this.random = new SeededRandom(Math.floor(random.next() * SEED_RANGE));
-    const caller = {
+    const clientContext = {
       address: this.machine,
       deliver: (callback: () => void) => this.deliver(startCount, callback),
     };
-    this.keyValue = new SimKeyValueClient(platform, caller, PLATFORM_TIMEOUT_MS);
+    this.keyValue = new SimKeyValueClient(platform, clientContext, PLATFORM_TIMEOUT_MS);
     this.createCore();
     this.startFollower();
     this.scheduleTick(startCount);
-    this.pollList(startCount);
+    this.pollMachineList(startCount);
   }
 
-  /** Records the generation when it changed. */
-  protected noteGeneration(): void {
+  /** Records the policy generation when it has changed. */
+  protected recordGeneration(): void {
     const { generation } = this.replica;
-    if (generation !== this.shownGeneration) {
-      this.shownGeneration = generation;
+    if (generation !== this.recordedGeneration) {
+      this.recordedGeneration = generation;
       const atMs = this.clock.now();
       const process = this.machine.name;
       const { incarnation } = this;
-      this.parts.observations.generations.push({ process, incarnation, generation, atMs });
-      this.parts.observations.log(atMs, `${incarnation} has generation ${generation}`);
+      this.context.observations.generationChanges.push({ process, incarnation, generation, atMs });
+      this.context.observations.log(atMs, `${incarnation} has generation ${generation}`);
     }
   }
 
@@ -110,7 +115,7 @@
       clock: this.createProcessClock(),
       random: this.random,
       identity: this.identity,
-      options: this.parts.followerOptions,
+      options: this.context.followerOptions,
       currentGeneration: () => this.replica.generation,
       onUpdate: (update) => this.onPolicyRead(update),
     });
@@ -128,8 +133,8 @@
     }, TICK_MS);
   }
 
-  private pollList(startCount: number): void {
-    const { network, platform } = this.parts;
+  private pollMachineList(startCount: number): void {
+    const { network, platform } = this.context;
     network.transmit(this.machine, PLATFORM_ADDRESS, () => {
       const machines = platform.listMachines();
       network.transmit(PLATFORM_ADDRESS, this.machine, () =>
@@ -143,7 +148,7 @@
     this.clock.setTimeout(
       () => {
         if (this.isAlive && startCount === this.startCount) {
-          this.pollList(startCount);
+          this.pollMachineList(startCount);
         }
       },
       withJitter(this.random, LIST_POLL_MS, POLL_JITTER),
--- a/src/sim/sim-entry.ts
+++ b/src/sim/sim-entry.ts
@@ -1,4 +1,4 @@
-/** A simulated entry process: the core that the daemon runs, on simulated I/O. */
+/** A simulated entry process: the `EntryCore` that the daemon runs, on simulated I/O. */
 import { ClaimStore } from '../entry/claim-store.js';
 import { EntryCore } from '../entry/entry-core.js';
 import type { ArrivedRequest, EntryEffect, EntryEvent } from '../entry/entry-events.js';
@@ -10,14 +10,14 @@
 import { RequestIdSource } from '../request/request-id.js';
 import type { SimAgent } from './sim-agent.js';
 import { SimDaemon } from './sim-daemon.js';
-import type { SimDaemonParts } from './sim-daemon.js';
+import type { SimDaemonContext } from './sim-daemon.js';
 import { SimConnection } from './sim-network.js';
 
-/** The caller's end of one request. */
-export interface CallerEnd {
-  /** The entry took the request under this identifier. */
+/** Callbacks to the caller of one request. */
+export interface CallerCallbacks {
+  /** Called when the entry accepts the request under this identifier. */
   onAccepted(id: string): void;
-  onPart(data: string): void;
+  onChunk(data: string): void;
   onEnd(): void;
   onRefused(refusal: Refusal): void;
   onConnectionLost(): void;
@@ -32,40 +32,40 @@
 
 const CONNECT_TIMEOUT_MS = 3_000;
 
-/** A simulated entry process. */
+/** Runs an `EntryCore` on the simulated network and clock. */
 export class SimEntry extends SimDaemon {
   core!: EntryCore;
   isLeaving = false;
   private ids!: RequestIdSource;
   private claims!: ClaimStore;
   private readonly connections = new Map<string, OpenConnection>();
-  private readonly callers = new Map<string, CallerEnd>();
+  private readonly callers = new Map<string, CallerCallbacks>();
 
   constructor(
-    parts: SimDaemonParts,
+    context: SimDaemonContext,
     private readonly options: EntryOptions,
     private readonly agents: ReadonlyMap<string, SimAgent>,
   ) {
-    super(parts);
+    super(context);
   }
 
-  /** Takes a request from a caller. */
-  receive(request: Omit<ArrivedRequest, 'id'>, caller: CallerEnd): void {
+  /** Accepts a request from a caller. */
+  receive(request: Omit<ArrivedRequest, 'id'>, caller: CallerCallbacks): void {
     const id = this.ids.next();
     this.callers.set(id, caller);
     caller.onAccepted(id);
     this.handle({ kind: 'request-arrived', request: { ...request, id } });
   }
 
-  /** A caller hung up. */
-  loseCaller(id: string): void {
+  /** Handles the disconnect of a caller. */
+  handleCallerDisconnect(id: string): void {
     if (this.callers.delete(id)) {
       this.handle({ kind: 'caller-gone', id });
     }
   }
 
-  /** Tells the process to leave, as SIGTERM does. */
-  leave(): void {
+  /** Starts a graceful shutdown, as SIGTERM does. */
+  shutDown(): void {
     this.deliver(this.startCount, () => {
       this.isLeaving = true;
       this.handle({ kind: 'leave' });
@@ -83,7 +83,7 @@
       options: this.options,
       random: this.random,
     });
-    this.parts.hooks.onEntryCore?.(this.core);
+    this.context.hooks.onEntryCore?.(this.core);
   }
 
   protected override get replica() {
@@ -118,18 +118,19 @@
       return;
     }
     const effects = this.core.handle(event, this.clock.now());
-    const changed = this.parts.hooks.changeEntryEffects?.(effects, this.core) ?? effects;
-    this.noteGeneration();
+    const performedEffects =
+      this.context.hooks.transformEntryEffects?.(effects, this.core) ?? effects;
+    this.recordGeneration();
     const outbox = new Map<string, Message[]>();
-    for (const effect of changed) {
-      this.perform(effect, outbox);
+    for (const effect of performedEffects) {
+      this.applyEffect(effect, outbox);
     }
     for (const [peer, messages] of outbox) {
       this.connections.get(peer)?.connection.send(this, this.replica.generation, messages);
     }
   }
 
-  private perform(effect: EntryEffect, outbox: Map<string, Message[]>): void {
+  private applyEffect(effect: EntryEffect, outbox: Map<string, Message[]>): void {
     switch (effect.kind) {
       case 'send':
         outbox.set(effect.peer, [...(outbox.get(effect.peer) ?? []), effect.message]);
@@ -143,13 +144,13 @@
       case 'answer-start':
         break;
       case 'answer-chunk':
-        this.callers.get(effect.id)?.onPart(String(effect.data));
+        this.callers.get(effect.id)?.onChunk(String(effect.data));
         break;
       case 'answer-end':
-        this.takeCaller(effect.id)?.onEnd();
+        this.removeCaller(effect.id)?.onEnd();
         break;
       case 'refuse':
-        this.takeCaller(effect.id)?.onRefused(effect.refusal);
+        this.removeCaller(effect.id)?.onRefused(effect.refusal);
         break;
       case 'claim':
         void this.claim(effect);
@@ -163,10 +164,10 @@
       default:
         break;
     }
-    this.parts.hooks.onEntryReport?.(effect, this.machine.name);
+    this.context.hooks.onEntryEffect?.(effect, this.machine.name);
   }
 
-  private takeCaller(id: string): CallerEnd | undefined {
+  private removeCaller(id: string): CallerCallbacks | undefined {
     const caller = this.callers.get(id);
     this.callers.delete(id);
     return caller;
@@ -186,21 +187,21 @@
     const { peer, connectionNumber } = effect;
     const agent = this.agents.get(peer)!;
     const startCount = this.startCount;
-    let isGreeted = false;
-    const connection = new SimConnection(this.parts.network, this, agent, {
+    let isHelloReceived = false;
+    const connection = new SimConnection(this.context.network, this, agent, {
       onFrame: (frame) => {
-        if (!isGreeted) {
+        if (!isHelloReceived) {
           const hello = checkHello(frame, 'agent', peer);
           if (!hello.ok) {
             connection.closeFrom(this);
             return;
           }
-          isGreeted = true;
+          isHelloReceived = true;
           this.handle({ kind: 'peer-connected', peer, connectionNumber, hello: hello.val });
         }
         this.handle({ kind: 'frame', peer, connectionNumber, frame });
       },
-      onClose: () => this.loseConnection(peer, connectionNumber, connection),
+      onClose: () => this.handleConnectionClosed(peer, connectionNumber, connection),
     });
     this.connections.set(peer, { connection, number: connectionNumber });
     connection.open((opened) => agent.accept(opened));
@@ -218,16 +219,20 @@
     this.clock.setTimeout(
       () =>
         this.deliver(startCount, () => {
-          if (!isGreeted) {
+          if (!isHelloReceived) {
             connection.closeFrom(this);
-            this.loseConnection(peer, connectionNumber, connection);
+            this.handleConnectionClosed(peer, connectionNumber, connection);
           }
         }),
       CONNECT_TIMEOUT_MS,
     );
   }
 
-  private loseConnection(peer: string, connectionNumber: number, connection: SimConnection): void {
+  private handleConnectionClosed(
+    peer: string,
+    connectionNumber: number,
+    connection: SimConnection,
+  ): void {
     if (this.connections.get(peer)?.connection === connection) {
       this.connections.delete(peer);
     }
--- a/src/sim/sim-network.ts
+++ b/src/sim/sim-network.ts
@@ -1,23 +1,26 @@
-/** A simulated network: latency, cuts in one or both directions, connections that break, real framing. */
+/**
+ * A simulated network with latency, one-way and two-way partitions, breaking connections and real
+ * framing.
+ */
 import { FrameDecoder, FrameEncoder } from '../protocol/framing.js';
 import type { Frame, Message } from '../protocol/messages.js';
 import type { RandomSource } from '../random.js';
 import type { SimProcess } from './sim-process.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** Where something on the network is: its name and its zone. */
+/** Name and zone of an endpoint; both can be matched by a `NetworkPartition`. */
 export interface NetworkAddress {
   readonly name: string;
   readonly zone: string;
 }
 
-/** Messages from `from` to `to` do not pass; each side is a name, a zone or `*`. */
-export interface NetworkCut {
+/** A one-way partition that blocks messages from `from` to `to`; each is a name, a zone or `*`. */
+export interface NetworkPartition {
   readonly from: string;
   readonly to: string;
 }
 
-/** Latencies of the network. */
+/** Base latencies of the network. */
 export interface NetworkOptions {
   /** One way within a zone, in milliseconds. */
   readonly localMs: number;
@@ -25,27 +28,31 @@
   readonly remoteMs: number;
 }
 
-/** Who hears of a connection, at one end of it. */
-export interface ConnectionEnd {
+/** Callbacks for the events of a connection at one of its ends. */
+export interface ConnectionHandlers {
   onFrame(frame: Frame): void;
   onClose(): void;
 }
 
-const LATENCY_SPREAD = 0.5;
+const LATENCY_JITTER = 0.5;
 
-/** Where a process of the other side accepts a connection; undefined refuses it. */
-export type Acceptor = (connection: SimConnection) => ConnectionEnd | undefined;
+/** Accepts a connection on the server side; returns undefined to refuse it. */
+export type ConnectionAcceptor = (connection: SimConnection) => ConnectionHandlers | undefined;
 
-/** A simulated network. */
+/** Delivers packets after a latency, and holds those that a partition blocks. */
 export class SimNetwork {
   /** Added to every latency, in milliseconds. */
-  extraDelayMs = 0;
-  /** Bytes sent in frames. */
+  extraLatencyMs = 0;
+  /** Total size of the frames sent, in bytes. */
   sentBytes = 0;
-  /** Frames sent. */
+  /** Number of frames sent. */
   sentFrames = 0;
-  private readonly cuts = new Set<NetworkCut>();
-  private readonly held: Array<{ from: NetworkAddress; to: NetworkAddress; send: () => void }> = [];
+  private readonly partitions = new Set<NetworkPartition>();
+  private readonly blockedPackets: Array<{
+    from: NetworkAddress;
+    to: NetworkAddress;
+    send: () => void;
+  }> = [];
 
   constructor(
     readonly clock: VirtualClock,
@@ -53,46 +60,46 @@
     private readonly options: NetworkOptions,
   ) {}
 
-  /** Cuts a direction until `heal`. */
-  cut(cut: NetworkCut): void {
-    this.cuts.add(cut);
+  /** Blocks one direction until `removePartition`. */
+  addPartition(partition: NetworkPartition): void {
+    this.partitions.add(partition);
   }
 
-  /** Ends a cut; what was held goes on its way. */
-  heal(cut: NetworkCut): void {
-    this.cuts.delete(cut);
-    const waiting = this.held.splice(0);
-    for (const packet of waiting) {
-      if (this.isCut(packet.from, packet.to)) {
-        this.held.push(packet);
+  /** Removes a partition and delivers the packets that no other partition blocks. */
+  removePartition(partition: NetworkPartition): void {
+    this.partitions.delete(partition);
+    const packets = this.blockedPackets.splice(0);
+    for (const packet of packets) {
+      if (this.isPartitioned(packet.from, packet.to)) {
+        this.blockedPackets.push(packet);
       } else {
         packet.send();
       }
     }
   }
 
-  /** Whether messages from `from` reach `to`. */
-  isCut(from: NetworkAddress, to: NetworkAddress): boolean {
-    for (const cut of this.cuts) {
-      if (matches(cut.from, from) && matches(cut.to, to)) {
+  /** Whether a partition blocks messages from `from` to `to`. */
+  isPartitioned(from: NetworkAddress, to: NetworkAddress): boolean {
+    for (const partition of this.partitions) {
+      if (matchesAddress(partition.from, from) && matchesAddress(partition.to, to)) {
         return true;
       }
     }
     return false;
   }
 
-  /** A latency from `from` to `to`, in milliseconds. */
+  /** Returns a random latency from `from` to `to`, in milliseconds. */
   latencyMs(from: NetworkAddress, to: NetworkAddress): number {
     const base = from.zone === to.zone ? this.options.localMs : this.options.remoteMs;
-    return base * (1 + LATENCY_SPREAD * this.random.next()) + this.extraDelayMs;
+    return base * (1 + LATENCY_JITTER * this.random.next()) + this.extraLatencyMs;
   }
 
-  /** Runs `arrive` at the other side after the latency; a cut holds it back until it heals. */
+  /** Calls `arrive` after the latency, or once no partition blocks the packet. */
   transmit(from: NetworkAddress, to: NetworkAddress, arrive: () => void): void {
     this.transmitAfter(from, to, this.latencyMs(from, to), arrive);
   }
 
-  /** Like `transmit`, after a delay that the sender chose. */
+  /** Like `transmit`, with a given delay. */
   transmitAfter(
     from: NetworkAddress,
     to: NetworkAddress,
@@ -100,8 +107,8 @@
     arrive: () => void,
   ): void {
     this.clock.setTimeout(() => {
-      if (this.isCut(from, to)) {
-        this.held.push({ from, to, send: arrive });
+      if (this.isPartitioned(from, to)) {
+        this.blockedPackets.push({ from, to, send: arrive });
       } else {
         arrive();
       }
@@ -109,7 +116,7 @@
   }
 }
 
-/** One connection between two processes, with a frame stream in each direction. */
+/** A connection between two processes, with an ordered frame stream in each direction. */
 export class SimConnection {
   private isOpen = true;
   private readonly forward: FrameStream;
@@ -119,46 +126,52 @@
     network: SimNetwork,
     readonly client: SimProcess,
     readonly server: SimProcess,
-    clientEnd: ConnectionEnd,
+    clientHandlers: ConnectionHandlers,
   ) {
     this.forward = new FrameStream(network, client, server);
     this.backward = new FrameStream(network, server, client);
-    this.backward.receiver = clientEnd;
+    this.backward.receiver = clientHandlers;
   }
 
-  /** Opens the connection: the server end accepts it after the latency, or the client end hears its close. */
-  open(accept: Acceptor): void {
+  /**
+   * Opens the connection: after the latency the server accepts it, or the client's `onClose` is
+   * called.
+   */
+  open(accept: ConnectionAcceptor): void {
     this.forward.sendOpen((isListening) => {
-      const end = isListening ? accept(this) : undefined;
-      if (end === undefined) {
+      const handlers = isListening ? accept(this) : undefined;
+      if (handlers === undefined) {
         this.closeFrom(this.server);
         return;
       }
-      this.forward.receiver = end;
+      this.forward.receiver = handlers;
     });
   }
 
-  /** Sends one frame from `sender`. */
+  /** Sends one frame from `sender`; drops it once the connection is closed. */
   send(sender: SimProcess, generation: number, messages: Message[]): void {
     if (this.isOpen) {
       (sender === this.client ? this.forward : this.backward).send({ generation, messages });
     }
   }
 
-  /** Ends the connection from one side; the other side hears of it after what was sent before. */
+  /**
+   * Closes the connection from one side; the other side receives the close after all earlier
+   * frames.
+   */
   closeFrom(side: SimProcess): void {
     if (!this.isOpen) {
       return;
     }
     this.isOpen = false;
-    const stream = side === this.client ? this.forward : this.backward;
-    const own = side === this.client ? this.backward : this.forward;
-    own.isClosed = true;
-    stream.sendClose();
+    const outgoing = side === this.client ? this.forward : this.backward;
+    const incoming = side === this.client ? this.backward : this.forward;
+    incoming.isClosed = true;
+    outgoing.sendClose();
   }
 }
 
-/** Anything sent one way between two places, in order although latencies differ. */
+/** A one-way stream between two addresses that preserves order although latencies vary. */
 export class OrderedStream<Item> {
   private readonly queue: Item[] = [];
   private lastArrivalMs = 0;
@@ -167,28 +180,28 @@
     private readonly network: SimNetwork,
     private readonly from: NetworkAddress,
     private readonly to: NetworkAddress,
-    private readonly arrive: (item: Item) => void,
+    private readonly onArrival: (item: Item) => void,
   ) {}
 
-  /** Sends `item` after everything that was sent before. */
+  /** Sends `item`; it arrives after all earlier items. */
   send(item: Item): void {
     const { clock } = this.network;
     const arrivalMs = clock.now() + this.network.latencyMs(this.from, this.to);
     this.lastArrivalMs = Math.max(this.lastArrivalMs, arrivalMs);
     this.queue.push(item);
     this.network.transmitAfter(this.from, this.to, this.lastArrivalMs - clock.now(), () => {
-      // Whatever arrives takes the oldest of the queue.
-      this.arrive(this.queue.shift()!);
+      // Each arrival delivers the oldest queued item.
+      this.onArrival(this.queue.shift()!);
     });
   }
 }
 
-/** What travels on a connection: its opening, frames, its end. */
+/** An item on a connection: an encoded frame, the close, or the callback that opens it. */
 type StreamItem = Buffer | 'close' | ((isListening: boolean) => void);
 
-/** Frames in one direction, in order. */
+/** Encodes, sends and decodes the frames of one direction, in order. */
 class FrameStream {
-  receiver: ConnectionEnd | undefined;
+  receiver: ConnectionHandlers | undefined;
   isClosed = false;
   private readonly encoder = new FrameEncoder();
   private readonly decoder = new FrameDecoder();
@@ -199,14 +212,14 @@
     from: SimProcess,
     to: SimProcess,
   ) {
-    const receiverStart = to.startCount;
+    const receiverStartCount = to.startCount;
     this.stream = new OrderedStream(network, from.machine, to.machine, (item) => {
       if (typeof item === 'function') {
-        // The operating system answers, also for a frozen process, before any frame comes.
-        item(to.isAlive && to.startCount === receiverStart);
+        // The operating system accepts connections even while the process is frozen.
+        item(to.isAlive && to.startCount === receiverStartCount);
         return;
       }
-      to.deliver(receiverStart, () => this.take(item));
+      to.deliver(receiverStartCount, () => this.receive(item));
     });
   }
 
@@ -225,7 +238,7 @@
     this.stream.send('close');
   }
 
-  private take(item: Buffer | 'close'): void {
+  private receive(item: Buffer | 'close'): void {
     if (this.isClosed) {
       return;
     }
@@ -239,6 +252,6 @@
   }
 }
 
-function matches(pattern: string, address: NetworkAddress): boolean {
+function matchesAddress(pattern: string, address: NetworkAddress): boolean {
   return pattern === '*' || pattern === address.name || pattern === address.zone;
 }
--- a/src/sim/sim-operator.ts
+++ b/src/sim/sim-operator.ts
@@ -1,4 +1,6 @@
-/** Simulated operators: they change the policy through the platform, alone and against each other. */
+/**
+ * Simulated operators that change the policy through the platform, one at a time and concurrently.
+ */
 import { applyEdits, findEdits } from '../policy/change.js';
 import type { PolicyEdit } from '../policy/change.js';
 import type { PolicyDocument, PolicyEntry } from '../policy/document.js';
@@ -10,33 +12,33 @@
 
 const OPERATOR_TIMEOUT_MS = 1_000;
 
-/** What operators act in. */
-export interface OperatorWorld {
+/** Dependencies of `SimOperator`. */
+export interface OperatorContext {
   readonly clock: VirtualClock;
   readonly observations: Observations;
   readonly platform: SimPlatform;
 }
 
-/** Simulated operators. */
+/** Changes the stored policy and records the changes that were accepted. */
 export class SimOperator {
   private changeCount = 0;
-  /** Identifiers of every change that was tried, with the entries it set. */
-  readonly tried = new Map<string, readonly string[]>();
+  /** Policy entries set by each attempted change, by change identifier. */
+  readonly attemptedChanges = new Map<string, readonly string[]>();
 
-  constructor(private readonly world: OperatorWorld) {}
+  constructor(private readonly context: OperatorContext) {}
 
-  /** Puts a whole policy in force while nothing else runs. */
-  async putInForce(document: PolicyDocument, changeId: string): Promise<void> {
-    const done = this.change(changeId, () => findEdits({}, document));
+  /** Stores a complete initial policy while nothing else is running. */
+  async installPolicy(document: PolicyDocument, changeId: string): Promise<void> {
+    const done = this.applyChange(changeId, () => findEdits({}, document));
     const SETTLE_MS = 1_000;
-    await this.world.clock.runUntil(this.world.clock.now() + SETTLE_MS);
+    await this.context.clock.runUntil(this.context.clock.now() + SETTLE_MS);
     await done;
   }
 
-  /** Changes the state label of an engine: drains a serving one, and the other way round. */
-  toggleEngine(engineName: string): void {
+  /** Switches the `state` label of an engine between `serving` and `drained`. */
+  toggleDrained(engineName: string): void {
     const name = `engine.${engineName}`;
-    void this.change(this.nextChangeId(), (document) => {
+    void this.applyChange(this.nextChangeId(), (document) => {
       const before = document[name];
       if (before?.kind !== 'engine') {
         return [];
@@ -47,11 +49,11 @@
     });
   }
 
-  /** Two operators change at the same moment: the same entry, and different ones. */
-  race(engineName: string, otherName: string): void {
-    this.toggleEngine(engineName);
-    this.toggleEngine(engineName);
-    this.toggleEngine(otherName);
+  /** Makes concurrent changes to the same policy entry and to different ones. */
+  raceChanges(engineName: string, otherName: string): void {
+    this.toggleDrained(engineName);
+    this.toggleDrained(engineName);
+    this.toggleDrained(otherName);
   }
 
   private nextChangeId(): string {
@@ -59,23 +61,23 @@
     return `change-${this.changeCount}`;
   }
 
-  private async change(
+  private async applyChange(
     changeId: string,
     createEdits: (document: PolicyDocument) => PolicyEdit[],
   ): Promise<void> {
-    const { clock, observations, platform } = this.world;
-    const caller = {
+    const { clock, observations, platform } = this.context;
+    const clientContext = {
       address: { name: 'operators', zone: 'operators' },
       deliver: (callback: () => void) => callback(),
     };
-    const client = new SimKeyValueClient(platform, caller, OPERATOR_TIMEOUT_MS);
+    const client = new SimKeyValueClient(platform, clientContext, OPERATOR_TIMEOUT_MS);
     const stored = await readStoredPolicy(client);
     if (!stored.ok) {
       return;
     }
     const edits = createEdits(stored.val.document);
     const entries = edits.map((edit) => edit.entry);
-    this.tried.set(changeId, entries);
+    this.attemptedChanges.set(changeId, entries);
     const result = await changePolicy(client, {
       changeId,
       author: 'operator',
@@ -87,7 +89,7 @@
     const outcome = result.ok ? `generation ${result.val.generation}` : result.val.code;
     observations.log(clock.now(), `${changeId}: ${outcome}`);
     if (result.ok) {
-      const before =
+      const previous =
         observations.acceptedChanges.find(
           (change) => change.generation === result.val.generation - 1,
         )?.document ?? stored.val.document;
@@ -95,7 +97,7 @@
         changeId,
         generation: result.val.generation,
         acceptedAtMs: clock.now(),
-        document: applyEdits(before, edits),
+        document: applyEdits(previous, edits),
         entries,
       });
     }
--- a/src/sim/sim-platform.ts
+++ b/src/sim/sim-platform.ts
@@ -1,4 +1,4 @@
-/** The platform as simulated processes reach it: with latency, outages, cuts and lost answers. */
+/** The simulated platform, reached with latency, outages, partitions and lost responses. */
 import { PlatformAnswerLostError, PlatformUnavailableError } from '../key-value/errors.js';
 import type { PlatformError } from '../key-value/errors.js';
 import type {
@@ -15,25 +15,25 @@
 import type { NetworkAddress, SimNetwork } from './sim-network.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** The platform's place on the network. */
+/** Network address of the platform. */
 export const PLATFORM_ADDRESS: NetworkAddress = { name: 'platform', zone: 'platform' };
 
-/** Who calls the platform, and how what comes back reaches it. */
+/** Address of a platform client and how responses are delivered to it. */
 export interface PlatformCaller {
   readonly address: NetworkAddress;
-  /** Runs `callback` in the caller, unless it is gone. */
+  /** Runs `callback` in the calling process, unless that process has ended. */
   deliver(callback: () => void): void;
 }
 
-/** The simulated platform. */
+/** Key-value service and machine list of the simulated platform. */
 export class SimPlatform {
   readonly model: KeyValueModel;
-  /** Added to every answer, in milliseconds. */
-  slowMs = 0;
-  /** Lag of the list of machines, in milliseconds. */
+  /** Added to the latency of every response, in milliseconds. */
+  extraLatencyMs = 0;
+  /** Delay until a change appears in the machine list, in milliseconds. */
   listLagMs: number;
   private readonly machines = new Map<string, Machine>();
-  private shownMachines: readonly Machine[] = [];
+  private listedMachines: readonly Machine[] = [];
 
   constructor(
     readonly clock: VirtualClock,
@@ -45,25 +45,25 @@
     this.listLagMs = listLagMs;
   }
 
-  /** Enters or changes a machine; the list shows it after its lag. */
+  /** Adds or changes a machine; the list shows the change after `listLagMs`. */
   setMachine(machine: Machine): void {
     this.machines.set(machine.name, machine);
     const snapshot = [...this.machines.values()];
-    this.clock.setTimeout(() => (this.shownMachines = snapshot), this.listLagMs);
+    this.clock.setTimeout(() => (this.listedMachines = snapshot), this.listLagMs);
   }
 
-  /** Shows the list as it is, before anything runs. */
-  settleList(): void {
-    this.shownMachines = [...this.machines.values()];
+  /** Publishes the current machine list without the lag, before the simulation starts. */
+  publishListNow(): void {
+    this.listedMachines = [...this.machines.values()];
   }
 
-  /** The machines as the list shows them now. */
+  /** Returns the machines in the published list. */
   listMachines(): readonly Machine[] {
-    return this.shownMachines;
+    return this.listedMachines;
   }
 }
 
-/** The key-value service as one caller reaches it. */
+/** Client of the simulated key-value service. */
 export class SimKeyValueClient implements KeyValueClient {
   constructor(
     private readonly platform: SimPlatform,
@@ -120,12 +120,14 @@
           clock.notePromise();
         });
       clock.setTimeout(
-        () => settle(err(new PlatformAnswerLostError('no answer in time'))),
+        () => settle(err(new PlatformAnswerLostError('no response before the timeout'))),
         timeoutMs,
       );
       network.transmit(address, PLATFORM_ADDRESS, () => {
         if (!model.admit(kind)) {
-          const refusal = err(new PlatformUnavailableError('down or over the rate'));
+          const refusal = err(
+            new PlatformUnavailableError('service is down or the rate limit is exceeded'),
+          );
           network.transmit(PLATFORM_ADDRESS, address, () => settle(refusal));
           return;
         }
@@ -134,7 +136,8 @@
           if (kind === 'write' && model.takeLostAnswer()) {
             return;
           }
-          const delayMs = network.latencyMs(PLATFORM_ADDRESS, address) + this.platform.slowMs;
+          const delayMs =
+            network.latencyMs(PLATFORM_ADDRESS, address) + this.platform.extraLatencyMs;
           network.transmitAfter(PLATFORM_ADDRESS, address, delayMs, () => settle(ok(value)));
         });
         clock.notePromise();
--- a/src/sim/sim-process.ts
+++ b/src/sim/sim-process.ts
@@ -1,15 +1,15 @@
-/** A simulated process: it can be killed, frozen and started again under a new incarnation. */
+/** A simulated process that can be killed, frozen and restarted under a new incarnation. */
 import type { Clock, TimerHandle } from '../clock.js';
 import type { Machine } from '../membership/machine.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** A simulated process. */
+/** Base class of simulated processes. */
 export abstract class SimProcess {
   isAlive = false;
   isFrozen = false;
-  /** Number of the current start. */
+  /** Number of starts so far, which identifies the current incarnation. */
   startCount = 0;
-  private inbox: Array<() => void> = [];
+  private queuedDeliveries: Array<() => void> = [];
 
   constructor(
     protected readonly clock: VirtualClock,
@@ -21,11 +21,11 @@
     this.isAlive = true;
     this.isFrozen = false;
     this.startCount += 1;
-    this.inbox = [];
+    this.queuedDeliveries = [];
     this.onStart();
   }
 
-  /** Ends the process at once; nothing that was under way reaches it any more. */
+  /** Kills the process immediately; pending deliveries to it are dropped. */
   kill(): void {
     if (this.isAlive) {
       this.isAlive = false;
@@ -33,34 +33,36 @@
     }
   }
 
-  /** Stops the process without ending it: what reaches it waits. */
+  /** Suspends the process: deliveries to it are queued. */
   freeze(): void {
     this.isFrozen = this.isAlive;
   }
 
-  /** Lets a frozen process go on with what reached it, in order. */
+  /** Resumes a frozen process and runs its queued deliveries in order. */
   unfreeze(): void {
     this.isFrozen = false;
-    const waiting = this.inbox;
-    this.inbox = [];
-    for (const callback of waiting) {
+    const queued = this.queuedDeliveries;
+    this.queuedDeliveries = [];
+    for (const callback of queued) {
       this.deliver(this.startCount, callback);
     }
   }
 
-  /** Runs `callback` in the process, if it is still the start it was meant for. */
+  /** Runs `callback` in the process, unless it has ended or restarted since `startCount`. */
   deliver(startCount: number, callback: () => void): void {
     if (!this.isAlive || startCount !== this.startCount) {
       return;
     }
     if (this.isFrozen) {
-      this.inbox.push(callback);
+      this.queuedDeliveries.push(callback);
       return;
     }
     callback();
   }
 
-  /** The clock as this start of the process has it: its timers wait while it is frozen. */
+  /**
+   * Creates a clock for the current incarnation; its timers are queued while the process is frozen.
+   */
   createProcessClock(): Clock {
     const startCount = this.startCount;
     return {
@@ -71,7 +73,7 @@
     };
   }
 
-  /** Name of the current incarnation. */
+  /** Identifier of the current incarnation. */
   get incarnation(): string {
     return `${this.machine.name}.${this.startCount}`;
   }
--- a/src/sim/small-world.ts
+++ b/src/sim/small-world.ts
@@ -1,4 +1,4 @@
-/** Two entries and two agents with explicit queues: one small case of the systematic search. */
+/** One model check case: two entries and two agents that communicate through an explicit queue. */
 import { AgentCore } from '../agent/agent-core.js';
 import type { AgentEffect, AgentEvent } from '../agent/agent-events.js';
 import { EntryCore } from '../entry/entry-core.js';
@@ -10,7 +10,7 @@
 import { SeededRandom } from '../random.js';
 import type { Refusal } from '../request/refusal.js';
 
-/** The fault of a case. */
+/** Names of the faults that a case can inject. */
 export type CaseFault =
   | 'none'
   | 'crash-entry-0'
@@ -21,7 +21,7 @@
   | 'double-message'
   | 'leave-agent-0';
 
-/** Every fault of a case. */
+/** All faults that the model check injects. */
 export const CASE_FAULTS: readonly CaseFault[] = [
   'none',
   'crash-entry-0',
@@ -33,86 +33,93 @@
   'leave-agent-0',
 ];
 
-/** One case: a fault before one step, and one step that takes the newest item instead of the oldest. */
-export interface SmallCase {
+/**
+ * One case: a fault injected before step `faultStep`, and one step that delivers the newest item
+ * that may overtake the others instead of the oldest.
+ */
+export interface ModelCheckCase {
   readonly fault: CaseFault;
   readonly faultStep: number;
-  readonly outOfTurnStep: number;
+  readonly reorderedStep: number;
 }
 
-/** What one case gave. */
-export interface SmallCaseResult {
-  readonly faults: readonly string[];
+/** Result of one case. */
+export interface ModelCheckResult {
+  readonly violations: readonly string[];
   readonly stepCount: number;
 }
 
-/** Ways to break the cores, so that the search is seen to fail. */
-export interface SmallCaseHooks {
-  changeEntryEffects?(effects: EntryEffect[]): EntryEffect[];
+/** Hooks with which a test injects defects, to verify that the model check detects them. */
+export interface ModelCheckHooks {
+  transformEntryEffects?(effects: EntryEffect[]): EntryEffect[];
 }
 
 interface PendingItem {
   readonly label: string;
-  /** The connection that the item travels on; undefined for local events. */
-  readonly link: string | undefined;
+  /**
+   * Name of the ordered channel of the item; undefined for local events, which may overtake others.
+   */
+  readonly channel: string | undefined;
   readonly deliver: () => void;
 }
 
-const KEY = 'key';
+const IDEMPOTENCY_KEY = 'key';
 const AGENTS = ['agent-0', 'agent-1'] as const;
-const CHUNKS = 2;
+const CHUNK_COUNT = 2;
 const IDLE_STEP_MS = 100;
 const MAX_TIME_MS = 40_000;
 
-/** Two entries and two agents with explicit queues of everything that is under way. */
-export class SmallWorld {
+/** Executes one case, with every pending event and message in one explicit queue. */
+export class ModelCheckRun {
   private nowMs = 0;
   private stepCount = 0;
   private readonly pending: PendingItem[] = [];
   private readonly entries: EntryCore[] = [];
   private readonly agents: AgentCore[] = [];
-  private readonly starts = [0, 0, 0, 0];
-  private readonly handed: string[] = [];
-  private readonly handedWhileLeft: string[] = [];
-  private readonly refused = new Map<string, Refusal>();
-  private readonly answers = new Map<string, string[]>();
-  private readonly ended = new Set<string>();
-  private readonly lostWithEntry = new Set<string>();
-  private readonly sent: string[] = [];
+  private readonly startCounts = [0, 0, 0, 0];
+  private readonly dispatchedIds: string[] = [];
+  private readonly dispatchedWhileLeaving: string[] = [];
+  private readonly refusals = new Map<string, Refusal>();
+  private readonly responseChunks = new Map<string, string[]>();
+  private readonly endedIds = new Set<string>();
+  private readonly lostInEntryCrash = new Set<string>();
+  private readonly sentIds: string[] = [];
   private claimedBy: string | undefined;
-  private leftAtStep: number | undefined;
+  private leavingSinceStep: number | undefined;
 
   constructor(
     private readonly document: PolicyDocument,
-    private readonly smallCase: SmallCase,
-    private readonly hooks: SmallCaseHooks,
+    private readonly modelCheckCase: ModelCheckCase,
+    private readonly hooks: ModelCheckHooks,
   ) {}
 
-  /** Runs the case until everything ended. */
-  run(): SmallCaseResult {
+  /** Runs the case until every request has ended and nothing is pending, or time runs out. */
+  run(): ModelCheckResult {
     AGENTS.forEach((_, index) => this.startAgent(index));
     [0, 1].forEach((index) => this.startEntry(index));
-    this.settle();
+    this.drainPending();
     [0, 1].forEach((index) => this.sendRequest(index));
     while (this.nowMs < MAX_TIME_MS && !this.isDone()) {
       this.step();
     }
-    return { faults: this.findFaults(), stepCount: this.stepCount };
+    return { violations: this.findViolations(), stepCount: this.stepCount };
   }
 
   private isDone(): boolean {
-    const isEnded = this.sent.every((id) => this.ended.has(id) || this.lostWithEntry.has(id));
+    const isEnded = this.sentIds.every(
+      (id) => this.endedIds.has(id) || this.lostInEntryCrash.has(id),
+    );
     return isEnded && this.pending.length === 0;
   }
 
-  private settle(): void {
+  private drainPending(): void {
     while (this.pending.length > 0) {
       this.pending.shift()!.deliver();
     }
   }
 
   private step(): void {
-    if (this.stepCount === this.smallCase.faultStep) {
+    if (this.stepCount === this.modelCheckCase.faultStep) {
       this.injectFault();
     }
     this.stepCount += 1;
@@ -125,21 +132,24 @@
     this.takeNext().deliver();
   }
 
-  /** The oldest item; at one step the newest one that no older item of the same connection holds back. */
+  /**
+   * Removes the oldest item; at the reordered step, the newest item with no older item in its
+   * channel.
+   */
   private takeNext(): PendingItem {
-    const isOutOfTurn = this.stepCount === this.smallCase.outOfTurnStep;
-    const links = new Set<string>();
+    const isReorderedStep = this.stepCount === this.modelCheckCase.reorderedStep;
+    const busyChannels = new Set<string>();
     let index = 0;
-    for (let candidate = 0; isOutOfTurn && candidate < this.pending.length; candidate += 1) {
-      const { link } = this.pending[candidate]!;
-      index = link === undefined || !links.has(link) ? candidate : index;
-      links.add(link ?? '');
+    for (let candidate = 0; isReorderedStep && candidate < this.pending.length; candidate += 1) {
+      const { channel } = this.pending[candidate]!;
+      index = channel === undefined || !busyChannels.has(channel) ? candidate : index;
+      busyChannels.add(channel ?? '');
     }
     return this.pending.splice(index, 1)[0]!;
   }
 
   private injectFault(): void {
-    const { fault } = this.smallCase;
+    const { fault } = this.modelCheckCase;
     if (fault === 'crash-entry-0') {
       this.crashEntry(0);
     } else if (fault === 'crash-agent-0' || fault === 'crash-agent-1') {
@@ -147,24 +157,24 @@
     } else if (fault === 'break-connection-0-0' || fault === 'break-connection-0-1') {
       this.breakConnection(0, fault === 'break-connection-0-0' ? 0 : 1);
     } else if (fault === 'double-message') {
-      this.doubleMessage();
+      this.duplicateMessage();
     } else if (fault === 'leave-agent-0') {
-      this.leftAtStep = this.stepCount;
+      this.leavingSinceStep = this.stepCount;
       this.handleAgent(0, { kind: 'leave' });
     }
   }
 
-  /** Only what travels between processes can come twice. */
-  private doubleMessage(): void {
-    const index = this.pending.findIndex((item) => item.link?.startsWith('link') ?? false);
+  /** Duplicates the oldest pending message between processes; local events are never duplicated. */
+  private duplicateMessage(): void {
+    const index = this.pending.findIndex((item) => item.channel?.startsWith('link') ?? false);
     if (index >= 0) {
       this.pending.splice(index, 0, this.pending[index]!);
     }
   }
 
   private startEntry(index: number): void {
-    this.starts[index]! += 1;
-    const incarnation = `entry-${index}.${this.starts[index]}`;
+    this.startCounts[index]! += 1;
+    const incarnation = `entry-${index}.${this.startCounts[index]}`;
     this.entries[index] = new EntryCore({
       identity: { name: `entry-${index}`, incarnation, region: 'r', zone: 'z', place: 'hall-a' },
       options: DEFAULT_ENTRY_OPTIONS,
@@ -178,9 +188,9 @@
   }
 
   private startAgent(index: number): void {
-    this.starts[2 + index]! += 1;
+    this.startCounts[2 + index]! += 1;
     const name = AGENTS[index]!;
-    const incarnation = `${name}.${this.starts[2 + index]}`;
+    const incarnation = `${name}.${this.startCounts[2 + index]}`;
     this.agents[index] = new AgentCore({
       identity: { name, incarnation, region: 'r', zone: 'z', place: 'hall-a' },
       options: { ...DEFAULT_AGENT_OPTIONS, capacity: 1 },
@@ -192,7 +202,7 @@
 
   private sendRequest(index: number): void {
     const id = `${this.entries[index]!.state.identity.incarnation}:1`;
-    this.sent.push(id);
+    this.sentIds.push(id);
     this.handleEntry(index, {
       kind: 'request-arrived',
       request: {
@@ -205,7 +215,7 @@
         maxOutputTokens: 0,
         prefixHash: '',
         isRepeatable: false,
-        idempotencyKey: KEY,
+        idempotencyKey: IDEMPOTENCY_KEY,
         payload: { method: 'POST', path: '/', contentType: 'x', body: '' },
       },
     });
@@ -214,12 +224,12 @@
   private handleEntry(index: number, event: EntryEvent): void {
     const core = this.entries[index]!;
     const effects = core.handle(event, this.nowMs);
-    for (const effect of this.hooks.changeEntryEffects?.(effects) ?? effects) {
-      this.performEntry(index, core, effect);
+    for (const effect of this.hooks.transformEntryEffects?.(effects) ?? effects) {
+      this.applyEntryEffect(index, core, effect);
     }
   }
 
-  private performEntry(index: number, core: EntryCore, effect: EntryEffect): void {
+  private applyEntryEffect(index: number, core: EntryCore, effect: EntryEffect): void {
     switch (effect.kind) {
       case 'send':
         this.sendToAgent(index, core, effect.peer, effect.message);
@@ -228,13 +238,16 @@
         this.connect(index, core, effect.peer, effect.connectionNumber);
         break;
       case 'answer-chunk':
-        this.answers.set(effect.id, [...(this.answers.get(effect.id) ?? []), String(effect.data)]);
+        this.responseChunks.set(effect.id, [
+          ...(this.responseChunks.get(effect.id) ?? []),
+          String(effect.data),
+        ]);
         break;
       case 'answer-end':
         this.endRequest(effect.id);
         break;
       case 'refuse':
-        this.refused.set(effect.id, effect.refusal);
+        this.refusals.set(effect.id, effect.refusal);
         this.endRequest(effect.id);
         break;
       case 'claim':
@@ -249,7 +262,7 @@
   }
 
   private endRequest(id: string): void {
-    this.ended.add(id);
+    this.endedIds.add(id);
   }
 
   private claim(index: number, core: EntryCore, id: string): void {
@@ -266,24 +279,24 @@
 
   private connect(index: number, core: EntryCore, peer: string, connectionNumber: number): void {
     const agentIndex = AGENTS.indexOf(peer as (typeof AGENTS)[number]);
-    const link = linkName(index, agentIndex);
+    const channel = channelName(index, agentIndex);
     const { name, incarnation, zone } = core.state.identity;
     const agent = this.agents[agentIndex]!;
-    this.enqueue(`connect ${name} ${peer}`, link, () => {
+    this.enqueue(`connect ${name} ${peer}`, channel, () => {
       if (this.entries[index] !== core || this.agents[agentIndex] !== agent) {
         return;
       }
-      const common = { kind: 'hello', version: 1, zone, connectionNumber } as const;
+      const helloFields = { kind: 'hello', version: 1, zone, connectionNumber } as const;
       this.handleAgent(agentIndex, {
         kind: 'peer-connected',
-        hello: { ...common, role: 'entry', name, incarnation },
+        hello: { ...helloFields, role: 'entry', name, incarnation },
       });
       const agentIncarnation = agent.state.identity.incarnation;
       this.handleEntry(index, {
         kind: 'peer-connected',
         peer,
         connectionNumber,
-        hello: { ...common, role: 'agent', name: peer, incarnation: agentIncarnation },
+        hello: { ...helloFields, role: 'agent', name: peer, incarnation: agentIncarnation },
       });
     });
   }
@@ -293,7 +306,7 @@
     const agent = this.agents[agentIndex]!;
     const connectionNumber = core.state.peers.get(peer)?.connectionNumber ?? 0;
     const { incarnation } = core.state.identity;
-    this.enqueue(message.kind, `${linkName(index, agentIndex)} forth`, () => {
+    this.enqueue(message.kind, `${channelName(index, agentIndex)} forth`, () => {
       if (this.agents[agentIndex] === agent) {
         const frame = { generation: 1, messages: [message] };
         this.handleAgent(agentIndex, { kind: 'frame', peer: incarnation, connectionNumber, frame });
@@ -304,11 +317,11 @@
   private handleAgent(index: number, event: AgentEvent): void {
     const core = this.agents[index]!;
     for (const effect of core.handle(event, this.nowMs)) {
-      this.performAgent(index, core, effect);
+      this.applyAgentEffect(index, core, effect);
     }
   }
 
-  private performAgent(index: number, core: AgentCore, effect: AgentEffect): void {
+  private applyAgentEffect(index: number, core: AgentCore, effect: AgentEffect): void {
     if (effect.kind === 'send') {
       this.sendToEntry(index, core, effect.peer, effect.message);
     } else if (effect.kind === 'engine-start') {
@@ -324,7 +337,7 @@
       return;
     }
     const entry = this.entries[entryIndex]!;
-    this.enqueue(message.kind, `${linkName(entryIndex, index)} back`, () => {
+    this.enqueue(message.kind, `${channelName(entryIndex, index)} back`, () => {
       if (this.entries[entryIndex] === entry) {
         const frame = { generation: 1, messages: [message] };
         this.handleEntry(entryIndex, { kind: 'frame', peer: name, connectionNumber, frame });
@@ -333,33 +346,33 @@
   }
 
   private startEngine(index: number, core: AgentCore, id: string): void {
-    this.handed.push(id);
-    if (index === 0 && this.leftAtStep !== undefined) {
-      this.handedWhileLeft.push(id);
+    this.dispatchedIds.push(id);
+    if (index === 0 && this.leavingSinceStep !== undefined) {
+      this.dispatchedWhileLeaving.push(id);
     }
-    const tell = (event: AgentEvent) =>
+    const emit = (event: AgentEvent) =>
       this.enqueue(event.kind, `engine ${index}`, () => {
         if (this.agents[index] === core) {
           this.handleAgent(index, event);
         }
       });
-    tell({ kind: 'engine-started', id, status: 200, contentType: 'x' });
-    for (let chunk = 0; chunk < CHUNKS; chunk += 1) {
-      tell({ kind: 'engine-chunk', id, data: `${id}/${chunk}` });
+    emit({ kind: 'engine-started', id, status: 200, contentType: 'x' });
+    for (let chunk = 0; chunk < CHUNK_COUNT; chunk += 1) {
+      emit({ kind: 'engine-chunk', id, data: `${id}/${chunk}` });
     }
     const usage = { promptTokens: 0, cachedPromptTokens: 0, outputTokens: 0 };
-    tell({ kind: 'engine-ended', id, usage: { ...usage, prefillMs: 0, decodeMs: 0 } });
+    emit({ kind: 'engine-ended', id, usage: { ...usage, prefillMs: 0, decodeMs: 0 } });
   }
 
   private crashEntry(index: number): void {
-    const old = this.entries[index]!;
-    const { incarnation } = old.state.identity;
-    this.sent
+    const crashed = this.entries[index]!;
+    const { incarnation } = crashed.state.identity;
+    this.sentIds
       .filter((id) => id.startsWith(incarnation))
-      .forEach((id) => this.lostWithEntry.add(id));
+      .forEach((id) => this.lostInEntryCrash.add(id));
     AGENTS.forEach((name, agentIndex) => {
-      this.dropItems(linkName(index, agentIndex));
-      const connectionNumber = old.state.peers.get(name)?.connectionNumber ?? 0;
+      this.dropItems(channelName(index, agentIndex));
+      const connectionNumber = crashed.state.peers.get(name)?.connectionNumber ?? 0;
       this.handleAgent(agentIndex, {
         kind: 'peer-disconnected',
         peer: incarnation,
@@ -367,7 +380,7 @@
       });
     });
     this.startEntry(index);
-    // Its caller tries again, through the entry that came in its place, with the same key.
+    // The caller retries with the same idempotency key through the restarted entry.
     this.sendRequest(index);
   }
 
@@ -375,7 +388,7 @@
     this.dropItems(`engine ${index}`);
     this.startAgent(index);
     this.entries.forEach((entry, entryIndex) => {
-      this.dropItems(linkName(entryIndex, index));
+      this.dropItems(channelName(entryIndex, index));
       const peer = AGENTS[index]!;
       const connectionNumber = entry.state.peers.get(peer)?.connectionNumber ?? 0;
       this.handleEntry(entryIndex, { kind: 'peer-disconnected', peer, connectionNumber });
@@ -383,7 +396,7 @@
   }
 
   private breakConnection(entryIndex: number, agentIndex: number): void {
-    this.dropItems(linkName(entryIndex, agentIndex));
+    this.dropItems(channelName(entryIndex, agentIndex));
     const entry = this.entries[entryIndex]!;
     const peer = AGENTS[agentIndex]!;
     const connectionNumber = entry.state.peers.get(peer)?.connectionNumber ?? 0;
@@ -396,48 +409,49 @@
     this.handleEntry(entryIndex, { kind: 'peer-disconnected', peer, connectionNumber });
   }
 
-  private dropItems(link: string): void {
-    const kept = this.pending.filter((item) => !(item.link ?? '').startsWith(link));
-    this.pending.splice(0, this.pending.length, ...kept);
+  private dropItems(channel: string): void {
+    const remaining = this.pending.filter((item) => !(item.channel ?? '').startsWith(channel));
+    this.pending.splice(0, this.pending.length, ...remaining);
   }
 
-  private enqueue(label: string, link: string | undefined, deliver: () => void): void {
-    this.pending.push({ label, link, deliver });
+  private enqueue(label: string, channel: string | undefined, deliver: () => void): void {
+    this.pending.push({ label, channel, deliver });
   }
 
-  private findFaults(): string[] {
-    const faults: string[] = [];
-    if (new Set(this.handed).size < this.handed.length) {
-      faults.push(`a request was dispatched twice: ${this.handed.join(', ')}`);
+  private findViolations(): string[] {
+    const violations: string[] = [];
+    if (new Set(this.dispatchedIds).size < this.dispatchedIds.length) {
+      violations.push(`a request was dispatched twice: ${this.dispatchedIds.join(', ')}`);
     }
-    if (this.handed.length > 1) {
-      faults.push(`one key ran ${this.handed.length} times`);
+    if (this.dispatchedIds.length > 1) {
+      violations.push(`one idempotency key was dispatched ${this.dispatchedIds.length} times`);
     }
-    for (const [id, refusal] of this.refused) {
-      if (refusal.ran === 'no' && this.handed.includes(id)) {
-        faults.push(`${id} was told not run as ${refusal.reason}, but ran`);
+    for (const [id, refusal] of this.refusals) {
+      if (refusal.ran === 'no' && this.dispatchedIds.includes(id)) {
+        violations.push(`${id} was refused as not run (${refusal.reason}), but was dispatched`);
       }
     }
-    for (const [id, chunks] of this.answers) {
+    for (const [id, chunks] of this.responseChunks) {
       const isInOrder = chunks.every((chunk, index) => chunk === `${id}/${index}`);
-      const isCut = this.ended.has(id) && !this.refused.has(id) && chunks.length !== CHUNKS;
-      if (!isInOrder || isCut) {
-        faults.push(`${id} got ${chunks.join(', ')}`);
+      const isIncomplete =
+        this.endedIds.has(id) && !this.refusals.has(id) && chunks.length !== CHUNK_COUNT;
+      if (!isInOrder || isIncomplete) {
+        violations.push(`${id} received chunks ${chunks.join(', ')}`);
       }
     }
-    for (const id of this.sent) {
-      if (!this.ended.has(id) && !this.lostWithEntry.has(id)) {
-        faults.push(`${id} never ended`);
+    for (const id of this.sentIds) {
+      if (!this.endedIds.has(id) && !this.lostInEntryCrash.has(id)) {
+        violations.push(`${id} never completed`);
       }
     }
-    if (this.handedWhileLeft.length > 0) {
-      faults.push(`a leaving agent started ${this.handedWhileLeft.join(', ')}`);
+    if (this.dispatchedWhileLeaving.length > 0) {
+      violations.push(`a leaving agent dispatched ${this.dispatchedWhileLeaving.join(', ')}`);
     }
-    return faults;
+    return violations;
   }
 }
 
-function linkName(entryIndex: number, agentIndex: number): string {
+function channelName(entryIndex: number, agentIndex: number): string {
   return `link ${entryIndex}-${agentIndex}`;
 }
 
--- a/src/sim/virtual-clock.ts
+++ b/src/sim/virtual-clock.ts
@@ -1,14 +1,14 @@
-/** A virtual clock: time passes only from one timer to the next. */
+/** A virtual clock whose time advances only from one timer to the next. */
 import { createClock } from '@sinonjs/fake-timers';
 import type { Clock, TimerHandle } from '../clock.js';
 
-/** The library counts whole milliseconds; one of them stands for this part of a virtual one. */
+/** The library counts whole milliseconds; this many of its ticks make one virtual millisecond. */
 const TICKS_PER_MS = 10;
 
-/** The macrotask queue of the real event loop, by which pending promises are drained. */
+/** Lets pending promise callbacks run by waiting for a macrotask of the real event loop. */
 const drainPromises = () => new Promise((resolve) => setImmediate(resolve));
 
-/** A virtual clock. */
+/** A `Clock` for deterministic simulations, driven by `runUntil`. */
 export class VirtualClock implements Clock {
   private readonly timers = createClock(0, Number.MAX_SAFE_INTEGER);
   private hasPendingPromises = false;
@@ -25,12 +25,12 @@
     this.timers.clearTimeout(handle as number);
   }
 
-  /** Says that a promise was settled, so that what waits for it runs before time goes on. */
+  /** Makes `runUntil` run the callbacks of a settled promise before time advances. */
   notePromise(): void {
     this.hasPendingPromises = true;
   }
 
-  /** Runs every timer up to `untilMs`. */
+  /** Runs every timer that is due up to `untilMs`. */
   async runUntil(untilMs: number): Promise<void> {
     const end = { isReached: false };
     const handle = this.setTimeout(() => (end.isReached = true), untilMs - this.now());
--- a/src/sim/world.ts
+++ b/src/sim/world.ts
@@ -1,4 +1,4 @@
-/** A whole deployment in one simulated run: platform, back ends, agents, entries, callers. */
+/** A simulated deployment: platform, backends, agents, entries, callers and operators. */
 import type { Machine } from '../membership/machine.js';
 import { DEFAULT_AGENT_OPTIONS, DEFAULT_ENTRY_OPTIONS } from '../options.js';
 import type { EntryOptions } from '../options.js';
@@ -9,33 +9,33 @@
 import { DEFAULT_KEY_VALUE_LIMITS } from '../standin/key-value-model.js';
 import { createDeployment, createPolicy } from './deployment.js';
 import type { BackendProfile, Deployment, DeploymentName } from './deployment.js';
-import { Observations, TIER_WINDOW_MS } from './observations.js';
+import { Observations, PREEMPTION_WINDOW_MS } from './observations.js';
 import type { CallerAttempt, ShedSnapshot } from './observations.js';
 import { SimAgent } from './sim-agent.js';
 import { SimBackend } from './sim-backend.js';
 import { SimCallers } from './sim-callers.js';
-import type { SimDaemonParts, SimHooks } from './sim-daemon.js';
+import type { SimDaemonContext, SimHooks } from './sim-daemon.js';
 import { SimEntry } from './sim-entry.js';
 import { SimNetwork } from './sim-network.js';
 import { SimOperator } from './sim-operator.js';
 import { SimPlatform } from './sim-platform.js';
 import { VirtualClock } from './virtual-clock.js';
 
-/** What a run is made from. */
-export interface WorldOptions {
+/** Options of a simulated deployment. */
+export interface SimClusterOptions {
   readonly deployment: DeploymentName;
   readonly seed: number;
-  /** Work asked as a share of what the engines can do. */
+  /** Offered load as a fraction of the capacity of the engines. */
   readonly load: number;
   readonly hooks?: SimHooks;
   readonly entryOptions?: Partial<EntryOptions>;
 }
 
-const LIST_LAG_MS = 2_000;
+const MACHINE_LIST_LAG_MS = 2_000;
 const SEED_STEP = 7_919;
 
-/** A whole deployment in one simulated run. */
-export class World {
+/** Creates and connects the components of a simulated deployment. */
+export class SimCluster {
   readonly clock = new VirtualClock();
   readonly random: RandomSource;
   readonly observations = new Observations();
@@ -48,7 +48,7 @@
   readonly callers: SimCallers;
   readonly operator: SimOperator;
 
-  constructor(readonly options: WorldOptions) {
+  constructor(readonly options: SimClusterOptions) {
     this.random = new SeededRandom(options.seed);
     this.deployment = createDeployment(
       options.deployment,
@@ -59,7 +59,7 @@
       this.clock,
       this.network,
       DEFAULT_KEY_VALUE_LIMITS,
-      LIST_LAG_MS,
+      MACHINE_LIST_LAG_MS,
     );
     this.createAgents();
     this.createEntries();
@@ -72,38 +72,41 @@
         deployment: this.deployment,
         entries: this.entries,
         observations: this.observations,
-        onRefused: (attempt, refusal) => this.noteShed(attempt, refusal),
+        onRefused: (attempt, refusal) => this.recordShed(attempt, refusal),
       },
-      options.load * capacityPerSecond(this.deployment),
+      options.load * estimateCapacityPerSecond(this.deployment),
     );
   }
 
-  /** Puts the first policy in force, starts everything and lets it settle. */
+  /**
+   * Stores the initial policy, starts every process and advances the clock until they are
+   * connected.
+   */
   async start(): Promise<void> {
     const SETTLE_MS = 4_000;
-    await this.operator.putInForce(createPolicy(this.deployment), 'first');
+    await this.operator.installPolicy(createPolicy(this.deployment), 'first');
     for (const process of [...this.agents.values(), ...this.entries]) {
       this.platform.setMachine(process.machine);
     }
-    this.platform.settleList();
+    this.platform.publishListNow();
     for (const process of [...this.agents.values(), ...this.entries]) {
       process.start();
     }
     await this.clock.runUntil(this.clock.now() + SETTLE_MS);
   }
 
-  /** Starts a process again after it ended, as the platform replaces a machine. */
+  /** Restarts a process that has ended, as the platform does when it replaces a machine. */
   restart(process: SimAgent | SimEntry): void {
     const { name } = process.machine;
-    const leave = this.observations.currentLeave(name);
-    if (leave !== undefined) {
-      leave.restartedAtMs = this.clock.now();
+    const shutdown = this.observations.findActiveShutdown(name);
+    if (shutdown !== undefined) {
+      shutdown.restartedAtMs = this.clock.now();
     }
     this.platform.setMachine({ ...process.machine, state: 'live' });
     process.start();
   }
 
-  /** The engines that the class of an attempt may use, by the rules of the deployment alone. */
+  /** Returns the backends that a data class may use by the rules of the deployment alone. */
   permittedBackends(dataClass: string): BackendProfile[] {
     const { classes, places, backends } = this.deployment;
     const requestClass = classes.find((one) => one.dataClass === dataClass);
@@ -122,7 +125,7 @@
       const options = { ...DEFAULT_AGENT_OPTIONS, capacity, maxPaused: capacity };
       const machine = this.createMachine(profile.name, 'agent', profile.place);
       this.backends.set(profile.name, backend);
-      this.agents.set(profile.name, new SimAgent(this.createParts(machine), options, backend));
+      this.agents.set(profile.name, new SimAgent(this.createContext(machine), options, backend));
     }
   }
 
@@ -130,7 +133,7 @@
     for (const { name, place } of this.deployment.entries) {
       const machine = this.createMachine(name, 'entry', place);
       const options = { ...DEFAULT_ENTRY_OPTIONS, ...this.options.entryOptions };
-      this.entries.push(new SimEntry(this.createParts(machine), options, this.agents));
+      this.entries.push(new SimEntry(this.createContext(machine), options, this.agents));
     }
   }
 
@@ -139,7 +142,7 @@
     return { name, role, region, zone: place, place, address: name, port: 1, state: 'live' };
   }
 
-  private createParts(machine: Machine): SimDaemonParts {
+  private createContext(machine: Machine): SimDaemonContext {
     return {
       clock: this.clock,
       network: this.network,
@@ -152,16 +155,16 @@
     };
   }
 
-  /** Keeps what ran on permitted engines at the moment a request was shed. */
-  private noteShed(attempt: CallerAttempt, refusal: Refusal): void {
+  /** Records the lower-tier requests that run on permitted engines when a request is shed. */
+  private recordShed(attempt: CallerAttempt, refusal: Refusal): void {
     const isShed = refusal.reason === 'overloaded' || refusal.reason === 'deadline-infeasible';
     if (!isShed || refusal.ran !== 'no') {
       return;
     }
     const tierOfClass = new Map(this.deployment.classes.map((one) => [one.dataClass, one.tier]));
     const tierOf = (requestId: string) => {
-      const handed = this.observations.findHanded(requestId);
-      return tierOfClass.get(handed?.dataClass ?? '') ?? 0;
+      const dispatch = this.observations.findDispatch(requestId);
+      return tierOfClass.get(dispatch?.dataClass ?? '') ?? 0;
     };
     const lowerTierRunning = this.permittedBackends(attempt.dataClass).flatMap((profile) =>
       this.backends
@@ -177,12 +180,15 @@
       snapshot.stillRunning = lowerTierRunning.filter(({ engine, requestId }) =>
         this.backends.get(engine)!.runningIds().includes(requestId),
       );
-    }, TIER_WINDOW_MS);
+    }, PREEMPTION_WINDOW_MS);
   }
 }
 
-/** Requests a second that the engines of a deployment can serve, near enough for setting a load. */
-function capacityPerSecond(deployment: Deployment): number {
+/**
+ * Estimates how many requests per second the engines of a deployment can serve, accurately enough
+ * to set the offered load.
+ */
+function estimateCapacityPerSecond(deployment: Deployment): number {
   const MS_PER_SECOND = 1_000;
   const OUTPUT_SHARE = 0.65;
   const BATCH_FACTOR = 1.03;
--- a/test/broken-variants.test.ts
+++ b/test/broken-variants.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { createSchedule, simulate } from '../src/sim/simulate.js';
+import { sampleFaultSchedule, simulate } from '../src/sim/simulate.js';
 import { BROKEN_VARIANTS } from './support/broken-variants.js';
 
 const DURATION_MS = 6_000;
@@ -7,9 +7,9 @@
 const SEED = 11;
 
 for (const variant of BROKEN_VARIANTS) {
-  test(`${variant.name} is caught by ${variant.check}`, async (t) => {
+  test(`${variant.name} is detected by ${variant.check}`, async (t) => {
     const durationMs = variant.durationMs ?? DURATION_MS;
-    const faults = createSchedule(SEED, variant.faultSet, durationMs, MAX_FAULTS);
+    const faults = sampleFaultSchedule(SEED, variant.faultSet, durationMs, MAX_FAULTS);
     const options = {
       deployment: 'factoring',
       seed: SEED,
@@ -19,8 +19,8 @@
     } as const;
     const broken = await simulate({ ...options, hooks: variant.createHooks() });
     const names = new Set(broken.violations.map((violation) => violation.check));
-    t.true(names.has(variant.check), `caught by: ${[...names].join(', ') || 'nothing'}`);
-    const sound = await simulate(options);
-    t.deepEqual(sound.violations, []);
+    t.true(names.has(variant.check), `detected by: ${[...names].join(', ') || 'nothing'}`);
+    const correct = await simulate(options);
+    t.deepEqual(correct.violations, []);
   });
 }
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -2,7 +2,7 @@
 import type { DeploymentName } from '../src/sim/deployment.js';
 import { FAULT_SETS } from '../src/sim/fault.js';
 import { runSeed } from '../src/sim/search.js';
-import { createSchedule, simulate } from '../src/sim/simulate.js';
+import { sampleFaultSchedule, simulate } from '../src/sim/simulate.js';
 
 const DURATION_MS = 8_000;
 const MAX_FAULTS = 6;
@@ -17,7 +17,7 @@
 ];
 
 for (const [deployment, seed] of FIXED_SEEDS) {
-  test(`${deployment} seed ${seed} keeps every promise under all faults`, async (t) => {
+  test(`${deployment} seed ${seed} has no violations with all fault kinds`, async (t) => {
     const result = await runSeed({
       deployment,
       seed,
@@ -38,8 +38,8 @@
 ] as const;
 
 for (const { deployment, seed, load, durationMs, queue, set } of OVERLOADS) {
-  test(`${deployment} seed ${seed}: load ${load}, queues of ${queue}, faults ${set}: no higher tier is shed for a lower`, async (t) => {
-    const faults = createSchedule(seed, FAULT_SETS[set]!, durationMs, 4);
+  test(`${deployment} seed ${seed}: load ${load}, queue limit ${queue}, faults ${set}: no higher tier is shed while a lower one runs`, async (t) => {
+    const faults = sampleFaultSchedule(seed, FAULT_SETS[set]!, durationMs, 4);
     const result = await simulate({
       deployment,
       seed,
@@ -53,8 +53,8 @@
   });
 }
 
-test('a planned stop of engines, a hall and entries cuts off nothing', async (t) => {
-  const faults = createSchedule(5, FAULT_SETS['leave']!, DURATION_MS, MAX_FAULTS);
+test('graceful shutdown of engines, a place and entries interrupts no request', async (t) => {
+  const faults = sampleFaultSchedule(5, FAULT_SETS['leave']!, DURATION_MS, MAX_FAULTS);
   const result = await simulate({
     deployment: 'guild',
     seed: 5,
@@ -63,13 +63,13 @@
     faults,
   });
   t.deepEqual(result.violations, []);
-  const cut = result.attempts.filter(
+  const interrupted = result.attempts.filter(
     (attempt) => attempt.refusal?.ran === 'unknown' || attempt.outcome === 'pending',
   );
-  t.deepEqual(cut, []);
+  t.deepEqual(interrupted, []);
 });
 
-test('the same seed gives the same run, also beside another run', async (t) => {
+test('equal seeds give equal digests, also with concurrent simulations', async (t) => {
   const run = {
     deployment: 'guild',
     seed: 4,
@@ -79,7 +79,7 @@
     maxFaults: MAX_FAULTS,
   } as const;
   const alone = await runSeed(run);
-  const [beside] = await Promise.all([runSeed(run), runSeed({ ...run, seed: 6 })]);
-  t.is(beside.digest, alone.digest);
+  const [concurrent] = await Promise.all([runSeed(run), runSeed({ ...run, seed: 6 })]);
+  t.is(concurrent.digest, alone.digest);
   t.not((await runSeed({ ...run, seed: 6 })).digest, alone.digest);
 });
--- a/test/support/broken-variants.ts
+++ b/test/support/broken-variants.ts
@@ -7,7 +7,7 @@
 import type { FaultKind } from '../../src/sim/fault.js';
 import type { SimHooks } from '../../src/sim/sim-daemon.js';
 
-/** The code under test, broken on purpose, and the check that must notice. */
+/** A defect injected into the code under test, and the check that must detect it. */
 export interface BrokenVariant {
   readonly name: string;
   readonly check: string;
@@ -17,30 +17,36 @@
   readonly createHooks: () => SimHooks;
 }
 
-function wrapAgent(core: AgentCore, change: (event: AgentEvent) => AgentEvent | undefined): void {
+function interceptAgentEvents(
+  core: AgentCore,
+  transform: (event: AgentEvent) => AgentEvent | undefined,
+): void {
   const handle = core.handle.bind(core);
   core.handle = (event, nowMs) => {
-    const changed = change(event);
-    return changed === undefined ? [] : handle(changed, nowMs);
+    const transformed = transform(event);
+    return transformed === undefined ? [] : handle(transformed, nowMs);
   };
 }
 
-function wrapEntry(core: EntryCore, change: (event: EntryEvent) => EntryEvent | undefined): void {
+function interceptEntryEvents(
+  core: EntryCore,
+  transform: (event: EntryEvent) => EntryEvent | undefined,
+): void {
   const handle = core.handle.bind(core);
   core.handle = (event, nowMs) => {
-    const changed = change(event);
-    return changed === undefined ? [] : handle(changed, nowMs);
+    const transformed = transform(event);
+    return transformed === undefined ? [] : handle(transformed, nowMs);
   };
 }
 
 function mapMessages(
   event: AgentEvent,
-  change: (message: Message) => Message | undefined,
+  transform: (message: Message) => Message | undefined,
 ): AgentEvent {
   if (event.kind !== 'frame') {
     return event;
   }
-  const messages = event.frame.messages.map(change).filter((one) => one !== undefined);
+  const messages = event.frame.messages.map(transform).filter((one) => one !== undefined);
   return { ...event, frame: { ...event.frame, messages } };
 }
 
@@ -51,28 +57,28 @@
     faultSet: [],
     load: 0.3,
     createHooks: () => ({
-      changeEntryEffects: (effects, core) =>
+      transformEntryEffects: (effects, core) =>
         effects.flatMap((effect) => {
           if (effect.kind !== 'send' || effect.message.kind !== 'bind') {
             return [effect];
           }
-          const others = [...core.state.peers.keys()].filter((name) => name !== effect.peer);
-          return [effect, { ...effect, peer: others[0]! }];
+          const otherPeers = [...core.state.peers.keys()].filter((name) => name !== effect.peer);
+          return [effect, { ...effect, peer: otherPeers[0]! }];
         }),
     }),
   },
   {
-    name: 'an entry that takes a used idempotency key for its own',
+    name: 'an entry that treats a claimed idempotency key as its own',
     check: 'dispatched-once',
     faultSet: [],
     load: 0.3,
     createHooks: () => ({
       onEntryCore: (core) =>
-        wrapEntry(core, (event) =>
+        interceptEntryEvents(core, (event) =>
           event.kind === 'claim-resolved' ? { ...event, outcome: 'claimed' } : event,
         ),
-      // Every answer of the ledger is lost, so that its callers try again with the same key.
-      changeEntryEffects: (effects) =>
+      // Loses every response of the ledger, so that callers retry with the same idempotency key.
+      transformEntryEffects: (effects) =>
         effects.map((effect) =>
           effect.kind === 'answer-end' && effect.usage.engine.startsWith('ledger')
             ? {
@@ -85,12 +91,12 @@
     }),
   },
   {
-    name: 'an entry that says "not run" when it only lost contact',
+    name: 'an entry that reports "not run" after merely losing its connection',
     check: 'told-not-run',
     faultSet: ['kill-agent', 'crash-engine'],
     load: 0.8,
     createHooks: () => ({
-      changeEntryEffects: (effects) =>
+      transformEntryEffects: (effects) =>
         effects.map((effect) =>
           effect.kind === 'refuse'
             ? { ...effect, refusal: { ...effect.refusal, ran: 'no' as const } }
@@ -99,14 +105,14 @@
     }),
   },
   {
-    name: 'an agent that loses one chunk of an answer and counts the rest',
+    name: 'an agent that drops every 50th response chunk and numbers the others consecutively',
     check: 'whole-answer',
     faultSet: [],
     load: 0.3,
     createHooks: () => ({
       onAgentCore: (core) => {
         let count = 0;
-        wrapAgent(core, (event) => {
+        interceptAgentEvents(core, (event) => {
           count += event.kind === 'engine-chunk' ? 1 : 0;
           return event.kind === 'engine-chunk' && count % 50 === 0 ? undefined : event;
         });
@@ -114,14 +120,14 @@
     }),
   },
   {
-    name: 'an entry that hands a chunk to the caller of another request',
+    name: 'an entry that sends response chunks to the caller of another request',
     check: 'whole-answer',
     faultSet: [],
     load: 0.3,
     createHooks: () => {
       let previous = '';
       return {
-        changeEntryEffects: (effects) =>
+        transformEntryEffects: (effects) =>
           effects.map((effect) => {
             if (effect.kind !== 'answer-chunk') {
               return effect;
@@ -134,24 +140,24 @@
     },
   },
   {
-    name: 'an agent that ends at once when it is told to leave',
+    name: 'an agent that exits immediately on graceful shutdown',
     check: 'whole-answer',
     faultSet: ['leave-agent', 'leave-place'],
     load: 0.8,
     createHooks: () => ({
-      changeAgentEffects: (effects, core) =>
+      transformAgentEffects: (effects, core) =>
         core.state.isLeaving ? [...effects, { kind: 'left' }] : effects,
     }),
   },
   {
-    name: 'an agent that serves the lowest tier first and lets none make room',
+    name: 'an agent that serves the lowest tier first and never preempts',
     check: 'tier-order',
     faultSet: [],
     load: 2.5,
     durationMs: 12_000,
     createHooks: () => ({
       onAgentCore: (core) =>
-        wrapAgent(core, (event) =>
+        interceptAgentEvents(core, (event) =>
           mapMessages(event, (message) =>
             message.kind === 'bid' || message.kind === 'bind'
               ? { ...message, tier: 10 - message.tier, isUrgent: false }
@@ -161,20 +167,20 @@
     }),
   },
   {
-    name: 'an agent that does not heed being told to leave',
+    name: 'an agent that ignores graceful shutdown',
     check: 'leaving',
     faultSet: ['leave-agent', 'leave-place'],
     load: 0.8,
     createHooks: () => ({
       onAgentCore: (core) =>
-        wrapAgent(core, (event) => {
+        interceptAgentEvents(core, (event) => {
           if (event.kind === 'leave') {
             return undefined;
           }
           return event.kind === 'fleet' ? { ...event, ownState: 'live' } : event;
         }),
       onEntryCore: (core) =>
-        wrapEntry(core, (event) =>
+        interceptEntryEvents(core, (event) =>
           event.kind === 'fleet'
             ? {
                 ...event,
@@ -212,49 +218,61 @@
     }),
   },
   {
-    name: 'an agent that decides under an old policy while it shows the new generation',
+    name: 'an agent that applies an old policy while it reports the new generation',
     check: 'policy-in-force',
     faultSet: ['policy-change'],
     load: 0.8,
     createHooks: () => {
-      const keepFirst = (replica: AgentCore['state']['replica']) => {
+      const pinFirstPolicy = (replica: AgentCore['state']['replica']) => {
         let first: CompiledPolicy | undefined;
-        const permitted = new Map<number, typeof replica.permitted>();
-        const original = Object.getOwnPropertyDescriptor(Object.getPrototypeOf(replica), 'policy');
-        const cache = Object.getOwnPropertyDescriptor(Object.getPrototypeOf(replica), 'permitted');
+        const permittedByGeneration = new Map<number, typeof replica.permitted>();
+        const policyGetter = Object.getOwnPropertyDescriptor(
+          Object.getPrototypeOf(replica),
+          'policy',
+        );
+        const permittedGetter = Object.getOwnPropertyDescriptor(
+          Object.getPrototypeOf(replica),
+          'permitted',
+        );
         Object.defineProperty(replica, 'policy', {
           get() {
-            const current = original?.get?.call(replica) as CompiledPolicy;
+            const current = policyGetter?.get?.call(replica) as CompiledPolicy;
             first ??= current.generation > 0 ? current : undefined;
             return first ?? current;
           },
         });
         Object.defineProperty(replica, 'permitted', {
           get() {
-            if (replica.generation > 0 && !permitted.has(1)) {
-              permitted.set(1, cache?.get?.call(replica) as typeof replica.permitted);
+            if (replica.generation > 0 && !permittedByGeneration.has(1)) {
+              permittedByGeneration.set(
+                1,
+                permittedGetter?.get?.call(replica) as typeof replica.permitted,
+              );
             }
-            return permitted.get(1) ?? (cache?.get?.call(replica) as typeof replica.permitted);
+            return (
+              permittedByGeneration.get(1) ??
+              (permittedGetter?.get?.call(replica) as typeof replica.permitted)
+            );
           },
         });
       };
       return {
-        onAgentCore: (core) => keepFirst(core.state.replica),
-        onEntryCore: (core) => keepFirst(core.state.replica),
+        onAgentCore: (core) => pinFirstPolicy(core.state.replica),
+        onEntryCore: (core) => pinFirstPolicy(core.state.replica),
       };
     },
   },
   {
-    name: 'a process that asks nobody for the policy it misses',
+    name: 'a process that never requests a missing policy from its peers',
     check: 'policy-in-force',
     faultSet: ['policy-change'],
     load: 0.2,
     createHooks: () => ({
-      changeAgentEffects: (effects) =>
+      transformAgentEffects: (effects) =>
         effects.filter(
           (effect) => effect.kind !== 'send' || effect.message.kind !== 'policy-request',
         ),
-      changeEntryEffects: (effects) =>
+      transformEntryEffects: (effects) =>
         effects.filter(
           (effect) => effect.kind !== 'send' || effect.message.kind !== 'policy-request',
         ),
