--- a/src/cli/queries/run-simulation.ts
+++ b/src/cli/queries/run-simulation.ts
@@ -4,8 +4,8 @@
 import type { DeploymentName } from '../../sim/deployment.js';
 import { FAULT_KINDS, FAULT_SETS } from '../../sim/fault.js';
 import type { Fault } from '../../sim/fault.js';
-import { runSchedule, scheduleOf, searchSeeds, shrinkSchedule } from '../../sim/search.js';
-import type { SeedResult, SeedRun } from '../../sim/search.js';
+import { runSchedule, createSeedSchedule, searchSeeds, shrinkSchedule } from '../../sim/search.js';
+import type { SeedResult, SeedRunOptions } from '../../sim/search.js';
 import { CommandError, printOutput, readInputFile, showProgress } from '../context.js';
 import type { GlobalOptions } from '../context.js';
 import { EXIT } from '../exit-codes.js';
@@ -49,7 +49,12 @@
 /** Runs one seed and prints its result. */
 export async function runSimulation(options: SimulationArguments): Promise<void> {
   const run = parseSeedRun(options, Number(options.seed));
-  printResult(options, run, await runSchedule(run, scheduleOf(run)), scheduleOf(run));
+  printResult(
+    options,
+    run,
+    await runSchedule(run, createSeedSchedule(run)),
+    createSeedSchedule(run),
+  );
 }
 
 /** Runs the fault schedule that a search saved to a file. */
@@ -89,7 +94,7 @@
 
 async function reportFailedSeed(
   options: SimulationArguments,
-  run: SeedRun,
+  run: SeedRunOptions,
   result: SeedResult,
 ): Promise<void> {
   process.stdout.write(`${describeViolations(result)}\nshrinking the fault schedule\n`);
@@ -106,7 +111,7 @@
 
 function printResult(
   options: GlobalOptions,
-  run: SeedRun,
+  run: SeedRunOptions,
   result: SeedResult,
   faults: readonly Fault[],
 ): void {
@@ -138,7 +143,7 @@
   return [`${result.violations.length} violations`, ...shown].join('\n');
 }
 
-function parseSeedRun(options: SimulationArguments, seed: number): SeedRun {
+function parseSeedRun(options: SimulationArguments, seed: number): SeedRunOptions {
   if (options.deployment !== 'factoring' && options.deployment !== 'guild') {
     throw new CommandError(EXIT.badInput, '--deployment must be factoring or guild');
   }
--- a/src/sim/search.ts
+++ b/src/sim/search.ts
@@ -8,7 +8,7 @@
 import { sampleFaultSchedule, simulate } from './simulate.js';
 
 /** Options that fully determine the simulation of one seed; replay files store these fields. */
-export interface SeedRun {
+export interface SeedRunOptions {
   readonly deployment: DeploymentName;
   readonly seed: number;
   readonly load: number;
@@ -28,12 +28,15 @@
 }
 
 /** Runs the simulation of a seed with the fault schedule that the seed determines. */
-export async function runSeed(run: SeedRun): Promise<SeedResult> {
-  return runSchedule(run, scheduleOf(run));
+export async function runSeed(run: SeedRunOptions): Promise<SeedResult> {
+  return runSchedule(run, createSeedSchedule(run));
 }
 
 /** Runs the simulation of a seed with a given fault schedule. */
-export async function runSchedule(run: SeedRun, faults: readonly Fault[]): Promise<SeedResult> {
+export async function runSchedule(
+  run: SeedRunOptions,
+  faults: readonly Fault[],
+): Promise<SeedResult> {
   const { deployment, seed, load, durationMs } = run;
   const result = await simulate({ deployment, seed, load, durationMs, faults });
   const { violations, digest, virtualMs, attempts } = result;
@@ -41,7 +44,7 @@
 }
 
 /** Returns the fault schedule that a seed determines. */
-export function scheduleOf(run: SeedRun): Fault[] {
+export function createSeedSchedule(run: SeedRunOptions): Fault[] {
   const kinds = FAULT_SETS[run.faultSet] ?? [];
   return sampleFaultSchedule(run.seed, kinds, run.durationMs, run.maxFaults);
 }
@@ -50,9 +53,9 @@
  * Returns the smallest fault schedule that fast-check finds within `timeLimitMs` with which the
  * simulation still has violations.
  */
-export async function shrinkSchedule(run: SeedRun, timeLimitMs: number): Promise<Fault[]> {
+export async function shrinkSchedule(run: SeedRunOptions, timeLimitMs: number): Promise<Fault[]> {
   const kinds = FAULT_SETS[run.faultSet] ?? [];
-  let smallest = scheduleOf(run);
+  let smallest = createSeedSchedule(run);
   const property = fc.asyncProperty(
     faultScheduleArbitrary(kinds, run.durationMs, run.maxFaults),
     async (faults) => {
@@ -77,7 +80,7 @@
  * false.
  */
 export function searchSeeds(
-  runs: readonly SeedRun[],
+  runs: readonly SeedRunOptions[],
   jobs: number,
   onResult: (result: SeedResult) => boolean,
 ): Promise<void> {
--- a/src/sim/sim-platform.ts
+++ b/src/sim/sim-platform.ts
@@ -117,7 +117,7 @@
       const settle = (result: Result<Value, PlatformError>) =>
         this.caller.deliver(() => {
           resolve(result);
-          clock.notePromise();
+          clock.markPromiseSettled();
         });
       clock.setTimeout(
         () => settle(err(new PlatformAnswerLostError('no response before the timeout'))),
@@ -132,7 +132,7 @@
           return;
         }
         void perform(model).then((value) => {
-          clock.notePromise();
+          clock.markPromiseSettled();
           if (kind === 'write' && model.consumeLostResponse()) {
             return;
           }
@@ -140,7 +140,7 @@
             network.latencyMs(PLATFORM_ADDRESS, address) + this.platform.extraLatencyMs;
           network.transmitAfter(PLATFORM_ADDRESS, address, delayMs, () => settle(ok(value)));
         });
-        clock.notePromise();
+        clock.markPromiseSettled();
       });
     });
   }
--- a/src/sim/virtual-clock.ts
+++ b/src/sim/virtual-clock.ts
@@ -26,7 +26,7 @@
   }
 
   /** Makes `runUntil` run the callbacks of a settled promise before time advances. */
-  notePromise(): void {
+  markPromiseSettled(): void {
     this.hasPendingPromises = true;
   }
 
--- a/test/crashing-requests-fleet.test.ts
+++ b/test/crashing-requests-fleet.test.ts
@@ -117,7 +117,7 @@
   }
 
   write(requests: readonly StoredCrashes[], { revision }: StorePosition) {
-    this.clock.notePromise();
+    this.clock.markPromiseSettled();
     if (this.variant.disablesRecord === true) {
       return Promise.resolve(ok(positionAt(revision + 1)));
     }
--- a/test/orders.test.ts
+++ b/test/orders.test.ts
@@ -49,7 +49,7 @@
     return new Promise((resolve) => {
       this.clock.setTimeout(() => {
         resolve(perform());
-        this.clock.notePromise();
+        this.clock.markPromiseSettled();
       }, delayMs);
     });
   }
@@ -70,7 +70,7 @@
     setTimeout: (callback, delayMs) =>
       clock.setTimeout(() => {
         callback();
-        clock.notePromise();
+        clock.markPromiseSettled();
       }, delayMs),
     clearTimeout: (handle) => clock.clearTimeout(handle),
   };
--- a/test/quota-members-writer.test.ts
+++ b/test/quota-members-writer.test.ts
@@ -21,7 +21,7 @@
     SELF,
     {
       write: (_change, { epoch, revision }) => {
-        clock.notePromise();
+        clock.markPromiseSettled();
         return Promise.resolve(ok({ epoch, revision: revision + 1 }));
       },
       onWritten: (next) => {
--- a/test/store-follower.test.ts
+++ b/test/store-follower.test.ts
@@ -42,7 +42,7 @@
     }
     this.hasEnded ||= this.script.length === 0;
     const answer = this.script.shift() ?? 'never';
-    this.clock.notePromise();
+    this.clock.markPromiseSettled();
     return answer === 'never' ? new Promise(() => undefined) : Promise.resolve(answer);
   }
 }
@@ -87,9 +87,9 @@
     },
   };
   void new StoreFollower(store, handlers, clock, new SeededRandom(1)).run();
-  clock.notePromise();
+  clock.markPromiseSettled();
   for (let turn = 1; turn * 100 <= forMs; turn += 1) {
-    clock.notePromise();
+    clock.markPromiseSettled();
     await clock.runUntil(turn * 100);
   }
   return { calls: store.calls, reachable, listings };
@@ -137,7 +137,7 @@
   };
   void new StoreFollower(store, handlers, clock, new SeededRandom(1)).run();
   for (let turn = 1; turn <= 30; turn += 1) {
-    clock.notePromise();
+    clock.markPromiseSettled();
     await clock.runUntil(turn * 100);
   }
   return { calls: store.calls, seenAtMs };
@@ -199,7 +199,7 @@
   };
   void new StoreFollower(store, handlers, clock, new SeededRandom(1)).run();
   for (let turn = 1; turn <= 80; turn += 1) {
-    clock.notePromise();
+    clock.markPromiseSettled();
     await clock.runUntil(turn * 100);
   }
   return { calls: store.calls, listings };
@@ -216,7 +216,7 @@
   const follower = new StoreFollower(store, handlers, clock, new SeededRandom(1));
   void follower.run();
   for (let turn = 1; turn <= 20; turn += 1) {
-    clock.notePromise();
+    clock.markPromiseSettled();
     await clock.runUntil(turn * 100);
   }
   t.deepEqual(store.calls.slice(0, 3), ['list', 'watch 4', 'list']);
@@ -231,9 +231,9 @@
   const clock = new VirtualClock();
   const seen = { listed: 0, lost: 0 };
   const answer = (read: Answer) => {
-    clock.notePromise();
+    clock.markPromiseSettled();
     return sleep(clock, responseMs).then(() => {
-      clock.notePromise();
+      clock.markPromiseSettled();
       return read;
     });
   };
@@ -251,7 +251,7 @@
   };
   void new StoreFollower(store, handlers, clock, new SeededRandom(1)).run();
   for (let turn = 1; turn <= 200; turn += 1) {
-    clock.notePromise();
+    clock.markPromiseSettled();
     await clock.runUntil(turn * 100);
   }
   return seen;
@@ -311,7 +311,7 @@
   };
   void new StoreFollower(store, handlers, clock, new SeededRandom(1)).run();
   for (let turn = 1; turn * 100 <= forMs; turn += 1) {
-    clock.notePromise();
+    clock.markPromiseSettled();
     await clock.runUntil(turn * 100);
     if (turn * 100 === peerReport.atMs) {
       learnEpoch(peerReport.epoch);
--- a/test/support/rollout-fleet.ts
+++ b/test/support/rollout-fleet.ts
@@ -137,7 +137,7 @@
   }
 
   private write(index: number, state: RolloutState, follows: StorePosition) {
-    this.clock.notePromise();
+    this.clock.markPromiseSettled();
     const isUnavailable = this.elapsedFraction < (this.faults.storeUnavailableUntil ?? 0);
     if (isUnavailable || index < (this.faults.rejectedGateways ?? 0)) {
       return Promise.resolve(err(new StoreUnavailableError('write rejected')));
