--- a/bench/capacity-page.ts
+++ b/bench/capacity-page.ts
@@ -1,6 +1,6 @@
 /** Computes the tables of docs/CAPACITY.md from recorded slopes. */
 import { readFileSync, writeFileSync } from 'node:fs';
-import type { Line, Point } from './fit.js';
+import type { Line, Point } from './linear-fit.js';
 
 /** Messages and bytes per request, by message kind. */
 export type MessageCounts = Record<string, { messages: number; bytes: number }>;
--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -3,10 +3,10 @@
 import { PolicyReplica } from '../src/policy/replica.js';
 import { applyEdits, policyDigest } from '../src/policy/change.js';
 import type { ChangeRecord } from '../src/policy/change.js';
-import { fitLine, median } from './fit.js';
+import { fitLine, median } from './linear-fit.js';
 import { updatePage } from './capacity-page.js';
 import type { CapacityResults, MessageCounts, Slope } from './capacity-page.js';
-import { createLargePolicy, AgentHarness, EntryHarness } from './hollow-fleet.js';
+import { createLargePolicy, AgentHarness, EntryHarness } from './core-harness.js';
 
 const isQuick = process.argv.includes('--quick');
 const shouldRecord = process.argv.includes('--record');
--- a/bench/soak/change-run.ts
+++ b/bench/soak/change-run.ts
@@ -3,8 +3,8 @@
  * how long it takes until each gateway serves the added route and no longer serves the removed one.
  */
 import { request } from 'undici';
-import { FakeStore } from '../../test/support/platform-standin.js';
-import type { StoreBehavior } from '../../test/support/platform-standin.js';
+import { FakeStore } from '../../test/support/fake-platform.js';
+import type { StoreBehavior } from '../../test/support/fake-platform.js';
 import { GatewayProcesses } from './gateway-processes.js';
 
 /** Options of a run. */
--- a/bench/soak/quota-run.ts
+++ b/bench/soak/quota-run.ts
@@ -6,7 +6,7 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { RandomSource } from '../../src/random.js';
 import { SeededRandom } from '../../src/random.js';
-import { FakeStore } from '../../test/support/platform-standin.js';
+import { FakeStore } from '../../test/support/fake-platform.js';
 import { GatewayProcesses } from './gateway-processes.js';
 
 /** The fault during the load. */
--- a/bench/soak/soak-fleet.ts
+++ b/bench/soak/soak-fleet.ts
@@ -7,7 +7,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import type { RandomSource } from '../../src/random.js';
-import { FakeStore } from '../../test/support/platform-standin.js';
+import { FakeStore } from '../../test/support/fake-platform.js';
 import { LoopbackProxy } from './loopback-proxy.js';
 import { SoakBackend } from './soak-backend.js';
 import type { Execution } from './soak-backend.js';
@@ -18,8 +18,8 @@
   SOAK_REGIONS,
   SOAK_ZONES,
   zoneOf,
-} from './soak-homes.js';
-import type { RegionChange } from './soak-homes.js';
+} from './soak-regions.js';
+import type { RegionChange } from './soak-regions.js';
 import { routePrefix } from './soak-routes.js';
 import type { RouteChange } from './soak-routes.js';
 
--- a/bench/soak/soak-owed.ts
+++ b/bench/soak/soak-servable.ts
@@ -6,8 +6,8 @@
   SOAK_REGIONS,
   SOAK_ZONES,
   zoneOf,
-} from './soak-homes.js';
-import type { RegionChange } from './soak-homes.js';
+} from './soak-regions.js';
+import type { RegionChange } from './soak-regions.js';
 
 /** Time in which gateways may still follow the state before a change, in milliseconds. */
 const PROPAGATION_BOUND_MS = 2_200;
--- a/bench/soak/statement-run.ts
+++ b/bench/soak/statement-run.ts
@@ -7,7 +7,7 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { SeededRandom } from '../../src/random.js';
 import type { RandomSource } from '../../src/random.js';
-import { FakeStore } from '../../test/support/platform-standin.js';
+import { FakeStore } from '../../test/support/fake-platform.js';
 import { GatewayProcesses } from './gateway-processes.js';
 
 /** How faulty back ends respond to requests. */
--- a/bench/store-changes.ts
+++ b/bench/store-changes.ts
@@ -3,7 +3,7 @@
  * virtual clock. Prints the gateways that applied a change too late, and the events before.
  */
 import { Command } from 'commander';
-import { runWithFaults } from '../test/support/fleet-troubles.js';
+import { runWithFaults } from '../test/support/fleet-faults.js';
 
 interface Options {
   readonly from: string;
--- a/src/agent/agent-core.ts
+++ b/src/agent/agent-core.ts
@@ -6,8 +6,8 @@
  */
 import type { Machine, ProcessIdentity } from '../membership/machine.js';
 import type { AgentOptions } from '../options.js';
-import { PolicySynchronizer } from '../policy/exchange.js';
-import type { PolicySyncMessage } from '../policy/exchange.js';
+import { PolicySynchronizer } from '../policy/policy-synchronizer.js';
+import type { PolicySyncMessage } from '../policy/policy-synchronizer.js';
 import { PolicyReplica } from '../policy/replica.js';
 import type { HelloMessage, Message } from '../protocol/messages.js';
 import { entryIncarnationOf } from '../request/request-id.js';
@@ -24,7 +24,7 @@
   expireResponses,
   handleEngineEvent,
   resumeResponse,
-} from './commands/stream-answer.js';
+} from './commands/stream-response.js';
 import { createLoadMessage } from './queries/engine-load.js';
 import { RequestRecords } from './request-records.js';
 
--- a/src/agent/agent-state.ts
+++ b/src/agent/agent-state.ts
@@ -1,7 +1,7 @@
 /** State of an agent: bids, calls, running requests and unacknowledged responses. */
 import type { ProcessIdentity } from '../membership/machine.js';
 import type { AgentOptions } from '../options.js';
-import type { PolicySynchronizer } from '../policy/exchange.js';
+import type { PolicySynchronizer } from '../policy/policy-synchronizer.js';
 import type { PolicyReplica } from '../policy/replica.js';
 import type { BindMessage, Message } from '../protocol/messages.js';
 import type { RequestId } from '../request/request-id.js';
--- a/src/agent/commands/start-request.ts
+++ b/src/agent/commands/start-request.ts
@@ -7,7 +7,7 @@
 import { hasPauseCapacity } from './call-bids.js';
 import { consumePermit } from './issue-permits.js';
 import { refuseBind } from './refuse-bind.js';
-import { failRequest } from './stream-answer.js';
+import { failRequest } from './stream-response.js';
 
 /** Gap between ticks that indicates that the process was paused. */
 const PAUSE_THRESHOLD_MS = 1_000;
--- a/src/bin/run-process.ts
+++ b/src/bin/run-process.ts
@@ -10,7 +10,7 @@
 import { parseGatewaySettings } from '../gateway/gateway-settings.js';
 import type { GatewaySettings } from '../gateway/gateway-settings.js';
 import { SeededRandom } from '../random.js';
-import { ZoneTopology } from '../routing/places.js';
+import { ZoneTopology } from '../routing/zone-topology.js';
 import { SlotAgentMetrics } from '../slot-agent/slot-agent-metrics.js';
 import { SlotAgentRole } from '../slot-agent/slot-agent-role.js';
 import type { EngineProbe } from '../slot-agent/slot-agent-role.js';
--- a/src/cli/queries/explain-logs.ts
+++ b/src/cli/queries/explain-logs.ts
@@ -3,10 +3,10 @@
 import { CommandError, printOutput } from '../context.js';
 import type { GlobalOptions } from '../context.js';
 import type { ExhaustedQuota } from '../../gateway/admission/gateway-refusal.js';
-import type { RegionReport } from '../../gateway/homes/home-report.js';
+import type { RegionReport } from '../../gateway/regions/region-report.js';
 import { EXIT } from '../exit-codes.js';
 import { explainCrashes } from './explain-crashes.js';
-import { explainRegions } from './explain-homes.js';
+import { explainRegions } from './explain-regions.js';
 
 /** The fields of a log line that are needed here. */
 interface LogLine {
--- a/src/cli/queries/explain-homes.ts
+++ b/src/cli/queries/explain-regions.ts
@@ -1,5 +1,5 @@
 /** Formats the allowed regions of a request and the backends that were excluded for it. */
-import type { RegionReport, ExcludedBackend } from '../../gateway/homes/home-report.js';
+import type { RegionReport, ExcludedBackend } from '../../gateway/regions/region-report.js';
 
 const REASONS: Readonly<Record<ExcludedBackend['reason'], string>> = {
   'outside-home': 'its region is no home',
--- a/src/cli/queries/run-experiment.ts
+++ b/src/cli/queries/run-experiment.ts
@@ -1,10 +1,10 @@
 /** Runs an experiment with several seeds on worker threads and prints the totals. */
 import { writeFileSync } from 'node:fs';
-import type { ExperimentJob } from '../../model/experiment-worker.js';
-import { parseExperiment } from '../../model/experiment.js';
-import { addTotals, emptyTotals } from '../../model/model-value.js';
-import type { OutcomeTotals } from '../../model/model-value.js';
-import type { ExperimentResult } from '../../model/run-experiment.js';
+import type { ExperimentJob } from '../../experiment/experiment-worker.js';
+import { parseExperiment } from '../../experiment/experiment.js';
+import { addTotals, emptyTotals } from '../../experiment/outcome-totals.js';
+import type { OutcomeTotals } from '../../experiment/outcome-totals.js';
+import type { ExperimentResult } from '../../experiment/run-experiment.js';
 import { runOnThreads } from '../../thread-pool.js';
 import { CommandError, printOutput, readInputFile, showProgress } from '../context.js';
 import type { GlobalOptions } from '../context.js';
@@ -34,7 +34,7 @@
     seed: index + 1,
   }));
   const results: ExperimentResult[] = [];
-  const script = new URL('../../model/experiment-worker.js', import.meta.url);
+  const script = new URL('../../experiment/experiment-worker.js', import.meta.url);
   await runOnThreads<ExperimentJob, ExperimentResult>(
     script,
     jobs,
--- a/src/cluster/store-follower.ts
+++ b/src/cluster/store-follower.ts
@@ -10,15 +10,15 @@
 import type { ClusterStore, StoreRead } from './cluster-store.js';
 import { isLater, isNoPosition, laterPosition, NO_EPOCH } from './store-position.js';
 import type { StorePosition } from './store-position.js';
-import { StoreCaller } from './store-calls.js';
-import type { KnownEpoch } from './store-epochs.js';
+import { StoreCaller } from './store-caller.js';
+import type { KnownEpoch } from './replica-epoch-tracker.js';
 import type {
   CallOutcome,
   StoreCallRequest,
   StoreCall,
   StoreCallResult,
   StoreCallerOptions,
-} from './store-calls.js';
+} from './store-caller.js';
 
 /** Callbacks of a follower: results of its reads, and state that it needs from its process. */
 export interface StoreFollowerHandlers {
--- a/src/cluster/store-readers.ts
+++ b/src/cluster/store-reader-selector.ts
@@ -12,7 +12,7 @@
  * In a deployment with several regions, each region has its own readers, so that a region that is
  * partitioned from the others but not from the store keeps reading without interruption.
  */
-import { pairHash } from '../pair-share.js';
+import { pairHash } from '../pair-hash.js';
 
 /** Number of readers and timeout of their heartbeats. */
 export interface StoreReaderSelectorOptions {
--- a/src/demo/demo-caller.ts
+++ b/src/demo/demo-caller.ts
@@ -1,8 +1,8 @@
 /** Sends one request as a caller does, and verifies the response. */
 import { Agent, request } from 'undici';
-import { responseText, serviceResponse } from '../standin/answer-text.js';
+import { responseText, serviceResponse } from '../standin/response-text.js';
 import { CALLER_HEADERS, CHAT_PATH } from '../server/caller-request.js';
-import type { WorkloadClass } from './fleet-file.js';
+import type { WorkloadClass } from './demo-files.js';
 
 /** Result of one request. */
 export interface CallerOutcome {
--- a/src/demo/demo-report.ts
+++ b/src/demo/demo-report.ts
@@ -1,7 +1,7 @@
 /** Finds violations of guarantees at the end of the demo, and formats its result table. */
 import { request } from 'undici';
 import type { CallerOutcome } from './demo-caller.js';
-import type { WorkloadClass } from './fleet-file.js';
+import type { WorkloadClass } from './demo-files.js';
 import type { FleetProcess } from './local-fleet.js';
 
 /** Requests and counters that a stand-in backend recorded itself. */
--- a/src/demo/local-fleet.ts
+++ b/src/demo/local-fleet.ts
@@ -8,7 +8,7 @@
 import { fileURLToPath } from 'node:url';
 import { request } from 'undici';
 import { WeirvaleError } from '../request/errors.js';
-import type { FleetMember } from './fleet-file.js';
+import type { FleetMember } from './demo-files.js';
 
 /** A process or command of the fleet failed, or did not become ready in time. */
 export class FleetStartError extends WeirvaleError {
--- a/src/entry/commands/accept-request.ts
+++ b/src/entry/commands/accept-request.ts
@@ -5,12 +5,12 @@
 import { estimateRequestBytes } from '../../request/request.js';
 import type { RequestDescription } from '../../request/request.js';
 import type { IncomingRequest } from '../entry-events.js';
-import { canBeShed } from '../queries/make-room.js';
+import { canBeShed } from '../queries/preemption.js';
 import { permittedEngines } from '../queries/rank-agents.js';
 import { countWaiting } from '../entry-state.js';
 import type { EntryEventContext, ActiveRequest } from '../entry-state.js';
-import { setPhase, refuseRequest } from './finish-request.js';
-import { bindWithPermit } from './use-permit.js';
+import { setPhase, refuseRequest } from './request-lifecycle.js';
+import { bindWithPermit } from './bind-with-permit.js';
 import { checkWaitingRequest, resendUrgentBids } from './place-bids.js';
 
 /**
--- a/src/entry/commands/bind-request.ts
+++ b/src/entry/commands/bind-request.ts
@@ -6,7 +6,7 @@
 import type { AgentPeer, EntryEventContext, ActiveRequest } from '../entry-state.js';
 import { agentRequestFields } from '../queries/describe-request.js';
 import { isCandidate, refusalKey } from '../queries/rank-agents.js';
-import { setPhase, withdrawBids } from './finish-request.js';
+import { setPhase, withdrawBids } from './request-lifecycle.js';
 import { placeBids } from './place-bids.js';
 
 /**
--- a/src/entry/commands/deliver-answer.ts
+++ b/src/entry/commands/deliver-response.ts
@@ -7,7 +7,7 @@
 import { possiblyExecutedRefusal } from '../../request/refusal.js';
 import type { RequestId } from '../../request/request-id.js';
 import type { EntryEventContext, ActiveRequest } from '../entry-state.js';
-import { removeRequest, refuseRequest } from './finish-request.js';
+import { removeRequest, refuseRequest } from './request-lifecycle.js';
 
 /** Starts the response, unless it was started before a reconnect. */
 export function startResponse(
--- a/src/entry/commands/manage-peers.ts
+++ b/src/entry/commands/manage-peers.ts
@@ -1,11 +1,11 @@
 /** Commands that maintain connections to a bounded subset of the agents. */
 import type { Machine } from '../../membership/machine.js';
-import { selectAgents } from '../../membership/subset.js';
+import { selectAgents } from '../../membership/agent-subset.js';
 import type { HelloMessage } from '../../protocol/messages.js';
 import { withJitter } from '../../random.js';
 import { possiblyExecutedRefusal } from '../../request/refusal.js';
 import type { AgentPeer, EntryEventContext, ActiveRequest } from '../entry-state.js';
-import { refuseRequest, scheduleCheck } from './finish-request.js';
+import { refuseRequest, scheduleCheck } from './request-lifecycle.js';
 import { checkWaitingRequest, placeBids } from './place-bids.js';
 
 const RECONNECT_JITTER = 0.5;
--- a/src/entry/commands/place-bids.ts
+++ b/src/entry/commands/place-bids.ts
@@ -2,10 +2,10 @@
 import type { BidMessage } from '../../protocol/messages.js';
 import { notExecutedRefusal } from '../../request/refusal.js';
 import type { EntryEventContext, ActiveRequest } from '../entry-state.js';
-import { mayServeLowerTier } from '../queries/make-room.js';
+import { mayServeLowerTier } from '../queries/preemption.js';
 import { agentRequestFields } from '../queries/describe-request.js';
 import { shortestServiceMs, rankAgents } from '../queries/rank-agents.js';
-import { refuseRequest, scheduleCheck } from './finish-request.js';
+import { refuseRequest, scheduleCheck } from './request-lifecycle.js';
 
 const EXTRA_BID_INTERVAL_MS = 500;
 
--- a/src/entry/entry-core.ts
+++ b/src/entry/entry-core.ts
@@ -7,8 +7,8 @@
 import { Heap } from 'heap-js';
 import type { ProcessIdentity } from '../membership/machine.js';
 import type { EntryOptions } from '../options.js';
-import { PolicySynchronizer } from '../policy/exchange.js';
-import type { PolicySyncMessage } from '../policy/exchange.js';
+import { PolicySynchronizer } from '../policy/policy-synchronizer.js';
+import type { PolicySyncMessage } from '../policy/policy-synchronizer.js';
 import { PolicyReplica } from '../policy/replica.js';
 import type { Message } from '../protocol/messages.js';
 import type { RandomSource } from '../random.js';
@@ -16,15 +16,15 @@
 import type { RequestId } from '../request/request-id.js';
 import { acceptRequest, enqueueRequest } from './commands/accept-request.js';
 import { handleCall, handleBidRefused } from './commands/bind-request.js';
-import { requeueRequest } from './commands/take-back-request.js';
+import { requeueRequest } from './commands/requeue-request.js';
 import {
   abandonRequest,
   deliverChunk,
   endResponse,
   failResponse,
   startResponse,
-} from './commands/deliver-answer.js';
-import { refuseRequest } from './commands/finish-request.js';
+} from './commands/deliver-response.js';
+import { refuseRequest } from './commands/request-lifecycle.js';
 import {
   checkResumeTimeout,
   connectPeer,
@@ -35,7 +35,7 @@
 } from './commands/manage-peers.js';
 import { checkWaitingRequest } from './commands/place-bids.js';
 import { permittedEngines } from './queries/rank-agents.js';
-import { EngineSpeedEstimates } from './engine-speeds.js';
+import { EngineSpeedEstimates } from './engine-speed-estimates.js';
 import type { ClaimOutcome, EntryEffect, EntryEvent } from './entry-events.js';
 import { EntryEventContext } from './entry-state.js';
 import type { AgentPeer, ScheduledCheck, EntryState, ActiveRequest } from './entry-state.js';
--- a/src/entry/entry-state.ts
+++ b/src/entry/entry-state.ts
@@ -2,7 +2,7 @@
 import type { Heap } from 'heap-js';
 import type { Machine, ProcessIdentity } from '../membership/machine.js';
 import type { EntryOptions } from '../options.js';
-import type { PolicySynchronizer } from '../policy/exchange.js';
+import type { PolicySynchronizer } from '../policy/policy-synchronizer.js';
 import type { PermittedEngines } from '../policy/eligibility.js';
 import type { PolicyReplica } from '../policy/replica.js';
 import type { LoadMessage, Message } from '../protocol/messages.js';
@@ -10,7 +10,7 @@
 import type { RequestDescription } from '../request/request.js';
 import type { RequestId } from '../request/request-id.js';
 import type { EntryEffect } from './entry-events.js';
-import type { EngineSpeedEstimates } from './engine-speeds.js';
+import type { EngineSpeedEstimates } from './engine-speed-estimates.js';
 
 /** Phase of a request at its entry. */
 export type RequestPhase =
--- a/src/model/model-value.ts
+++ b/src/experiment/outcome-totals.ts
@@ -5,7 +5,7 @@
  * served costs a share of its value in proportion to the wait, or the full value if its caller
  * disconnected after a response timeout. Each refusal after the first costs a share of the value.
  */
-import type { CallerOutcome } from './model-caller.js';
+import type { CallerOutcome } from './simulated-caller.js';
 
 /** Share of a request's value that each refusal after the first costs. */
 const REPEATED_REFUSAL_COST_SHARE = 0.3;
--- a/src/model/run-experiment.ts
+++ b/src/experiment/run-experiment.ts
@@ -5,16 +5,16 @@
 import { DEFAULT_CALLER_LIMITS } from '../routing/configuration.js';
 import type { Route, Tenant } from '../routing/configuration.js';
 import { RoutingTable } from '../routing/routing-table.js';
-import type { GatewayTimeoutOptions } from '../slot-agent/gateway-account.js';
+import type { GatewayTimeoutOptions } from '../slot-agent/gateway-session.js';
 import { VirtualClock } from '../sim/virtual-clock.js';
 import type { Experiment, ExperimentFault, ExperimentRoute } from './experiment.js';
-import { buildFleet, ENGINE_SERVICE, zoneForIndex } from './model-fleet.js';
-import type { SimulatedBackend } from './model-fleet.js';
-import { CALLER_API_KEY, SimulatedCaller } from './model-caller.js';
-import type { CallerOutcome, RequestParameters } from './model-caller.js';
-import { SimulatedGateway } from './model-gateway.js';
-import { addOutcome, emptyTotals } from './model-value.js';
-import type { OutcomeTotals } from './model-value.js';
+import { buildFleet, ENGINE_SERVICE, zoneForIndex } from './simulated-fleet.js';
+import type { SimulatedBackend } from './simulated-fleet.js';
+import { CALLER_API_KEY, SimulatedCaller } from './simulated-caller.js';
+import type { CallerOutcome, RequestParameters } from './simulated-caller.js';
+import { SimulatedGateway } from './simulated-gateway.js';
+import { addOutcome, emptyTotals } from './outcome-totals.js';
+import type { OutcomeTotals } from './outcome-totals.js';
 
 /** Sample of the slot usage, taken once per second; printed as JSON. */
 export interface SlotUsageSample {
--- a/src/model/model-agent.ts
+++ b/src/experiment/simulated-agent.ts
@@ -4,9 +4,9 @@
  */
 import type { Clock } from '../clock.js';
 import { DEFAULT_SLOT_AGENT_OPTIONS } from '../slot-agent/slot-agent-role.js';
-import type { GatewayTimeoutOptions } from '../slot-agent/gateway-account.js';
-import type { EngineProbeResult } from '../slot-agent/engine-watch.js';
-import { SlotAllocator } from '../slot-agent/slot-ledger.js';
+import type { GatewayTimeoutOptions } from '../slot-agent/gateway-session.js';
+import type { EngineProbeResult } from '../slot-agent/engine-health.js';
+import { SlotAllocator } from '../slot-agent/slot-allocator.js';
 import type { AgentSlotMessage, GatewaySlotMessage } from '../slot-agent/slot-messages.js';
 import type { BatchEngine } from './batch-engine.js';
 
--- a/src/model/engine-sender.ts
+++ b/src/experiment/simulated-backend-sender.ts
@@ -8,7 +8,7 @@
   OutgoingAttempt,
 } from '../gateway/attempt/attempt.js';
 import type { BatchJob } from './batch-engine.js';
-import type { SimulatedBackend } from './model-fleet.js';
+import type { SimulatedBackend } from './simulated-fleet.js';
 
 /** Request headers that carry the prompt length and the number of events to the engine. */
 export const SIZE_HEADERS = { promptTokens: 'prompt-tokens', events: 'events' } as const;
--- a/src/model/model-caller.ts
+++ b/src/experiment/simulated-caller.ts
@@ -2,10 +2,10 @@
 import type { Clock } from '../clock.js';
 import type { CallerReply } from '../gateway/attempt/attempt.js';
 import type { RandomSource } from '../random.js';
-import { SIZE_HEADERS, readHeader } from './engine-sender.js';
+import { SIZE_HEADERS, readHeader } from './simulated-backend-sender.js';
 import type { ExperimentRoute } from './experiment.js';
-import { RETRY_AFTER_HEADER } from './model-gateway.js';
-import type { SimulatedGateway } from './model-gateway.js';
+import { RETRY_AFTER_HEADER } from './simulated-gateway.js';
+import type { SimulatedGateway } from './simulated-gateway.js';
 
 /** How a request ended for its caller. */
 export interface CallerOutcome {
--- a/src/model/model-fleet.ts
+++ b/src/experiment/simulated-fleet.ts
@@ -2,11 +2,11 @@
 import { NO_EPOCH } from '../cluster/store-position.js';
 import type { Clock } from '../clock.js';
 import type { RandomSource } from '../random.js';
-import type { GatewayTimeoutOptions } from '../slot-agent/gateway-account.js';
+import type { GatewayTimeoutOptions } from '../slot-agent/gateway-session.js';
 import type { Backend } from '../routing/backend.js';
 import { BatchEngine } from './batch-engine.js';
 import type { Experiment } from './experiment.js';
-import { SimulatedAgent } from './model-agent.js';
+import { SimulatedAgent } from './simulated-agent.js';
 
 /** Service that all engines belong to. */
 export const ENGINE_SERVICE = 'engines';
--- a/src/model/model-gateway.ts
+++ b/src/experiment/simulated-gateway.ts
@@ -15,14 +15,14 @@
 import { sendRefusal } from '../gateway/admission/send-refusal.js';
 import { NO_STATEMENT } from '../gateway/statements/backend-statement.js';
 import { BackendDirectory } from '../gateway/dispatch/backend-directory.js';
-import { ColdStartLimiter } from '../gateway/dispatch/cold-starts.js';
+import { ColdStartLimiter } from '../gateway/dispatch/cold-start-limiter.js';
 import { Dispatcher } from '../gateway/dispatch/dispatcher.js';
 import type { RandomSource } from '../random.js';
 import type { OperatorRules } from '../routing/backend-restriction.js';
 import type { RoutingTable } from '../routing/routing-table.js';
 import type { AgentSlotMessage, GatewaySlotMessage } from '../slot-agent/slot-messages.js';
-import { SimulatedBackendSender, NOT_EXECUTED_HEADER } from './engine-sender.js';
-import type { SimulatedBackend } from './model-fleet.js';
+import { SimulatedBackendSender, NOT_EXECUTED_HEADER } from './simulated-backend-sender.js';
+import type { SimulatedBackend } from './simulated-fleet.js';
 
 /** Dependencies of a simulated gateway. */
 export interface SimulatedGatewayDependencies {
--- a/src/gateway/configuration-in-force.ts
+++ b/src/gateway/active-configuration.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../clock.js';
 import { DEFAULT_CALLER_LIMITS } from '../routing/configuration.js';
 import type { CallerLimits, RoutingConfiguration, Service } from '../routing/configuration.js';
-import type { RegionRestrictions } from '../routing/named-homes.js';
+import type { RegionRestrictions } from '../routing/region-restrictions.js';
 import type { ColdStartSettings } from '../slot-agent/slot-messages.js';
 import { RoutingTable } from '../routing/routing-table.js';
 
--- a/src/gateway/admission/caller-listener.ts
+++ b/src/gateway/admission/caller-listener.ts
@@ -4,7 +4,7 @@
 import type { Socket } from 'node:net';
 import type { CallerLimits } from '../../routing/configuration.js';
 import type { CallerReply } from '../attempt/attempt.js';
-import { CallerDisconnectWatcher } from './caller-departure.js';
+import { CallerDisconnectWatcher } from './caller-disconnect-watcher.js';
 import type { RawHeaders } from './caller-protocol.js';
 
 /** The head of a received request. */
--- a/src/gateway/admission/gateway-refusal.ts
+++ b/src/gateway/admission/gateway-refusal.ts
@@ -1,7 +1,7 @@
 /** Refusals: responses that the gateway generates itself. */
 
 import type { RequestFingerprint } from '../crashes/crash-tally.js';
-import type { RegionRefusalReason } from '../homes/home-refusal.js';
+import type { RegionRefusalReason } from '../regions/region-refusal.js';
 
 /** Why the gateway refuses a request. */
 export type GatewayRefusalReason =
--- a/src/gateway/admission/request-admission.ts
+++ b/src/gateway/admission/request-admission.ts
@@ -13,7 +13,7 @@
 import { DEFAULT_REQUEST_OPTIONS } from '../attempt/request-model.js';
 import type { AcceptedRequest } from '../attempt/accepted-request.js';
 import type { FingerprintedRequest } from '../crashes/request-fingerprint.js';
-import { FirstAttemptDeadlines } from './usual-deadline.js';
+import { FirstAttemptDeadlines } from './first-attempt-deadlines.js';
 
 /** A received request with its complete body. */
 export interface ReceivedRequest {
--- a/src/gateway/attempt/accepted-request.ts
+++ b/src/gateway/attempt/accepted-request.ts
@@ -1,7 +1,7 @@
 /** The request model after admission. */
 import type { AllowedRegions } from '../../routing/backend-restriction.js';
 import type { Route } from '../../routing/configuration.js';
-import type { RouteAndTenant } from '../../routing/named-homes.js';
+import type { RouteAndTenant } from '../../routing/region-restrictions.js';
 import type { RawHeaders } from '../admission/caller-protocol.js';
 
 /** A request that passed admission, with its complete body. */
--- a/src/gateway/attempt/http-backend-sender.ts
+++ b/src/gateway/attempt/http-backend-sender.ts
@@ -12,11 +12,11 @@
 import { splitAddress } from '../../address.js';
 import type { HostAndPort } from '../../address.js';
 import { SYSTEM_CLOCK } from '../../clock.js';
-import type { ConnectionCloseReason, ConnectionOpenReason } from './connection-causes.js';
-import { withContentLength } from './body-length.js';
-import { keepAliveTimeoutMs } from './granted-rest.js';
-import { KeepAliveAgent } from './guarded-agent.js';
-import { StallDetector } from './standstill-watch.js';
+import type { ConnectionCloseReason, ConnectionOpenReason } from './connection-reasons.js';
+import { withContentLength } from './content-length.js';
+import { keepAliveTimeoutMs } from './keep-alive-timeout.js';
+import { KeepAliveAgent } from './keep-alive-agent.js';
+import { StallDetector } from './stall-detector.js';
 
 /** Limits of the connections to backends. */
 export interface BackendSenderOptions {
--- a/src/gateway/attempt/guarded-agent.ts
+++ b/src/gateway/attempt/keep-alive-agent.ts
@@ -4,9 +4,12 @@
 import type { Socket } from 'node:net';
 import type { Duplex } from 'node:stream';
 import type { HostAndPort } from '../../address.js';
-import { ConnectionReasonTracker } from './connection-causes.js';
-import type { ConnectionOpenReason } from './connection-causes.js';
-import { DEFAULT_ADAPTIVE_IDLE_TIMEOUT_OPTIONS, AdaptiveIdleTimeout } from './rest-limit.js';
+import { ConnectionReasonTracker } from './connection-reasons.js';
+import type { ConnectionOpenReason } from './connection-reasons.js';
+import {
+  DEFAULT_ADAPTIVE_IDLE_TIMEOUT_OPTIONS,
+  AdaptiveIdleTimeout,
+} from './adaptive-idle-timeout.js';
 
 /** Limits of idle connections. */
 export interface IdleConnectionLimits {
--- a/src/gateway/attempt/refusal-pause.ts
+++ b/src/gateway/attempt/refusal-retry-after.ts
@@ -1,6 +1,6 @@
 /** Computes the Retry-After of a request that was not executed. */
 import type { GatewayRefusal } from '../admission/gateway-refusal.js';
-import { isRegionRefusal } from '../homes/home-refusal.js';
+import { isRegionRefusal } from '../regions/region-refusal.js';
 import type { RequestOptions } from './request-model.js';
 
 /** Inputs of the Retry-After computation. */
--- a/src/gateway/attempt/request-model.ts
+++ b/src/gateway/attempt/request-model.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../../clock.js';
 import type { RandomSource } from '../../random.js';
 import type { Backend } from '../../routing/backend.js';
-import type { Distance } from '../../routing/places.js';
+import type { Distance } from '../../routing/zone-topology.js';
 import type { Route } from '../../routing/configuration.js';
 import type { BackendDirectory } from '../dispatch/backend-directory.js';
 import type { RunCrashTracker } from '../crashes/crashing-requests.js';
--- a/src/gateway/attempt/request-wait.ts
+++ b/src/gateway/attempt/request-wait.ts
@@ -5,12 +5,12 @@
  */
 import type { TimerHandle } from '../../clock.js';
 import type { DispatchRequest } from '../dispatch/dispatch-request.js';
-import type { RegionRefusalReason } from '../homes/home-refusal.js';
+import type { RegionRefusalReason } from '../regions/region-refusal.js';
 import type { AcceptedRequest } from './accepted-request.js';
 import type { RequestOptions, RequestPorts } from './request-model.js';
 import { isRepeatable } from '../../routing/configuration.js';
-import { waitUtility } from './waiting-worth.js';
-import type { WaitEstimate } from './waiting-worth.js';
+import { waitUtility } from './wait-utility.js';
+import type { WaitEstimate } from './wait-utility.js';
 
 /** Progress of the response at the start of a wait. */
 export interface ResponseProgress {
--- a/src/gateway/attempt/answer-relay.ts
+++ b/src/gateway/attempt/response-relay.ts
@@ -7,7 +7,7 @@
  */
 import { endToEndHeaders } from '../admission/caller-protocol.js';
 import type { ResponseHead, AttemptHandle, CallerReply } from './attempt.js';
-import { EventStreamParser } from './event-stream.js';
+import { EventStreamParser } from './event-stream-parser.js';
 
 const MAX_BUFFERED_RESPONSE_BYTES = 256 * 1024;
 const MIN_HTTP_ERROR_STATUS = 400;
--- a/src/gateway/crashes/crash-looks.ts
+++ b/src/gateway/crashes/exit-prober.ts
@@ -8,7 +8,7 @@
  */
 import type { Clock } from '../../clock.js';
 import type { Backend } from '../../routing/backend.js';
-import type { PortState } from './port-look.js';
+import type { PortState } from './port-probe.js';
 
 /** Dependencies of the exit prober. */
 export interface ExitProberPorts {
--- a/src/gateway/dispatch/agent-homes.ts
+++ b/src/gateway/dispatch/agent-region-check.ts
@@ -6,8 +6,8 @@
  * checks the agent's report before it sends.
  */
 import type { AllowedRegions } from '../../routing/backend-restriction.js';
-import type { RouteAndTenant } from '../../routing/named-homes.js';
-import { isAccepted } from '../../routing/place-matching.js';
+import type { RouteAndTenant } from '../../routing/region-restrictions.js';
+import { isAccepted } from '../../routing/label-matching.js';
 import type { AgentRegionInfo } from '../../slot-agent/slot-messages.js';
 
 /**
--- a/src/gateway/dispatch/backend-choice.ts
+++ b/src/gateway/dispatch/backend-cost.ts
@@ -2,7 +2,7 @@
 import type { DispatchRequest } from './dispatch-request.js';
 import type { EngineSpeed } from './engine-speed.js';
 import type { KnownBackend } from './known-backend.js';
-import type { MeanSpeed } from './usual-speed.js';
+import type { MeanSpeed } from './mean-speed.js';
 
 /** Weight of the time for the whole answer relative to the time to the first event. */
 const WHOLE_ANSWER_WEIGHT = 0.5;
--- a/src/gateway/dispatch/backend-directory.ts
+++ b/src/gateway/dispatch/backend-directory.ts
@@ -8,16 +8,20 @@
   RestrictionReason,
 } from '../../routing/backend-restriction.js';
 import type { Backend } from '../../routing/backend.js';
-import { pairHash } from '../../pair-share.js';
-import { distanceFrom, regionNameOf } from '../../routing/standpoint.js';
+import { pairHash } from '../../pair-hash.js';
+import { distanceFrom, regionNameOf } from '../../routing/locality.js';
 import type { BackendCondition } from '../statements/backend-condition.js';
 import { selectSubset, DEFAULT_ENGINE_SUBSET_OPTIONS } from './engine-subset.js';
 import type { EngineSubsetOptions, SubsetOwner } from './engine-subset.js';
 import { addHomeEngines } from './home-engines.js';
 import type { HomeRegions } from './home-engines.js';
 import { KnownBackend } from './known-backend.js';
-import { isRemoteRegion, regionAvailabilityOf, DEFAULT_REGION_AVAILABILITY } from './near-first.js';
-import type { RegionAvailability } from './near-first.js';
+import {
+  isRemoteRegion,
+  regionAvailabilityOf,
+  DEFAULT_REGION_AVAILABILITY,
+} from './region-fallback.js';
+import type { RegionAvailability } from './region-fallback.js';
 
 /** Dependencies of a directory. */
 export interface BackendDirectoryPorts extends OperatorRules {
--- a/src/gateway/dispatch/backend-chooser.ts
+++ b/src/gateway/dispatch/backend-picker.ts
@@ -2,19 +2,19 @@
 import { restrictionOf } from '../../routing/backend-restriction.js';
 import type { OperatorRules, RestrictionReason } from '../../routing/backend-restriction.js';
 import type { BackendDirectory } from './backend-directory.js';
-import type { RouteAndTenant } from '../../routing/named-homes.js';
-import { isOutsideAllowedRegions, isSameHomeOwner, requiresGrant } from './agent-homes.js';
-import { bindingCostMs, stallsOtherStreams } from './backend-choice.js';
-import type { ColdStartLimiter } from './cold-starts.js';
+import type { RouteAndTenant } from '../../routing/region-restrictions.js';
+import { isOutsideAllowedRegions, isSameHomeOwner, requiresGrant } from './agent-region-check.js';
+import { bindingCostMs, stallsOtherStreams } from './backend-cost.js';
+import type { ColdStartLimiter } from './cold-start-limiter.js';
 import type { DispatchRequest } from './dispatch-request.js';
 import { sendLimitPerS } from '../statements/send-limit.js';
 import type { SendRights } from '../statements/send-rights.js';
 import type { KnownBackend } from './known-backend.js';
-import { hasWaitedForLocalRegion, isRemoteRegion, isUsableLocally } from './near-first.js';
-import { selectReachable } from './path-choice.js';
-import { hasFreeCapacity } from './slot-room.js';
-import { MeanSpeedCache } from './usual-speed.js';
-import type { MeanSpeed } from './usual-speed.js';
+import { hasWaitedForLocalRegion, isRemoteRegion, isUsableLocally } from './region-fallback.js';
+import { selectReachable } from './path-filter.js';
+import { hasFreeCapacity } from './slot-capacity.js';
+import { MeanSpeedCache } from './mean-speed.js';
+import type { MeanSpeed } from './mean-speed.js';
 
 /** Dependencies of the backend selection. */
 export interface BackendPickerPorts extends OperatorRules {
--- a/src/gateway/dispatch/cold-share.ts
+++ b/src/gateway/dispatch/cold-start-share.ts
@@ -2,7 +2,7 @@
  * This gateway's share of the requests that gateways without an agent connection may send to a cold
  * backend; each computes its share without coordination.
  */
-import { pairHash } from '../../pair-share.js';
+import { pairHash } from '../../pair-hash.js';
 import { shareByRank } from '../../routing/cold-start.js';
 
 /** A gateway's view of its peers. */
--- a/src/gateway/dispatch/dispatch-request.ts
+++ b/src/gateway/dispatch/dispatch-request.ts
@@ -1,8 +1,8 @@
 /** The view of a request that the dispatcher works with. */
 import type { Backend } from '../../routing/backend.js';
 import type { AllowedRegions } from '../../routing/backend-restriction.js';
-import type { RouteAndTenant } from '../../routing/named-homes.js';
-import type { WaitingPriority } from '../../slot-agent/waiting-order.js';
+import type { RouteAndTenant } from '../../routing/region-restrictions.js';
+import type { WaitingPriority } from '../../slot-agent/waiting-priority.js';
 
 /** A request that needs a backend. */
 export interface DispatchRequest extends WaitingPriority {
--- a/src/gateway/dispatch/dispatcher.ts
+++ b/src/gateway/dispatch/dispatcher.ts
@@ -6,12 +6,12 @@
  * backends. An agent grants a slot as soon as one is free; the gateway then binds the request that
  * is first in the queue at that time.
  */
-import { BackendPicker } from './backend-chooser.js';
+import { BackendPicker } from './backend-picker.js';
 import type {
   BackendPickerOptions,
   BackendPickerPorts,
   PlacementConstraints,
-} from './backend-chooser.js';
+} from './backend-picker.js';
 import type { BackendDirectory } from './backend-directory.js';
 import type { Backend } from '../../routing/backend.js';
 import type { RestrictionReason } from '../../routing/backend-restriction.js';
@@ -21,15 +21,15 @@
   GatewaySlotMessage,
   SlotReleased,
 } from '../../slot-agent/slot-messages.js';
-import type { EngineAvailability } from '../../slot-agent/engine-watch.js';
+import type { EngineAvailability } from '../../slot-agent/engine-health.js';
 import type { AttemptOutcome } from './backend-health.js';
-import { regionRefusalOf } from '../homes/home-refusal.js';
-import type { RegionRefusalReason } from '../homes/home-refusal.js';
+import { regionRefusalOf } from '../regions/region-refusal.js';
+import type { RegionRefusalReason } from '../regions/region-refusal.js';
 import type { DispatchRequest } from './dispatch-request.js';
 import type { KnownBackend, SlotAgentLink } from './known-backend.js';
-import { hasWaitedForLocalRegion } from './near-first.js';
+import { hasWaitedForLocalRegion } from './region-fallback.js';
 import { nextDemand, UNSENT_DEMAND } from './slot-demand.js';
-import { homeFieldsOf } from './stated-homes.js';
+import { homeFieldsOf } from './home-fields.js';
 import { ServiceQueue } from './service-queue.js';
 
 /** Options of a dispatcher. */
--- a/src/gateway/dispatch/engine-subset.ts
+++ b/src/gateway/dispatch/engine-subset.ts
@@ -8,10 +8,10 @@
  * select independently, without coordination, and adding or removing one engine changes one
  * selection.
  */
-import { pairHash } from '../../pair-share.js';
-import type { Distance } from '../../routing/places.js';
-import { distanceFrom, regionNameOf } from '../../routing/standpoint.js';
-import type { Locality } from '../../routing/standpoint.js';
+import { pairHash } from '../../pair-hash.js';
+import type { Distance } from '../../routing/zone-topology.js';
+import { distanceFrom, regionNameOf } from '../../routing/locality.js';
+import type { Locality } from '../../routing/locality.js';
 
 /** The fields of an engine that the selection uses. */
 export interface SubsetEngine {
--- a/src/gateway/dispatch/home-engines.ts
+++ b/src/gateway/dispatch/home-engines.ts
@@ -1,5 +1,5 @@
 /** Extends a gateway's engine subset with engines of the home regions in the configuration. */
-import { pairHash } from '../../pair-share.js';
+import { pairHash } from '../../pair-hash.js';
 import type { SubsetEngine } from './engine-subset.js';
 
 /** Home regions in which a gateway needs engines. */
--- a/src/gateway/dispatch/known-backend.ts
+++ b/src/gateway/dispatch/known-backend.ts
@@ -1,9 +1,9 @@
 /** State that a gateway tracks for one backend: its announcement, health, speed and slots. */
 import type { Backend } from '../../routing/backend.js';
-import type { EngineAvailability } from '../../slot-agent/engine-watch.js';
+import type { EngineAvailability } from '../../slot-agent/engine-health.js';
 import type { GrantsOnlyReason } from '../../slot-agent/start-limiter.js';
 import { ColdStartTracker } from '../../routing/cold-start.js';
-import type { Distance } from '../../routing/places.js';
+import type { Distance } from '../../routing/zone-topology.js';
 import { RoundTripEstimate } from '../../round-trip.js';
 import type { AgentRegionInfo, SpeedEstimates } from '../../slot-agent/slot-messages.js';
 import { FailureEstimate } from '../../slot-agent/failure-estimate.js';
--- a/src/gateway/dispatch/service-queue.ts
+++ b/src/gateway/dispatch/service-queue.ts
@@ -1,6 +1,6 @@
 /** The queue of one service, with wait estimates. */
-import { isLate } from '../../slot-agent/waiting-order.js';
-import type { WaitingPriority } from '../../slot-agent/waiting-order.js';
+import { isLate } from '../../slot-agent/waiting-priority.js';
+import type { WaitingPriority } from '../../slot-agent/waiting-priority.js';
 import type { DispatchRequest } from './dispatch-request.js';
 import { SlotSupply } from './slot-supply.js';
 import { WaitingQueue } from './waiting-queue.js';
--- a/src/gateway/dispatch/slot-demand.ts
+++ b/src/gateway/dispatch/slot-demand.ts
@@ -1,9 +1,9 @@
 /** Builds the demand messages that list waiting requests to slot agents. */
 import type { SlotDemand, WaitingRank } from '../../slot-agent/slot-messages.js';
-import { homeFieldsOf } from './stated-homes.js';
+import { homeFieldsOf } from './home-fields.js';
 import type { DispatchRequest } from './dispatch-request.js';
 import type { KnownBackend, SlotAgentLink } from './known-backend.js';
-import { isRemoteRegion } from './near-first.js';
+import { isRemoteRegion } from './region-fallback.js';
 
 /** Inputs of a demand. */
 export interface DemandInputs {
--- a/src/gateway/dispatch/slot-supply.ts
+++ b/src/gateway/dispatch/slot-supply.ts
@@ -2,8 +2,8 @@
  * Estimates the rate at which a service supplies slots to this gateway while requests wait, and the
  * rate at which requests arrive; both determine the expected wait for a queue position.
  */
-import { effectiveRank } from '../../slot-agent/waiting-order.js';
-import type { WaitingPriority } from '../../slot-agent/waiting-order.js';
+import { effectiveRank } from '../../slot-agent/waiting-priority.js';
+import type { WaitingPriority } from '../../slot-agent/waiting-priority.js';
 import { DecayedSum } from '../../decayed-sum.js';
 
 /**
--- a/src/gateway/dispatch/waiting-queue.ts
+++ b/src/gateway/dispatch/waiting-queue.ts
@@ -1,6 +1,6 @@
 /** The waiting requests of one service, in order. */
-import { compareWaitingPriority } from '../../slot-agent/waiting-order.js';
-import type { WaitingPriority } from '../../slot-agent/waiting-order.js';
+import { compareWaitingPriority } from '../../slot-agent/waiting-priority.js';
+import type { WaitingPriority } from '../../slot-agent/waiting-priority.js';
 import type { DispatchRequest } from './dispatch-request.js';
 
 /** Queues the waiting requests of one service. */
--- a/src/gateway/gateway-backends.ts
+++ b/src/gateway/gateway-backends.ts
@@ -1,7 +1,7 @@
 /** Processes backend announcements: tracks incarnations, rejects unusable records and logs both. */
 import type { Clock } from '../clock.js';
 import type { StorePosition } from '../cluster/store-position.js';
-import { BackendIncarnations } from '../routing/backend-lives.js';
+import { BackendIncarnations } from '../routing/backend-incarnations.js';
 import type { Backend } from '../routing/backend.js';
 import type { DecodedBackend } from '../routing/decoded-record.js';
 import type { UnknownZones } from '../routing/unknown-zones.js';
--- a/src/gateway/gateway-cluster.ts
+++ b/src/gateway/gateway-cluster.ts
@@ -3,7 +3,7 @@
  * follower, the selection of gateways that read the store, and the peers.
  */
 import { splitAddress } from '../address.js';
-import { ReplicaAge } from '../cluster/knowledge-age.js';
+import { ReplicaAge } from '../cluster/replica-age.js';
 import { RecordExchange } from '../cluster/record-exchange.js';
 import { ReplicatedRecords } from '../cluster/replicated-records.js';
 import type {
@@ -12,7 +12,7 @@
   ReplicaProgress,
 } from '../cluster/replicated-records.js';
 import { isLater } from '../cluster/store-position.js';
-import { ReplicaEpochTracker } from '../cluster/store-epochs.js';
+import { ReplicaEpochTracker } from '../cluster/replica-epoch-tracker.js';
 import type { StorePosition } from '../cluster/store-position.js';
 import { StoreFollower } from '../cluster/store-follower.js';
 import type { PeerNetwork } from '../cluster/peer-network.js';
@@ -20,7 +20,7 @@
 import {
   DEFAULT_STORE_READER_SELECTOR_OPTIONS,
   StoreReaderSelector,
-} from '../cluster/store-readers.js';
+} from '../cluster/store-reader-selector.js';
 import type { Clock } from '../clock.js';
 import type { RandomSource } from '../random.js';
 import type { Rollouts } from '../rollout/rollouts.js';
@@ -28,7 +28,7 @@
 import type { PeerMessage } from '../cluster/peer-messages.js';
 import type { GatewayQuotas } from './gateway-quotas.js';
 import type { GatewaySettings } from './gateway-settings.js';
-import type { PeerView } from './dispatch/cold-share.js';
+import type { PeerView } from './dispatch/cold-start-share.js';
 import type { ConditionSnapshot } from './statements/backend-condition.js';
 import type { RequestCrashes } from './crashes/crash-tally.js';
 import { GatewayPeers } from './links/gateway-peers.js';
--- a/src/gateway/gateway-cold-starts.ts
+++ b/src/gateway/gateway-cold-starts.ts
@@ -6,10 +6,10 @@
 import { coldStartBound } from '../routing/cold-start.js';
 import type { ColdStartBound, ColdStartLimits, ColdPeriod } from '../routing/cold-start.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
-import type { ActiveConfiguration } from './configuration-in-force.js';
-import { coldStartShare } from './dispatch/cold-share.js';
-import type { PeerView } from './dispatch/cold-share.js';
-import { ColdStartLimiter } from './dispatch/cold-starts.js';
+import type { ActiveConfiguration } from './active-configuration.js';
+import { coldStartShare } from './dispatch/cold-start-share.js';
+import type { PeerView } from './dispatch/cold-start-share.js';
+import { ColdStartLimiter } from './dispatch/cold-start-limiter.js';
 import type { KnownBackend } from './dispatch/known-backend.js';
 import type { GatewayMetrics } from './metrics/gateway-metrics.js';
 
--- a/src/gateway/gateway-crashes.ts
+++ b/src/gateway/gateway-crashes.ts
@@ -5,14 +5,14 @@
 import type { Clock } from '../clock.js';
 import type { WeirvaleError } from '../request/errors.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
-import { ExitProber } from './crashes/crash-looks.js';
+import { ExitProber } from './crashes/exit-prober.js';
 import { CrashRecordWriter } from './crashes/crash-record.js';
 import type { CrashRecord } from './crashes/crash-record.js';
 import { encodeCrashRecord } from './crashes/crash-record-format.js';
 import type { RequestCrashes } from './crashes/crash-tally.js';
 import { CrashingRequests } from './crashes/crashing-requests.js';
 import type { ObservedCrash, TallySource } from './crashes/crashing-requests.js';
-import { probePort } from './crashes/port-look.js';
+import { probePort } from './crashes/port-probe.js';
 import type { BackendDirectory } from './dispatch/backend-directory.js';
 import type { GatewayAdapter } from './gateway-adapter.js';
 import type { GatewayMetrics } from './metrics/gateway-metrics.js';
--- a/src/gateway/gateway-evacuations.ts
+++ b/src/gateway/gateway-evacuations.ts
@@ -4,7 +4,7 @@
  */
 import type { Clock } from '../clock.js';
 import { isLater } from '../cluster/store-position.js';
-import type { ZoneTopology } from '../routing/places.js';
+import type { ZoneTopology } from '../routing/zone-topology.js';
 import { ZoneEvacuations } from '../routing/zone-evacuations.js';
 import type { EvacuationChange, KnownEvacuation } from '../routing/zone-evacuations.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
--- a/src/gateway/gateway-paths.ts
+++ b/src/gateway/gateway-paths.ts
@@ -5,8 +5,8 @@
 import type { HttpBackendSender } from './attempt/http-backend-sender.js';
 import type { BackendDirectory } from './dispatch/backend-directory.js';
 import type { SuspicionCause } from './dispatch/path-state.js';
-import { PathMonitor } from './dispatch/path-watch.js';
-import { afterPendingReads } from './links/arrivals-read.js';
+import { PathMonitor } from './dispatch/path-monitor.js';
+import { afterPendingReads } from './links/pending-reads.js';
 import type { SlotAgentLinks } from './links/slot-agent-links.js';
 
 /** Dependencies of `GatewayPaths`. */
--- a/src/gateway/gateway-quotas.ts
+++ b/src/gateway/gateway-quotas.ts
@@ -13,19 +13,19 @@
 import type { RandomSource } from '../random.js';
 import type { WeirvaleError } from '../request/errors.js';
 import type { TenantQuota } from '../routing/configuration.js';
-import type { ZoneTopology } from '../routing/places.js';
+import type { ZoneTopology } from '../routing/zone-topology.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { GatewayAdapter } from './gateway-adapter.js';
 import type { GatewaySettings } from './gateway-settings.js';
 import { grantKey, QuotaCharges } from './quotas/quota-charges.js';
-import type { Charge, ChargeResult } from './quotas/open-charge.js';
+import type { Charge, ChargeResult } from './quotas/pending-charge.js';
 import type { QuotaMember, QuotaMembersRecord } from './quotas/quota-members.js';
 import { encodeQuotaMembers } from './quotas/quota-members-format.js';
 import { QuotaMembersWriter } from './quotas/quota-members-writer.js';
 import type { MemberStatus } from './quotas/quota-members-writer.js';
 import { QuotaPools } from './quotas/quota-pools.js';
 import { QuotaRights } from './quotas/quota-rights.js';
-import type { BucketConfig } from './quotas/quota-terms.js';
+import type { BucketConfig } from './quotas/quota-budget.js';
 
 /** Dependencies of `GatewayQuotas`. */
 export interface GatewayQuotasDependencies {
--- a/src/gateway/links/gateway-peers.ts
+++ b/src/gateway/links/gateway-peers.ts
@@ -7,18 +7,22 @@
 import type { PeerHeartbeat, PeerHello, PeerMessage } from '../../cluster/peer-messages.js';
 import type { PeerNetwork } from '../../cluster/peer-network.js';
 import type { RecordExchange } from '../../cluster/record-exchange.js';
-import type { StoreReaderSelector } from '../../cluster/store-readers.js';
+import type { StoreReaderSelector } from '../../cluster/store-reader-selector.js';
 import { isAheadOf, NO_PROGRESS } from '../../cluster/replicated-records.js';
 import type { ReplicaProgress, ReplicatedRecords } from '../../cluster/replicated-records.js';
 import type { Clock } from '../../clock.js';
 import type { RandomSource } from '../../random.js';
 import type { Rollouts } from '../../rollout/rollouts.js';
-import type { PeerView } from '../dispatch/cold-share.js';
+import type { PeerView } from '../dispatch/cold-start-share.js';
 import type { GatewayQuotas } from '../gateway-quotas.js';
-import type { GatewayConditions } from '../gateway-statements.js';
+import type { GatewayConditions } from '../gateway-conditions.js';
 import type { ConditionSnapshot } from '../statements/backend-condition.js';
 import type { RequestCrashes } from '../crashes/crash-tally.js';
-import { heartbeatTicks, IDLE_HEARTBEAT_TICKS, maxHeartbeatIntervalMs } from './beat-times.js';
+import {
+  heartbeatTicks,
+  IDLE_HEARTBEAT_TICKS,
+  maxHeartbeatIntervalMs,
+} from './heartbeat-intervals.js';
 
 /** Exchange of crash reports: how often requests have crashed back ends. */
 export interface CrashReportExchange {
--- a/src/gateway/quotas/quota-bucket.ts
+++ b/src/gateway/quotas/quota-bucket.ts
@@ -1,5 +1,5 @@
 /** A token bucket with refunds of recent, unused grants. */
-import type { BucketConfig } from './quota-terms.js';
+import type { BucketConfig } from './quota-budget.js';
 
 /**
  * Time during which a grant is refundable, in milliseconds: longer than a gateway takes to try the
--- a/src/gateway/quotas/quota-charges.ts
+++ b/src/gateway/quotas/quota-charges.ts
@@ -7,12 +7,12 @@
 import type { RandomSource } from '../../random.js';
 import type { TenantQuota } from '../../routing/configuration.js';
 import { QuotaBucket } from './quota-bucket.js';
-import { PendingCharge } from './open-charge.js';
-import type { Charge, ChargeResult } from './open-charge.js';
+import { PendingCharge } from './pending-charge.js';
+import type { Charge, ChargeResult } from './pending-charge.js';
 import type { RequestedCost, QuotaDecision, QuotaPools, QuotaRefusal } from './quota-pools.js';
 import type { QuotaRights } from './quota-rights.js';
-import { poolConfig, reserveConfig } from './quota-terms.js';
-import type { QuotaTolerance } from './quota-terms.js';
+import { poolConfig, reserveConfig } from './quota-budget.js';
+import type { QuotaTolerance } from './quota-budget.js';
 
 /** Dependencies of the charges. */
 export interface QuotaChargesPorts {
--- a/src/gateway/quotas/quota-members.ts
+++ b/src/gateway/quotas/quota-members.ts
@@ -10,7 +10,7 @@
 import { NO_POSITION } from '../../cluster/store-position.js';
 import type { StorePosition } from '../../cluster/store-position.js';
 import { pickByRendezvous } from '../../membership/rendezvous.js';
-import { MAX_POOLS } from './quota-terms.js';
+import { MAX_POOLS } from './quota-budget.js';
 
 /** A gateway that may hold quota rights. */
 export interface QuotaMember {
--- a/src/gateway/quotas/quota-pools.ts
+++ b/src/gateway/quotas/quota-pools.ts
@@ -2,8 +2,8 @@
 import { DecayedSum } from '../../decayed-sum.js';
 import type { TenantQuota } from '../../routing/configuration.js';
 import { QuotaBucket } from './quota-bucket.js';
-import { poolCredit, poolConfig } from './quota-terms.js';
-import type { BucketConfig, QuotaTolerance } from './quota-terms.js';
+import { poolCredit, poolConfig } from './quota-budget.js';
+import type { BucketConfig, QuotaTolerance } from './quota-budget.js';
 
 /** A holder's response to a quota request; sent as `grant` in `quota-answer`. */
 export type QuotaDecision =
--- a/src/gateway/homes/home-report.ts
+++ b/src/gateway/regions/region-report.ts
@@ -4,7 +4,7 @@
  */
 import type { RestrictionReason } from '../../routing/backend-restriction.js';
 import type { KnownBackend } from '../dispatch/known-backend.js';
-import type { RequestRegions } from './request-homes.js';
+import type { RequestRegions } from './request-regions.js';
 
 /** The configuration entry that restricts the regions of a request. */
 export type RegionSource = 'route' | 'tenant';
--- a/src/gateway/homes/request-homes.ts
+++ b/src/gateway/regions/request-regions.ts
@@ -7,12 +7,12 @@
  */
 import type { AcceptedRequest } from '../attempt/accepted-request.js';
 import type { AllowedRegions } from '../../routing/backend-restriction.js';
-import { intersectRegions } from '../../routing/named-homes.js';
+import { intersectRegions } from '../../routing/region-restrictions.js';
 import type {
   RouteAndTenant,
   RegionRestriction,
   RegionRestrictions,
-} from '../../routing/named-homes.js';
+} from '../../routing/region-restrictions.js';
 
 /** Allowed regions of one route or tenant over the lifetime of a request. */
 interface TrackedRegions {
--- a/src/gateway/statements/send-rights.ts
+++ b/src/gateway/statements/send-rights.ts
@@ -4,7 +4,7 @@
  */
 import type { Clock, TimerHandle } from '../../clock.js';
 import type { RandomSource } from '../../random.js';
-import { FallbackShare } from './own-share.js';
+import { FallbackShare } from './fallback-share.js';
 import { MAX_QUEUE_WAIT_MS } from './send-right-pools.js';
 import type { RightRequest, RequestPriority } from './send-right-pools.js';
 
--- a/src/policy/eligibility.ts
+++ b/src/policy/eligibility.ts
@@ -3,7 +3,7 @@
 import type { Conditions, EngineEntry } from './document.js';
 import { NAME_CONDITION } from './validate.js';
 import type { Labels, RequestAttributes } from '../request/request.js';
-import { matchesLabels } from '../routing/place-matching.js';
+import { matchesLabels } from '../routing/label-matching.js';
 import { LOWEST_TIER } from '../request/tier.js';
 import type { Tier } from '../request/tier.js';
 
--- a/src/rollout/service-rollout.ts
+++ b/src/rollout/service-rollout.ts
@@ -10,7 +10,7 @@
  */
 import { isLater, isSamePosition, positionOf } from '../cluster/store-position.js';
 import type { StorePosition } from '../cluster/store-position.js';
-import { pairHash } from '../pair-share.js';
+import { pairHash } from '../pair-hash.js';
 import { RolloutEvidence } from './rollout-evidence.js';
 import type { OutcomesByRoute } from './rollout-evidence.js';
 import type { RolloutOrder, RolloutState, RolloutStatus, VersionUse } from './rollout-order.js';
--- a/src/round-trip.ts
+++ b/src/round-trip.ts
@@ -1,5 +1,5 @@
 /** Round-trip time and cost of one link, estimated from samples that also include other delays. */
-import type { Distance } from './routing/places.js';
+import type { Distance } from './routing/zone-topology.js';
 
 /**
  * Round-trip time assumed for a link before the first sample, in milliseconds: halls of one campus
--- a/src/routing/backend-restriction.ts
+++ b/src/routing/backend-restriction.ts
@@ -7,7 +7,7 @@
  */
 import type { VersionUse } from '../rollout/rollout-order.js';
 import type { Backend } from './backend.js';
-import { isAccepted } from './place-matching.js';
+import { isAccepted } from './label-matching.js';
 
 /** Why a request may not be sent to a back end. */
 export type RestrictionReason =
--- a/src/routing/decoded-record.ts
+++ b/src/routing/decoded-record.ts
@@ -4,7 +4,7 @@
 import type { RolloutOrder, RolloutStatus } from '../rollout/rollout-order.js';
 import type { StoreRecord } from '../cluster/replicated-records.js';
 import type { StorePosition } from '../cluster/store-position.js';
-import type { Announcement } from './backend-lives.js';
+import type { Announcement } from './backend-incarnations.js';
 import type { RoutingConfiguration } from './configuration.js';
 import type { EvacuationChange } from './zone-evacuations.js';
 
--- a/src/routing/standpoint.ts
+++ b/src/routing/locality.ts
@@ -1,5 +1,5 @@
 /** The zone of a process, and its distance to other zones. */
-import type { Distance, ZoneTopology } from './places.js';
+import type { Distance, ZoneTopology } from './zone-topology.js';
 
 /** The location of a process. */
 export interface Locality {
--- a/src/routing/home-regions.ts
+++ b/src/routing/region-lists.ts
@@ -1,7 +1,7 @@
 /** Parses and checks the allowed regions in a configuration. */
 import { WeirvaleError } from '../request/errors.js';
 import type { RoutingConfiguration } from './configuration.js';
-import type { ZoneTopology } from './places.js';
+import type { ZoneTopology } from './zone-topology.js';
 
 /** A region list is malformed, or contains a region that the settings do not define. */
 export class InvalidRegionsError extends WeirvaleError {
--- a/src/routing/routing-table.ts
+++ b/src/routing/routing-table.ts
@@ -1,5 +1,5 @@
 /** Query: the route, tenant and service of a request under one configuration. */
-import { RegionRestrictions } from './named-homes.js';
+import { RegionRestrictions } from './region-restrictions.js';
 import type {
   Route,
   RoutingConfiguration,
--- a/src/routing/unknown-zones.ts
+++ b/src/routing/unknown-zones.ts
@@ -1,5 +1,5 @@
 /** Detects zones that back ends announce and the settings do not define; each is reported once. */
-import type { ZoneTopology } from './places.js';
+import type { ZoneTopology } from './zone-topology.js';
 
 /** The unknown zones reported so far. */
 export class UnknownZones {
--- a/src/server/caller-server.ts
+++ b/src/server/caller-server.ts
@@ -7,7 +7,7 @@
 import type { Refusal } from '../request/refusal.js';
 import { RequestIdGenerator } from '../request/request-id.js';
 import type { RequestId } from '../request/request-id.js';
-import { CallerResponseWriter, writeRefusal } from './caller-session.js';
+import { CallerResponseWriter, writeRefusal } from './caller-response-writer.js';
 import { parseCallerRequest } from './caller-request.js';
 import type { Settings } from './settings-schema.js';
 
--- a/src/server/daemon.ts
+++ b/src/server/daemon.ts
@@ -16,8 +16,8 @@
 import type { Result } from '../result.js';
 import { listen } from './listen.js';
 import type { ListenError } from './listen.js';
-import { createOperatorServer } from './operators-server.js';
-import { PlatformClient } from './platform-link.js';
+import { createOperatorServer } from './operator-server.js';
+import { PlatformClient } from './platform-client.js';
 import type { Settings } from './settings-schema.js';
 import { Telemetry } from './telemetry.js';
 
--- a/src/sim/checks/policy-in-force.ts
+++ b/src/sim/checks/active-policy.ts
@@ -5,7 +5,7 @@
  */
 import { parseHead, POLICY_HEAD_KEY } from '../../policy/store.js';
 import type { AcceptedChange, DispatchedRequest } from '../observations.js';
-import type { SimCluster } from '../world.js';
+import type { SimCluster } from '../sim-cluster.js';
 import type { Violation } from './violation.js';
 
 /** Time limit for applying an accepted change everywhere, in milliseconds; documented as 19 s. */
--- a/src/sim/checks/whole-answer.ts
+++ b/src/sim/checks/complete-response.ts
@@ -4,7 +4,7 @@
  * a refusal is sent immediately and does not wait for the deadline.
  */
 import type { CallerAttempt, Observations } from '../observations.js';
-import type { SimCluster } from '../world.js';
+import type { SimCluster } from '../sim-cluster.js';
 import type { Violation } from './violation.js';
 
 /** Longest time that a request may stay pending after its deadline, in milliseconds. */
--- a/src/sim/checks/tier-order.ts
+++ b/src/sim/checks/tier-order.ts
@@ -2,7 +2,7 @@
  * Check `tier-order`: when a request is shed, no permitted engine that could have served it before
  * its deadline keeps running a request of a lower tier. A larger tier number is a lower tier.
  */
-import type { SimCluster } from '../world.js';
+import type { SimCluster } from '../sim-cluster.js';
 import type { CallerAttempt, ShedSnapshot } from '../observations.js';
 import type { BackendProfile } from '../deployment.js';
 import type { Violation } from './violation.js';
--- a/src/sim/inject-fault.ts
+++ b/src/sim/inject-fault.ts
@@ -3,7 +3,7 @@
 import type { NetworkPartition } from './sim-network.js';
 import type { SimAgent } from './sim-agent.js';
 import type { SimEntry } from './sim-entry.js';
-import type { SimCluster } from './world.js';
+import type { SimCluster } from './sim-cluster.js';
 
 type FaultInjector = (cluster: SimCluster, fault: Fault) => void;
 
--- a/src/sim/model-check.ts
+++ b/src/sim/model-check.ts
@@ -7,8 +7,8 @@
  * is copied.
  */
 import type { PolicyDocument } from '../policy/document.js';
-import { CASE_FAULTS, ModelCheckRun } from './small-world.js';
-import type { ModelCheckCase, ModelCheckHooks, ModelCheckResult } from './small-world.js';
+import { CASE_FAULTS, ModelCheckRun } from './model-check-run.js';
+import type { ModelCheckCase, ModelCheckHooks, ModelCheckResult } from './model-check-run.js';
 
 /**
  * Runs every combination of a fault before one of the first `steps` steps and a reordered delivery
--- a/src/sim/sim-backend.ts
+++ b/src/sim/sim-backend.ts
@@ -1,7 +1,7 @@
 /** The simulated backend of an agent; records the requests that are dispatched to it. */
 import type { EngineEvent } from '../agent/agent-events.js';
 import type { BindMessage } from '../protocol/messages.js';
-import { serviceResponse } from '../standin/answer-text.js';
+import { serviceResponse } from '../standin/response-text.js';
 import { EngineModel } from '../standin/engine-model.js';
 import type { BackendProfile } from './deployment.js';
 import type { DispatchedRequest, Observations } from './observations.js';
--- a/src/sim/sim-callers.ts
+++ b/src/sim/sim-callers.ts
@@ -6,7 +6,7 @@
 import { randomInteger } from '../random.js';
 import type { Refusal } from '../request/refusal.js';
 import { hashPromptPrefix } from '../request/prompt.js';
-import { responseText, serviceResponse } from '../standin/answer-text.js';
+import { responseText, serviceResponse } from '../standin/response-text.js';
 import type { Deployment, RequestClass } from './deployment.js';
 import type { CallerAttempt, Observations } from './observations.js';
 import type { CallerCallbacks, SimEntry } from './sim-entry.js';
--- a/src/sim/simulate.ts
+++ b/src/sim/simulate.ts
@@ -3,18 +3,18 @@
  */
 import * as fc from 'fast-check';
 import { checkDispatchedOnce } from './checks/dispatched-once.js';
-import { checkGracefulShutdown } from './checks/leaving.js';
-import { checkActivePolicy } from './checks/policy-in-force.js';
+import { checkGracefulShutdown } from './checks/graceful-shutdown.js';
+import { checkActivePolicy } from './checks/active-policy.js';
 import { checkTierOrder } from './checks/tier-order.js';
-import { checkRefusedNotRun } from './checks/told-not-run.js';
+import { checkRefusedNotRun } from './checks/refused-not-run.js';
 import type { Violation } from './checks/violation.js';
-import { checkCompleteResponse } from './checks/whole-answer.js';
+import { checkCompleteResponse } from './checks/complete-response.js';
 import { faultScheduleArbitrary } from './fault.js';
 import type { Fault, FaultKind } from './fault.js';
 import { scheduleFaults } from './inject-fault.js';
 import type { CallerAttempt } from './observations.js';
-import { SimCluster } from './world.js';
-import type { SimClusterOptions } from './world.js';
+import { SimCluster } from './sim-cluster.js';
+import type { SimClusterOptions } from './sim-cluster.js';
 
 /** Options of a simulation. */
 export interface SimulationOptions extends SimClusterOptions {
--- a/src/slot-agent/engine-look.ts
+++ b/src/slot-agent/engine-probe.ts
@@ -2,7 +2,7 @@
 import { Agent } from 'node:http';
 import { callJson } from '../cluster/json-call.js';
 import type { JsonCall } from '../cluster/json-call.js';
-import type { EngineProbeResult } from './engine-watch.js';
+import type { EngineProbeResult } from './engine-health.js';
 import type { EngineProbe } from './slot-agent-role.js';
 
 /** Timeout of a probe, in milliseconds; an engine on the same machine responds within a few. */
--- a/src/slot-agent/engine-knowledge.ts
+++ b/src/slot-agent/engine-replica-view.ts
@@ -4,16 +4,16 @@
  * requests gateways may send to the engine.
  */
 import { isLater, NO_POSITION } from '../cluster/store-position.js';
-import { BackendIncarnations } from '../routing/backend-lives.js';
+import { BackendIncarnations } from '../routing/backend-incarnations.js';
 import type { Backend } from '../routing/backend.js';
 import { restrictionOf } from '../routing/backend-restriction.js';
 import type { AllowedRegions, RestrictionReason } from '../routing/backend-restriction.js';
 import type { RoutingConfiguration, Service } from '../routing/configuration.js';
 import type { DecodedRecord } from '../routing/decoded-record.js';
-import { findUnknownRegion } from '../routing/home-regions.js';
-import { RegionRestrictions, intersectRegions } from '../routing/named-homes.js';
-import type { RouteAndTenant } from '../routing/named-homes.js';
-import type { ZoneTopology } from '../routing/places.js';
+import { findUnknownRegion } from '../routing/region-lists.js';
+import { RegionRestrictions, intersectRegions } from '../routing/region-restrictions.js';
+import type { RouteAndTenant } from '../routing/region-restrictions.js';
+import type { ZoneTopology } from '../routing/zone-topology.js';
 import type { AgentRegionInfo } from './slot-messages.js';
 import { ZoneEvacuations } from '../routing/zone-evacuations.js';
 
--- a/src/slot-agent/gateway-account.ts
+++ b/src/slot-agent/gateway-session.ts
@@ -2,11 +2,11 @@
  * State of one connected gateway: its slots, its waiting requests and the time of its last message.
  */
 import type { RegionConstraints, WaitingRank } from './slot-messages.js';
-import type { RouteAndTenant } from '../routing/named-homes.js';
+import type { RouteAndTenant } from '../routing/region-restrictions.js';
 import type { AllowedRegions } from '../routing/backend-restriction.js';
-import type { Distance } from '../routing/places.js';
+import type { Distance } from '../routing/zone-topology.js';
 import { RoundTripEstimate } from '../round-trip.js';
-import type { WaitingPriority } from './waiting-order.js';
+import type { WaitingPriority } from './waiting-priority.js';
 
 /** Timeouts for messages from gateways, in milliseconds. */
 export interface GatewayTimeoutOptions {
--- a/src/slot-agent/slot-agent-role.ts
+++ b/src/slot-agent/slot-agent-role.ts
@@ -14,20 +14,20 @@
 import type { Clock, TimerHandle } from '../clock.js';
 import type { DecodeRecord } from '../routing/decoded-record.js';
 import type { ColdStartLimits } from '../routing/cold-start.js';
-import { createOwnerComparator } from '../routing/owner-counts.js';
-import type { ZoneTopology } from '../routing/places.js';
-import { distanceFrom } from '../routing/standpoint.js';
+import { createOwnerComparator } from '../routing/owner-counters.js';
+import type { ZoneTopology } from '../routing/zone-topology.js';
+import { distanceFrom } from '../routing/locality.js';
 import { MessageChannel } from '../protocol/message-channel.js';
 import type { RandomSource } from '../random.js';
 import type { DecisionLog } from '../telemetry/decision-log.js';
 import type { SlotAgentMetrics } from './slot-agent-metrics.js';
-import type { ClosedCause, EngineAvailability, EngineProbeResult } from './engine-watch.js';
-import { EngineColdStart } from './engine-coldness.js';
-import { EngineReplicaView } from './engine-knowledge.js';
-import type { EngineLocation } from './engine-knowledge.js';
-import type { ForbiddenTake } from './slot-ledger.js';
-import { DEFAULT_GATEWAY_TIMEOUT_OPTIONS } from './gateway-account.js';
-import { SlotAllocator } from './slot-ledger.js';
+import type { ClosedCause, EngineAvailability, EngineProbeResult } from './engine-health.js';
+import { EngineColdStart } from './engine-cold-start.js';
+import { EngineReplicaView } from './engine-replica-view.js';
+import type { EngineLocation } from './engine-replica-view.js';
+import type { ForbiddenTake } from './slot-allocator.js';
+import { DEFAULT_GATEWAY_TIMEOUT_OPTIONS } from './gateway-session.js';
+import { SlotAllocator } from './slot-allocator.js';
 import type {
   AgentRefusal,
   AgentToGateway,
--- a/src/slot-agent/slot-ledger.ts
+++ b/src/slot-agent/slot-allocator.ts
@@ -8,13 +8,13 @@
  * report shows requests that no connected gateway accounts for.
  */
 import type { AllowedRegions, RestrictionReason } from '../routing/backend-restriction.js';
-import type { RouteAndTenant } from '../routing/named-homes.js';
-import type { Distance } from '../routing/places.js';
-import { EngineHealth } from './engine-watch.js';
-import type { ClosedCause, EngineAvailability, EngineProbeResult } from './engine-watch.js';
+import type { RouteAndTenant } from '../routing/region-restrictions.js';
+import type { Distance } from '../routing/zone-topology.js';
+import { EngineHealth } from './engine-health.js';
+import type { ClosedCause, EngineAvailability, EngineProbeResult } from './engine-health.js';
 import { FailureEstimate } from './failure-estimate.js';
-import { DEFAULT_GATEWAY_TIMEOUT_OPTIONS, GatewaySession, regionsOf } from './gateway-account.js';
-import type { GatewayTimeoutOptions, WaitingRequest } from './gateway-account.js';
+import { DEFAULT_GATEWAY_TIMEOUT_OPTIONS, GatewaySession, regionsOf } from './gateway-session.js';
+import type { GatewayTimeoutOptions, WaitingRequest } from './gateway-session.js';
 import type { SlotAgentSnapshot } from './slot-agent-instruments.js';
 import type {
   AgentRegionInfo,
@@ -25,11 +25,11 @@
   SlotTaken,
   RegionConstraints,
 } from './slot-messages.js';
-import { NoResponseReports } from './silence-reports.js';
-import { SlotStatePublisher } from './slot-teller.js';
+import { NoResponseReports } from './no-response-reports.js';
+import { SlotStatePublisher } from './slot-state-publisher.js';
 import { StartLimiter } from './start-limiter.js';
 import type { GrantsOnlyReason, StartRules } from './start-limiter.js';
-import { compareWaitingPriority } from './waiting-order.js';
+import { compareWaitingPriority } from './waiting-priority.js';
 
 /**
  * Report that a gateway took a slot for a request that operators' restrictions forbid at the back
--- a/src/slot-agent/slot-messages.ts
+++ b/src/slot-agent/slot-messages.ts
@@ -1,7 +1,7 @@
 /** Messages between gateways and slot agents. */
 import type { Service } from '../routing/configuration.js';
-import type { EngineAvailability } from './engine-watch.js';
-import type { RouteAndTenant } from '../routing/named-homes.js';
+import type { EngineAvailability } from './engine-health.js';
+import type { RouteAndTenant } from '../routing/region-restrictions.js';
 import type { GrantsOnlyReason } from './start-limiter.js';
 import type {
   RecordsResponse,
--- a/src/slot-agent/slot-teller.ts
+++ b/src/slot-agent/slot-state-publisher.ts
@@ -1,5 +1,5 @@
 /** Decides when an agent sends state messages to its gateways, without I/O. */
-import type { GatewaySession } from './gateway-account.js';
+import type { GatewaySession } from './gateway-session.js';
 
 /** Slot counts of the engine. */
 export interface SlotCounts {
--- a/src/slot-agent/start-limiter.ts
+++ b/src/slot-agent/start-limiter.ts
@@ -8,7 +8,7 @@
 import type { ColdStartBound } from '../routing/cold-start.js';
 import { START_WINDOW_MS, StartWindow } from './start-window.js';
 import type { Start } from './start-window.js';
-import { WarmStartLimit } from './warm-ceiling.js';
+import { WarmStartLimit } from './warm-start-limit.js';
 
 /** Limits on starting requests at the engine now. */
 export interface StartRules {
--- a/src/standin/engine-model.ts
+++ b/src/standin/engine-model.ts
@@ -3,7 +3,7 @@
  * pause, resume and cancel of jobs, and a delayed load report.
  */
 import type { Clock, TimerHandle } from '../clock.js';
-import { responseTokenCount, responseTokens } from './answer-text.js';
+import { responseTokenCount, responseTokens } from './response-text.js';
 
 /** Speed and capacity of a simulated engine. */
 export interface EngineModelOptions {
--- a/src/standin/engine-server.ts
+++ b/src/standin/engine-server.ts
@@ -6,7 +6,7 @@
 import { estimateTokens, hashPromptPrefix, joinMessages } from '../request/prompt.js';
 import { EngineModel } from './engine-model.js';
 import type { EngineJobUsage, EngineModelOptions } from './engine-model.js';
-import { readText, writeJson } from './json-body.js';
+import { readText, writeJson } from './http-json.js';
 
 const chatSchema = z.object({
   model: z.string(),
--- a/src/standin/platform-server.ts
+++ b/src/standin/platform-server.ts
@@ -5,7 +5,7 @@
 import { SYSTEM_CLOCK } from '../clock.js';
 import { machineSchema } from '../membership/machine.js';
 import type { Machine } from '../membership/machine.js';
-import { readText, writeJson } from './json-body.js';
+import { readText, writeJson } from './http-json.js';
 import { KeyValueModel } from './key-value-model.js';
 
 const callSchema = z.discriminatedUnion('operation', [
--- a/src/standin/service-server.ts
+++ b/src/standin/service-server.ts
@@ -1,8 +1,8 @@
 /** Fake plain service over HTTP: responds after a delay and records the calls it executed. */
 import { createServer } from 'node:http';
 import type { Server } from 'node:http';
-import { serviceResponse } from './answer-text.js';
-import { readText, writeJson } from './json-body.js';
+import { serviceResponse } from './response-text.js';
+import { readText, writeJson } from './http-json.js';
 
 const HTTP_OK = 200;
 
--- a/src/telemetry/decision-log.ts
+++ b/src/telemetry/decision-log.ts
@@ -5,8 +5,8 @@
 import bunyan from 'bunyan';
 import type { Clock } from '../clock.js';
 import { BoundedOutput } from './bounded-output.js';
-import { LineRateLimiter } from './line-budget.js';
-import type { LinePriority } from './line-budget.js';
+import { LineRateLimiter } from './line-rate-limiter.js';
+import type { LinePriority } from './line-rate-limiter.js';
 
 /** Event names of all log lines; docs/LOGS.md describes each. */
 export const LOG_EVENTS = [
--- a/test/configuration-in-force.test.ts
+++ b/test/active-configuration.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { ActiveConfiguration } from '../src/gateway/configuration-in-force.js';
+import { ActiveConfiguration } from '../src/gateway/active-configuration.js';
 import { DEFAULT_CALLER_LIMITS } from '../src/routing/configuration.js';
 import type { RoutingConfiguration } from '../src/routing/configuration.js';
 import { VirtualClock } from '../src/sim/virtual-clock.js';
--- a/test/rest-limit.test.ts
+++ b/test/adaptive-idle-timeout.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { AdaptiveIdleTimeout } from '../src/gateway/attempt/rest-limit.js';
+import { AdaptiveIdleTimeout } from '../src/gateway/attempt/adaptive-idle-timeout.js';
 
 test('the idle timeout falls below an idle time that proved too long, and recovers over time', (t) => {
   const idleTimeout = new AdaptiveIdleTimeout({
--- a/test/homes-gateway.test.ts
+++ b/test/allowed-regions-gateway.test.ts
@@ -9,7 +9,7 @@
 import { SeededRandom } from '../src/random.js';
 import { DecisionLog } from '../src/telemetry/decision-log.js';
 import type { LogEvent, LogFields } from '../src/telemetry/decision-log.js';
-import { FakeStore, FakeBackend } from './support/platform-standin.js';
+import { FakeStore, FakeBackend } from './support/fake-platform.js';
 
 const HOST = '127.0.3.9';
 /** Ports of this file, on an address of its own, below the system's ephemeral range. */
--- a/test/homes.test.ts
+++ b/test/allowed-regions.test.ts
@@ -1,15 +1,15 @@
 import test from 'ava';
 import * as fc from 'fast-check';
-import { reportRegions, reportExcluded } from '../src/gateway/homes/home-report.js';
-import { RequestRegions } from '../src/gateway/homes/request-homes.js';
+import { reportRegions, reportExcluded } from '../src/gateway/regions/region-report.js';
+import { RequestRegions } from '../src/gateway/regions/request-regions.js';
 import { RequestAdmission } from '../src/gateway/admission/request-admission.js';
 import { addHomeEngines } from '../src/gateway/dispatch/home-engines.js';
 import { SeededRandom } from '../src/random.js';
 import { DEFAULT_CALLER_LIMITS } from '../src/routing/configuration.js';
 import type { Tenant } from '../src/routing/configuration.js';
-import { RegionRestrictions } from '../src/routing/named-homes.js';
+import { RegionRestrictions } from '../src/routing/region-restrictions.js';
 import { RoutingTable } from '../src/routing/routing-table.js';
-import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway-harness.js';
 
 const REGIONS = new Map([
   ['a1', 'a'],
--- a/test/backend-lives-random.test.ts
+++ b/test/backend-incarnations-random.test.ts
@@ -4,10 +4,10 @@
  */
 import test from 'ava';
 import { SeededRandom } from '../src/random.js';
-import { BackendIncarnations } from '../src/routing/backend-lives.js';
-import type { Announcement } from '../src/routing/backend-lives.js';
-import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
-import type { RecordedAttempt } from './support/gateway.js';
+import { BackendIncarnations } from '../src/routing/backend-incarnations.js';
+import type { Announcement } from '../src/routing/backend-incarnations.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway-harness.js';
+import type { RecordedAttempt } from './support/gateway-harness.js';
 
 const SEEDS = 200;
 const STEPS = 120;
--- a/test/backend-lives.test.ts
+++ b/test/backend-incarnations.test.ts
@@ -1,13 +1,13 @@
 import fc from 'fast-check';
 import test from 'ava';
 import { decodeRecord } from '../platform/record-formats.js';
-import { BackendIncarnations } from '../src/routing/backend-lives.js';
-import type { Announcement } from '../src/routing/backend-lives.js';
-import { EngineReplicaView } from '../src/slot-agent/engine-knowledge.js';
-import { ZoneTopology } from '../src/routing/places.js';
-import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
-import { SlotAllocatorHarness } from './support/played-agent.js';
-import { positionAt } from './support/positions.js';
+import { BackendIncarnations } from '../src/routing/backend-incarnations.js';
+import type { Announcement } from '../src/routing/backend-incarnations.js';
+import { EngineReplicaView } from '../src/slot-agent/engine-replica-view.js';
+import { ZoneTopology } from '../src/routing/zone-topology.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway-harness.js';
+import { SlotAllocatorHarness } from './support/slot-allocator-harness.js';
+import { positionAt } from './support/store-positions.js';
 
 const RESET = { mayHaveRun: true, isPortClosed: false, detail: 'reset' };
 const RECORD = {
--- a/test/backend-restriction.test.ts
+++ b/test/backend-restriction.test.ts
@@ -2,11 +2,11 @@
 import * as fc from 'fast-check';
 import { decodeRecord } from '../platform/record-formats.js';
 import { intersectRegionLists, restrictionOf } from '../src/routing/backend-restriction.js';
-import { ZoneTopology } from '../src/routing/places.js';
+import { ZoneTopology } from '../src/routing/zone-topology.js';
 import { ZoneEvacuations } from '../src/routing/zone-evacuations.js';
-import { EngineReplicaView } from '../src/slot-agent/engine-knowledge.js';
-import { backendOf, GatewayHarness } from './support/gateway.js';
-import { positionAt } from './support/positions.js';
+import { EngineReplicaView } from '../src/slot-agent/engine-replica-view.js';
+import { backendOf, GatewayHarness } from './support/gateway-harness.js';
+import { positionAt } from './support/store-positions.js';
 
 const PLACES = new ZoneTopology(
   new Map([
--- a/test/backend-sender.test.ts
+++ b/test/backend-sender.test.ts
@@ -5,9 +5,9 @@
 import test from 'ava';
 import { SYSTEM_CLOCK, sleep } from '../src/clock.js';
 import type { ResponseHead, AttemptFailure } from '../src/gateway/attempt/attempt.js';
-import { ConnectionReasonTracker } from '../src/gateway/attempt/connection-causes.js';
-import type { ConnectionOpenReason } from '../src/gateway/attempt/connection-causes.js';
-import { backendOf } from './support/gateway.js';
+import { ConnectionReasonTracker } from '../src/gateway/attempt/connection-reasons.js';
+import type { ConnectionOpenReason } from '../src/gateway/attempt/connection-reasons.js';
+import { backendOf } from './support/gateway-harness.js';
 import {
   DEFAULT_BACKEND_SENDER_OPTIONS,
   HttpBackendSender,
--- a/test/backend-statement.test.ts
+++ b/test/backend-statement.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { PLATFORM_PROTOCOL } from '../platform/header-names.js';
+import { PLATFORM_PROTOCOL } from '../platform/caller-protocol.js';
 import type { BackendStatement } from '../src/gateway/statements/backend-statement.js';
 
 function readStatementFrom(status: number, headers: Record<string, string>): BackendStatement {
--- a/test/cold-start.test.ts
+++ b/test/cold-start.test.ts
@@ -1,11 +1,11 @@
 import test from 'ava';
 import fc from 'fast-check';
-import { ColdStartLimiter } from '../src/gateway/dispatch/cold-starts.js';
-import { coldStartShare, PEER_VIEW_SETTLE_MS } from '../src/gateway/dispatch/cold-share.js';
+import { ColdStartLimiter } from '../src/gateway/dispatch/cold-start-limiter.js';
+import { coldStartShare, PEER_VIEW_SETTLE_MS } from '../src/gateway/dispatch/cold-start-share.js';
 import { ColdStartTracker, coldStartBound } from '../src/routing/cold-start.js';
 import type { AgentSlotMessage } from '../src/slot-agent/slot-messages.js';
 import { START_WINDOW_MS, StartWindow } from '../src/slot-agent/start-window.js';
-import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway-harness.js';
 
 const COLD_MS = 3_000;
 const BOUND = coldStartBound(
--- a/test/unconfirmed-refusals.test.ts
+++ b/test/configuration-confirmation-queue.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { ConfigurationConfirmationQueue } from '../src/gateway/admission/unconfirmed-refusals.js';
+import { ConfigurationConfirmationQueue } from '../src/gateway/admission/configuration-confirmation-queue.js';
 import { HeapClock } from './support/heap-clock.js';
 
 function startQueue(maxWaiting = 200) {
--- a/test/crash-record.test.ts
+++ b/test/crash-record.test.ts
@@ -11,7 +11,7 @@
 } from '../src/gateway/crashes/crash-record-format.js';
 import { err, ok } from '../src/result.js';
 import { VirtualClock } from '../src/sim/virtual-clock.js';
-import { positionAt } from './support/positions.js';
+import { positionAt } from './support/store-positions.js';
 import type { StorePosition } from '../src/cluster/store-position.js';
 
 const { maxAgeMs, maxRequests } = DEFAULT_CRASH_RECORD_OPTIONS;
--- a/test/crashing-request.test.ts
+++ b/test/crashing-request.test.ts
@@ -13,8 +13,8 @@
 import test from 'ava';
 import { request } from 'undici';
 import { fingerprintOf } from '../src/gateway/crashes/request-fingerprint.js';
-import { FakeStore, FakeBackend } from './support/platform-standin.js';
-import type { ReceivedRequest } from './support/platform-standin.js';
+import { FakeStore, FakeBackend } from './support/fake-platform.js';
+import type { ReceivedRequest } from './support/fake-platform.js';
 import { platformGateways } from './support/platform-gateway.js';
 import type { RunningGateway } from './support/platform-gateway.js';
 
--- a/test/crashing-requests-fleet.test.ts
+++ b/test/crashing-requests-fleet.test.ts
@@ -14,8 +14,8 @@
 import { SeededRandom } from '../src/random.js';
 import { err, ok } from '../src/result.js';
 import { VirtualClock } from '../src/sim/virtual-clock.js';
-import { backendOf, routeOf } from './support/gateway.js';
-import { positionAt } from './support/positions.js';
+import { backendOf, routeOf } from './support/gateway-harness.js';
+import { positionAt } from './support/store-positions.js';
 import type { StorePosition } from '../src/cluster/store-position.js';
 import type { CrashRecord } from '../src/gateway/crashes/crash-record.js';
 
--- a/test/crashing-requests.test.ts
+++ b/test/crashing-requests.test.ts
@@ -1,14 +1,14 @@
 import test from 'ava';
 import { RequestAdmission } from '../src/gateway/admission/request-admission.js';
 import type { AcceptedRequest } from '../src/gateway/attempt/accepted-request.js';
-import { InterruptedRuns } from '../src/gateway/crashes/broken-runs.js';
-import { ExitProber } from '../src/gateway/crashes/crash-looks.js';
+import { InterruptedRuns } from '../src/gateway/crashes/interrupted-runs.js';
+import { ExitProber } from '../src/gateway/crashes/exit-prober.js';
 import { CrashTable, DEFAULT_CRASH_TABLE_OPTIONS } from '../src/gateway/crashes/crash-table.js';
 import { SeededRandom } from '../src/random.js';
 import { DEFAULT_CALLER_LIMITS } from '../src/routing/configuration.js';
 import { RoutingTable } from '../src/routing/routing-table.js';
 import { VirtualClock } from '../src/sim/virtual-clock.js';
-import { backendOf, GatewayHarness, PLAIN_PROTOCOL, routeOf } from './support/gateway.js';
+import { backendOf, GatewayHarness, PLAIN_PROTOCOL, routeOf } from './support/gateway-harness.js';
 
 const RESET = { mayHaveRun: true, isPortClosed: false, detail: 'reset' };
 const REFUSED = { mayHaveRun: false, isPortClosed: true, detail: 'refused' };
--- a/test/daemon.test.ts
+++ b/test/daemon.test.ts
@@ -6,7 +6,7 @@
 import { FrameEncoder } from '../src/protocol/framing.js';
 import { createDaemonContext, Daemon } from '../src/server/daemon.js';
 import { EntryRole } from '../src/server/entry-role.js';
-import { responseText } from '../src/standin/answer-text.js';
+import { responseText } from '../src/standin/response-text.js';
 import { LocalSystem, LOOPBACK, waitUntil } from './support/local-system.js';
 import { SHOP_KEY, smallPolicy } from './support/policy.js';
 
--- a/test/dispatcher.test.ts
+++ b/test/dispatcher.test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
-import { pairHash } from '../src/pair-share.js';
+import { pairHash } from '../src/pair-hash.js';
 import { KnownBackend } from '../src/gateway/dispatch/known-backend.js';
-import { hasFreeCapacity } from '../src/gateway/dispatch/slot-room.js';
-import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
+import { hasFreeCapacity } from '../src/gateway/dispatch/slot-capacity.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway-harness.js';
 
 const SECOND = routeOf({ kind: 'unsafe', priority: 2, targetLatencyMs: 1_000 });
 const FIRST = routeOf({ kind: 'unsafe', priority: 0 });
--- a/test/engine-coldness.test.ts
+++ b/test/engine-cold-start.test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
 import type { Backend } from '../src/routing/backend.js';
 import type { Service } from '../src/routing/configuration.js';
-import { EngineColdStart } from '../src/slot-agent/engine-coldness.js';
-import { backendOf } from './support/gateway.js';
+import { EngineColdStart } from '../src/slot-agent/engine-cold-start.js';
+import { backendOf } from './support/gateway-harness.js';
 
 const COLD_MS = 3_000;
 const SERVICE: Service = {
--- a/test/engine-subset.test.ts
+++ b/test/engine-subset.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
 import { selectSubset } from '../src/gateway/dispatch/engine-subset.js';
 import type { SubsetEngine } from '../src/gateway/dispatch/engine-subset.js';
-import { pairHash } from '../src/pair-share.js';
-import { ZoneTopology } from '../src/routing/places.js';
-import { GatewayHarness, backendOf } from './support/gateway.js';
+import { pairHash } from '../src/pair-hash.js';
+import { ZoneTopology } from '../src/routing/zone-topology.js';
+import { GatewayHarness, backendOf } from './support/gateway-harness.js';
 
 function enginesOf(zones: number, perZone: number): SubsetEngine[] {
   return Array.from({ length: zones * perZone }, (_unused, index) => ({
--- a/test/event-stream.test.ts
+++ b/test/event-stream-parser.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import test from 'ava';
-import { EventStreamParser } from '../src/gateway/attempt/event-stream.js';
+import { EventStreamParser } from '../src/gateway/attempt/event-stream-parser.js';
 
 const STREAM = 'id: 1\ndata: a\n\nid: 2\ndata: b\n\ndata: no id\n\n';
 
--- a/test/experiment.test.ts
+++ b/test/experiment.test.ts
@@ -1,8 +1,8 @@
 import { readFileSync } from 'node:fs';
 import test from 'ava';
-import { parseExperiment } from '../src/model/experiment.js';
-import type { Experiment } from '../src/model/experiment.js';
-import { runExperiment } from '../src/model/run-experiment.js';
+import { parseExperiment } from '../src/experiment/experiment.js';
+import type { Experiment } from '../src/experiment/experiment.js';
+import { runExperiment } from '../src/experiment/run-experiment.js';
 
 const BURST = readFileSync('examples/experiments/burst.ini', 'utf8');
 
--- a/test/usual-deadline.test.ts
+++ b/test/first-attempt-deadlines.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { FirstAttemptDeadlines } from '../src/gateway/admission/usual-deadline.js';
+import { FirstAttemptDeadlines } from '../src/gateway/admission/first-attempt-deadlines.js';
 import { SeededRandom } from '../src/random.js';
 
 const LONGEST_MS = 8_000;
--- a/test/gateway-metrics.test.ts
+++ b/test/gateway-metrics.test.ts
@@ -5,7 +5,7 @@
 import { countBackends } from '../src/gateway/metrics/gateway-snapshot.js';
 import type { GatewaySnapshot } from '../src/gateway/metrics/gateway-snapshot.js';
 import { KnownBackend } from '../src/gateway/dispatch/known-backend.js';
-import { backendOf, GatewayHarness } from './support/gateway.js';
+import { backendOf, GatewayHarness } from './support/gateway-harness.js';
 
 const HOST = '127.0.4.9';
 const PORT = 28_900;
--- a/test/planned-stop.test.ts
+++ b/test/graceful-shutdown.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { GracefulShutdown } from '../src/gateway/planned-stop.js';
+import { GracefulShutdown } from '../src/gateway/graceful-shutdown.js';
 import { VirtualClock } from '../src/sim/virtual-clock.js';
 
 function world(active: number) {
--- a/test/homes-agent-socket.test.ts
+++ b/test/homes-agent-socket.test.ts
@@ -4,12 +4,12 @@
 import { SYSTEM_CLOCK } from '../src/clock.js';
 import { MessageChannel } from '../src/protocol/message-channel.js';
 import { SeededRandom } from '../src/random.js';
-import { ZoneTopology } from '../src/routing/places.js';
+import { ZoneTopology } from '../src/routing/zone-topology.js';
 import { SlotAgentMetrics } from '../src/slot-agent/slot-agent-metrics.js';
 import { SlotAgentRole } from '../src/slot-agent/slot-agent-role.js';
 import type { AgentToGateway, GatewayToAgent } from '../src/slot-agent/slot-messages.js';
 import { DecisionLog } from '../src/telemetry/decision-log.js';
-import { positionAt } from './support/positions.js';
+import { positionAt } from './support/store-positions.js';
 
 const HOST = '127.0.3.10';
 /** Port below the ephemeral range, on an address that only this file uses. */
--- a/test/homes-agent.test.ts
+++ b/test/homes-agent.test.ts
@@ -8,15 +8,15 @@
   findUnknownRegion,
   InvalidRegionsError,
   parseRegionList,
-} from '../src/routing/home-regions.js';
-import { RegionRestrictions } from '../src/routing/named-homes.js';
-import { ZoneTopology } from '../src/routing/places.js';
-import { EngineReplicaView } from '../src/slot-agent/engine-knowledge.js';
-import { SlotAllocator } from '../src/slot-agent/slot-ledger.js';
+} from '../src/routing/region-lists.js';
+import { RegionRestrictions } from '../src/routing/region-restrictions.js';
+import { ZoneTopology } from '../src/routing/zone-topology.js';
+import { EngineReplicaView } from '../src/slot-agent/engine-replica-view.js';
+import { SlotAllocator } from '../src/slot-agent/slot-allocator.js';
 import type { GatewaySlotMessage } from '../src/slot-agent/slot-messages.js';
-import type { ForbiddenTake } from '../src/slot-agent/slot-ledger.js';
-import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
-import { positionAt } from './support/positions.js';
+import type { ForbiddenTake } from '../src/slot-agent/slot-allocator.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway-harness.js';
+import { positionAt } from './support/store-positions.js';
 
 const PLACES = new ZoneTopology(
   new Map([
@@ -336,7 +336,7 @@
 /** Folders of modules that exchange messages with other processes. */
 const NETWORK_FOLDERS = ['src/cluster', 'src/slot-agent', 'src/gateway/links'];
 /** Modules that handle data of callers: headers, bodies, accepted requests. */
-const REQUEST_MODULES = /gateway\/(attempt|homes)\/|admission\/|gateway-requests/;
+const REQUEST_MODULES = /gateway\/(attempt|regions)\/|admission\/|gateway-requests/;
 
 test('modules that exchange messages with gateways and agents import no module that holds request data', (t) => {
   for (const folder of NETWORK_FOLDERS) {
--- a/test/logs.test.ts
+++ b/test/logs.test.ts
@@ -4,7 +4,7 @@
 import { join } from 'node:path';
 import test from 'ava';
 import { LOG_EVENTS } from '../src/telemetry/decision-log.js';
-import { LineRateLimiter } from '../src/telemetry/line-budget.js';
+import { LineRateLimiter } from '../src/telemetry/line-rate-limiter.js';
 
 test('docs/LOGS.md lists exactly the events in LOG_EVENTS', (t) => {
   const page = readFileSync('docs/LOGS.md', 'utf8');
--- a/test/lost-paths.test.ts
+++ b/test/lost-paths.test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
-import { PathMonitor } from '../src/gateway/dispatch/path-watch.js';
+import { PathMonitor } from '../src/gateway/dispatch/path-monitor.js';
 import type { SuspicionCause } from '../src/gateway/dispatch/path-state.js';
 import type { Route } from '../src/routing/configuration.js';
-import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway-harness.js';
 
 const UNSAFE = routeOf({ kind: 'unsafe', timeoutMs: 10_000, targetLatencyMs: 4_000 });
 const SAFE = routeOf({ kind: 'safe', timeoutMs: 10_000, targetLatencyMs: 4_000 });
--- a/test/open-answers.test.ts
+++ b/test/open-responses.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway-harness.js';
 
 /*
  * Guards against streams that the gateway cancels while their backend drains. A draining backend
--- a/test/platform-headers.test.ts
+++ b/test/platform-headers.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { PLATFORM_PROTOCOL } from '../platform/header-names.js';
+import { PLATFORM_PROTOCOL } from '../platform/caller-protocol.js';
 
 const FORGED = [
   'X-Weirvale-Hold',
--- a/test/platform-names.test.ts
+++ b/test/platform-isolation.test.ts
@@ -7,7 +7,7 @@
   /X-Weirvale-|op\/config|servers\/|\/-\/|WEIRVALE_SETTINGS|pathPrefix=|kv-(key|range|watch|txn|lease)|apiKeys['"]|gapAimMs|ratePerS['"]|coldRemainingMs/;
 /** Modules that make decisions; the adapter may import only interfaces, plumbing and roles. */
 const DECIDING_MODULES =
-  /gateway\/(\w+\/)?(dispatcher|proxied-request|retry-budget|backend-health)|quotas\/|slot-ledger|routing-table|policy\//;
+  /gateway\/(\w+\/)?(dispatcher|proxied-request|retry-budget|backend-health)|quotas\/|slot-allocator|routing-table|policy\//;
 
 function filesBelow(folder: string): string[] {
   return readdirSync(folder, { withFileTypes: true }).flatMap((entry) => {
--- a/test/platform-store.test.ts
+++ b/test/platform-store.test.ts
@@ -3,8 +3,8 @@
 import type { ExecutionContext } from 'ava';
 import { PlatformStore } from '../platform/store-client.js';
 import { StoreRestoredError, StoreUnavailableError } from '../src/cluster/cluster-store.js';
-import { FakeStore } from './support/platform-standin.js';
-import { positionAt } from './support/positions.js';
+import { FakeStore } from './support/fake-platform.js';
+import { positionAt } from './support/store-positions.js';
 
 const TIMEOUT_MS = 1_000;
 
--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -5,7 +5,7 @@
 import { PlatformStore } from '../platform/store-client.js';
 import { platformGateways } from './support/platform-gateway.js';
 import type { RunningGateway } from './support/platform-gateway.js';
-import { FakeStore, FakeBackend } from './support/platform-standin.js';
+import { FakeStore, FakeBackend } from './support/fake-platform.js';
 
 const HOST = '127.0.3.1';
 /** Ports below the ephemeral range, on an address that only this file uses, to avoid conflicts. */
--- a/test/policy-exchange.test.ts
+++ b/test/policy-synchronizer.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { PolicySynchronizer } from '../src/policy/exchange.js';
+import { PolicySynchronizer } from '../src/policy/policy-synchronizer.js';
 import { PolicyReplica } from '../src/policy/replica.js';
 
 /** Returns the targets of update requests while each peer reports generation 5 every 400 ms. */
--- a/test/proxied-request.test.ts
+++ b/test/proxied-request.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway-harness.js';
 
 const UNSAFE = routeOf({ kind: 'unsafe' });
 const STREAM = routeOf({ kind: 'stream', targetLatencyMs: 500 });
--- a/test/quota-pools.test.ts
+++ b/test/quota-pools.test.ts
@@ -12,8 +12,8 @@
   poolConfig,
   reserveConfig,
   maxPerWindow,
-} from '../src/gateway/quotas/quota-terms.js';
-import { positionAt } from './support/positions.js';
+} from '../src/gateway/quotas/quota-budget.js';
+import { positionAt } from './support/store-positions.js';
 
 const TOLERANCE = { overShare: 0.1, slack: 1_000, windowMs: 8_000 };
 const QUOTA = { ratePerS: 1_000, burst: 500, unit: 'tokens', plainTokens: 1 } as const;
--- a/test/record-exchange.test.ts
+++ b/test/record-exchange.test.ts
@@ -3,7 +3,7 @@
 import type { RecordsFetch } from '../src/cluster/record-exchange.js';
 import { ReplicatedRecords } from '../src/cluster/replicated-records.js';
 import { VirtualClock } from '../src/sim/virtual-clock.js';
-import { positionAt } from './support/positions.js';
+import { positionAt } from './support/store-positions.js';
 
 function startExchange(isStoreReachable: boolean) {
   const clock = new VirtualClock();
--- a/test/regions.test.ts
+++ b/test/regions.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
 import { RoundTripEstimate } from '../src/round-trip.js';
-import { ZoneTopology } from '../src/routing/places.js';
+import { ZoneTopology } from '../src/routing/zone-topology.js';
 import { UnknownZones } from '../src/routing/unknown-zones.js';
-import type { EngineAvailability } from '../src/slot-agent/engine-watch.js';
-import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
+import type { EngineAvailability } from '../src/slot-agent/engine-health.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway-harness.js';
 
 /** Extra cost of another region over the own zone: 16 - 0.5 for round trips, and 10 for bytes. */
 const REMOTE_EXTRA_COST_MS = 25.5;
--- a/test/replica.test.ts
+++ b/test/replica.test.ts
@@ -9,12 +9,12 @@
 import type { StoreRecord } from '../src/cluster/replicated-records.js';
 import { MessageChannel } from '../src/protocol/message-channel.js';
 import { SeededRandom } from '../src/random.js';
-import { ZoneTopology } from '../src/routing/places.js';
+import { ZoneTopology } from '../src/routing/zone-topology.js';
 import { SlotAgentMetrics } from '../src/slot-agent/slot-agent-metrics.js';
 import { SlotAgentRole } from '../src/slot-agent/slot-agent-role.js';
 import { DecisionLog } from '../src/telemetry/decision-log.js';
 import type { AgentToGateway, GatewayToAgent } from '../src/slot-agent/slot-messages.js';
-import { positionAt } from './support/positions.js';
+import { positionAt } from './support/store-positions.js';
 import { laterPosition, NO_POSITION } from '../src/cluster/store-position.js';
 import type { StorePosition } from '../src/cluster/store-position.js';
 
--- a/test/replicated-records.test.ts
+++ b/test/replicated-records.test.ts
@@ -3,7 +3,7 @@
 import { isLater } from '../src/cluster/store-position.js';
 import { ReplicatedRecords } from '../src/cluster/replicated-records.js';
 import type { StoreRecord } from '../src/cluster/replicated-records.js';
-import { positionAt } from './support/positions.js';
+import { positionAt } from './support/store-positions.js';
 
 function recordOf(key: string, revision: number, value: string | undefined = 'v'): StoreRecord {
   return { key, ...positionAt(revision), value };
--- a/test/request-fingerprint.test.ts
+++ b/test/request-fingerprint.test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
 import { fingerprintOf } from '../src/gateway/crashes/request-fingerprint.js';
 import type { FingerprintedRequest } from '../src/gateway/crashes/request-fingerprint.js';
-import { DEFAULT_ENGINE_HEALTH_OPTIONS, EngineHealth } from '../src/slot-agent/engine-watch.js';
-import { routeOf } from './support/gateway.js';
+import { DEFAULT_ENGINE_HEALTH_OPTIONS, EngineHealth } from '../src/slot-agent/engine-health.js';
+import { routeOf } from './support/gateway-harness.js';
 
 const REQUEST: FingerprintedRequest = {
   tenant: 'shop',
--- a/test/restored-replica.test.ts
+++ b/test/restored-replica.test.ts
@@ -4,7 +4,7 @@
 import { ReplicatedRecords } from '../src/cluster/replicated-records.js';
 import type { CompareOwnerVersions, StoreRecord } from '../src/cluster/replicated-records.js';
 import { isLater } from '../src/cluster/store-position.js';
-import { positionAt } from './support/positions.js';
+import { positionAt } from './support/store-positions.js';
 
 /** Values of versioned keys begin with the version number that their owner wrote. */
 const compareLeadingNumber: CompareOwnerVersions = (left, right) => {
--- a/test/restored-store-troubles.test.ts
+++ b/test/restored-store-faults.test.ts
@@ -6,8 +6,8 @@
 import type { ClusterStore, StoreRead } from '../src/cluster/cluster-store.js';
 import type { ReplicatedRecords } from '../src/cluster/replicated-records.js';
 import type { GatewayCluster } from '../src/gateway/gateway-cluster.js';
-import { runWithFaults } from './support/fleet-troubles.js';
-import type { FaultRunOptions } from './support/fleet-troubles.js';
+import { runWithFaults } from './support/fleet-faults.js';
+import type { FaultRunOptions } from './support/fleet-faults.js';
 
 const LENGTH_MS = 30_000;
 
--- a/test/restored-store-gateways.test.ts
+++ b/test/restored-store-gateways.test.ts
@@ -4,7 +4,7 @@
 import { request } from 'undici';
 import { platformGateways } from './support/platform-gateway.js';
 import type { RunningGateway } from './support/platform-gateway.js';
-import { FakeStore, FakeBackend } from './support/platform-standin.js';
+import { FakeStore, FakeBackend } from './support/fake-platform.js';
 
 const HOST = '127.0.3.31';
 const { start, untilReady } = platformGateways(HOST, 28_000);
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -8,10 +8,10 @@
 import { ServiceRollout } from '../src/rollout/service-rollout.js';
 import { VirtualClock } from '../src/sim/virtual-clock.js';
 import type { DecisionLog } from '../src/telemetry/decision-log.js';
-import { backendOf, GatewayHarness } from './support/gateway.js';
+import { backendOf, GatewayHarness } from './support/gateway-harness.js';
 import { RolloutFleet } from './support/rollout-fleet.js';
 import type { FleetFaults, RolloutRun, VersionBehaviour } from './support/rollout-fleet.js';
-import { positionAt } from './support/positions.js';
+import { positionAt } from './support/store-positions.js';
 import type { StorePosition } from '../src/cluster/store-position.js';
 import type { RolloutState } from '../src/rollout/rollout-order.js';
 
--- a/test/slot-agent-links.test.ts
+++ b/test/slot-agent-links.test.ts
@@ -8,11 +8,11 @@
   DEFAULT_SLOT_AGENT_LINK_OPTIONS,
   SlotAgentLinks,
 } from '../src/gateway/links/slot-agent-links.js';
-import { afterPendingReads } from '../src/gateway/links/arrivals-read.js';
+import { afterPendingReads } from '../src/gateway/links/pending-reads.js';
 import { MessageChannel } from '../src/protocol/message-channel.js';
 import type { AgentToGateway, GatewayToAgent } from '../src/slot-agent/slot-messages.js';
 import { LoopbackProxy } from '../bench/soak/loopback-proxy.js';
-import { backendOf, GatewayHarness } from './support/gateway.js';
+import { backendOf, GatewayHarness } from './support/gateway-harness.js';
 
 const HOST = '127.0.5.1';
 const SILENCE_MS = 150;
--- a/test/slot-agent-role.test.ts
+++ b/test/slot-agent-role.test.ts
@@ -4,13 +4,13 @@
 import { SYSTEM_CLOCK } from '../src/clock.js';
 import { MessageChannel } from '../src/protocol/message-channel.js';
 import { SeededRandom } from '../src/random.js';
-import { ZoneTopology } from '../src/routing/places.js';
+import { ZoneTopology } from '../src/routing/zone-topology.js';
 import { SlotAgentMetrics } from '../src/slot-agent/slot-agent-metrics.js';
 import { DEFAULT_SLOT_AGENT_OPTIONS, SlotAgentRole } from '../src/slot-agent/slot-agent-role.js';
 import type { AgentToGateway, GatewayToAgent } from '../src/slot-agent/slot-messages.js';
 import { DecisionLog } from '../src/telemetry/decision-log.js';
 import type { StorePosition } from '../src/cluster/store-position.js';
-import { positionAt } from './support/positions.js';
+import { positionAt } from './support/store-positions.js';
 
 const HOST = '127.0.3.4';
 /** Ports below the ephemeral range, on an address that only this file uses. */
--- a/test/slot-ledger-paths.test.ts
+++ b/test/slot-allocator-paths.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { SlotAllocatorHarness } from './support/played-agent.js';
+import { SlotAllocatorHarness } from './support/slot-allocator-harness.js';
 
 test('missing responses at one gateway only request probes, without stopping grants or raising the failure share', (t) => {
   const agent = new SlotAllocatorHarness();
--- a/test/slot-ledger-regions.test.ts
+++ b/test/slot-allocator-regions.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { SlotAllocatorHarness } from './support/played-agent.js';
+import { SlotAllocatorHarness } from './support/slot-allocator-harness.js';
 
 /** An agent whose only slot is taken, with a nearby gateway and one in another region. */
 function agentOverRegions(): SlotAllocatorHarness {
--- a/test/slot-ledger-starts.test.ts
+++ b/test/slot-allocator-starts.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import { coldStartBound } from '../src/routing/cold-start.js';
-import { SlotAllocatorHarness } from './support/played-agent.js';
+import { SlotAllocatorHarness } from './support/slot-allocator-harness.js';
 
 const BOUND = coldStartBound(
   { coldStartMs: 3_000, coldRequestsPerS: 3, isEngine: true },
--- a/test/slot-ledger.test.ts
+++ b/test/slot-allocator.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { SlotAllocatorHarness } from './support/played-agent.js';
+import { SlotAllocatorHarness } from './support/slot-allocator-harness.js';
 
 test('no more slots are granted than the engine has', (t) => {
   const agent = new SlotAllocatorHarness();
--- a/test/soak.test.ts
+++ b/test/soak.test.ts
@@ -8,9 +8,9 @@
   findViolations,
   runSoak,
 } from '../bench/soak/soak-run.js';
-import { findOutsideRegions } from '../bench/soak/soak-homes.js';
+import { findOutsideRegions } from '../bench/soak/soak-regions.js';
 import { findLateRoute } from '../bench/soak/soak-routes.js';
-import { isServable } from '../bench/soak/soak-owed.js';
+import { isServable } from '../bench/soak/soak-servable.js';
 import { findIgnoredStatements } from '../bench/soak/soak-statements.js';
 import type { SoakStatement } from '../bench/soak/soak-statements.js';
 import type { ObservedRequest } from '../bench/soak/soak-run.js';
--- a/test/statement-choices.test.ts
+++ b/test/statement-choices.test.ts
@@ -3,7 +3,7 @@
 import { NO_STATEMENT } from '../src/gateway/statements/backend-statement.js';
 import { DEFAULT_REQUEST_OPTIONS } from '../src/gateway/attempt/request-model.js';
 import { RequestWait } from '../src/gateway/attempt/request-wait.js';
-import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway-harness.js';
 
 /*
  * A backend's statement must be respected on every path by which a request is sent: the first
--- a/test/store-troubles.test.ts
+++ b/test/store-faults.test.ts
@@ -4,8 +4,8 @@
  */
 import test from 'ava';
 import type { GatewayCluster } from '../src/gateway/gateway-cluster.js';
-import { runWithFaults } from './support/fleet-troubles.js';
-import type { FaultRunOptions } from './support/fleet-troubles.js';
+import { runWithFaults } from './support/fleet-faults.js';
+import type { FaultRunOptions } from './support/fleet-faults.js';
 
 const LENGTH_MS = 30_000;
 
--- a/test/store-follower.test.ts
+++ b/test/store-follower.test.ts
@@ -8,7 +8,7 @@
 import { err, ok } from '../src/result.js';
 import type { Result } from '../src/result.js';
 import { VirtualClock } from '../src/sim/virtual-clock.js';
-import { positionAt } from './support/positions.js';
+import { positionAt } from './support/store-positions.js';
 import { NO_EPOCH, NO_POSITION } from '../src/cluster/store-position.js';
 import type { StorePosition } from '../src/cluster/store-position.js';
 
--- a/test/store-readers.test.ts
+++ b/test/store-reader-selector.test.ts
@@ -2,7 +2,7 @@
 import {
   DEFAULT_STORE_READER_SELECTOR_OPTIONS,
   StoreReaderSelector,
-} from '../src/cluster/store-readers.js';
+} from '../src/cluster/store-reader-selector.js';
 
 const HEARTBEAT_MS = 500;
 
--- a/test/support/cold-fleet.ts
+++ b/test/support/cold-fleet.ts
@@ -3,17 +3,17 @@
  * are slow, stall and break.
  */
 import { BackendDirectory } from '../../src/gateway/dispatch/backend-directory.js';
-import { coldStartShare } from '../../src/gateway/dispatch/cold-share.js';
-import { ColdStartLimiter } from '../../src/gateway/dispatch/cold-starts.js';
+import { coldStartShare } from '../../src/gateway/dispatch/cold-start-share.js';
+import { ColdStartLimiter } from '../../src/gateway/dispatch/cold-start-limiter.js';
 import { Dispatcher } from '../../src/gateway/dispatch/dispatcher.js';
 import type { DispatchRequest } from '../../src/gateway/dispatch/dispatch-request.js';
 import { randomInteger, SeededRandom } from '../../src/random.js';
 import { coldStartBound } from '../../src/routing/cold-start.js';
 import { VirtualClock } from '../../src/sim/virtual-clock.js';
-import { EngineColdStart } from '../../src/slot-agent/engine-coldness.js';
-import { SlotAllocator } from '../../src/slot-agent/slot-ledger.js';
+import { EngineColdStart } from '../../src/slot-agent/engine-cold-start.js';
+import { SlotAllocator } from '../../src/slot-agent/slot-allocator.js';
 import type { AgentSlotMessage, GatewaySlotMessage } from '../../src/slot-agent/slot-messages.js';
-import { backendOf } from './gateway.js';
+import { backendOf } from './gateway-harness.js';
 
 /** Faults injected into the limiter, which the check must detect. */
 export interface ColdFleetFault {
--- a/test/support/gateway.ts
+++ b/test/support/gateway-harness.ts
@@ -10,11 +10,11 @@
 import type { RequestCrashes } from '../../src/gateway/crashes/crash-tally.js';
 import { CrashingRequests } from '../../src/gateway/crashes/crashing-requests.js';
 import type { ObservedCrash } from '../../src/gateway/crashes/crashing-requests.js';
-import { ColdStartLimiter } from '../../src/gateway/dispatch/cold-starts.js';
+import { ColdStartLimiter } from '../../src/gateway/dispatch/cold-start-limiter.js';
 import { Dispatcher } from '../../src/gateway/dispatch/dispatcher.js';
 import type { DispatcherPorts } from '../../src/gateway/dispatch/dispatcher.js';
 import type { HomeRegions } from '../../src/gateway/dispatch/home-engines.js';
-import { withActiveRegions, RequestRegions } from '../../src/gateway/homes/request-homes.js';
+import { withActiveRegions, RequestRegions } from '../../src/gateway/regions/request-regions.js';
 import { ProxiedRequest } from '../../src/gateway/attempt/proxied-request.js';
 import { DEFAULT_REQUEST_OPTIONS } from '../../src/gateway/attempt/request-model.js';
 import type { AcceptedRequest } from '../../src/gateway/attempt/accepted-request.js';
@@ -32,11 +32,11 @@
 import type { RestrictionReason } from '../../src/routing/backend-restriction.js';
 import type { Backend } from '../../src/routing/backend.js';
 import type { Route } from '../../src/routing/configuration.js';
-import type { RegionRestrictions } from '../../src/routing/named-homes.js';
-import { ZoneTopology } from '../../src/routing/places.js';
+import type { RegionRestrictions } from '../../src/routing/region-restrictions.js';
+import { ZoneTopology } from '../../src/routing/zone-topology.js';
 import { VirtualClock } from '../../src/sim/virtual-clock.js';
 import type { GatewaySlotMessage } from '../../src/slot-agent/slot-messages.js';
-import { positionAt } from './positions.js';
+import { positionAt } from './store-positions.js';
 
 /** Returns a backend with default values. */
 export function backendOf(id: string, changes: Partial<Backend> = {}): Backend {
--- a/test/support/quota-fleet.ts
+++ b/test/support/quota-fleet.ts
@@ -7,22 +7,22 @@
 import { NO_PROGRESS } from '../../src/cluster/replicated-records.js';
 import { StoreConflictError, StoreUnavailableError } from '../../src/cluster/cluster-store.js';
 import { GatewayQuotas } from '../../src/gateway/gateway-quotas.js';
-import { GatewayConditions } from '../../src/gateway/gateway-statements.js';
+import { GatewayConditions } from '../../src/gateway/gateway-conditions.js';
 import type { GatewayMetrics } from '../../src/gateway/metrics/gateway-metrics.js';
 import type { GatewaySettings } from '../../src/gateway/gateway-settings.js';
 import type { QuotaMembersRecord } from '../../src/gateway/quotas/quota-members.js';
 import { decodeQuotaMembers } from '../../src/gateway/quotas/quota-members-format.js';
 import { NO_QUOTA_MEMBERS } from '../../src/gateway/quotas/quota-members.js';
 import type { QuotaRights } from '../../src/gateway/quotas/quota-rights.js';
-import { maxPerWindow } from '../../src/gateway/quotas/quota-terms.js';
+import { maxPerWindow } from '../../src/gateway/quotas/quota-budget.js';
 import { err, ok } from '../../src/result.js';
 import type { RandomSource } from '../../src/random.js';
 import { SeededRandom } from '../../src/random.js';
 import type { TenantQuota } from '../../src/routing/configuration.js';
-import { ZoneTopology } from '../../src/routing/places.js';
+import { ZoneTopology } from '../../src/routing/zone-topology.js';
 import type { DecisionLog } from '../../src/telemetry/decision-log.js';
 import { HeapClock } from './heap-clock.js';
-import { positionAt } from './positions.js';
+import { positionAt } from './store-positions.js';
 import { isNoPosition, isSamePosition } from '../../src/cluster/store-position.js';
 import type { StorePosition } from '../../src/cluster/store-position.js';
 
--- a/test/support/rollout-fleet.ts
+++ b/test/support/rollout-fleet.ts
@@ -5,8 +5,8 @@
 import { Rollouts } from '../../src/rollout/rollouts.js';
 import type { RolloutOrder, RolloutState, RolloutStatus } from '../../src/rollout/rollout-order.js';
 import { VirtualClock } from '../../src/sim/virtual-clock.js';
-import { backendOf } from './gateway.js';
-import { positionAt } from './positions.js';
+import { backendOf } from './gateway-harness.js';
+import { positionAt } from './store-positions.js';
 import type { StorePosition } from '../../src/cluster/store-position.js';
 
 /** Failure behaviour of the target version. */
--- a/test/support/played-agent.ts
+++ b/test/support/slot-allocator-harness.ts
@@ -2,8 +2,8 @@
  * Test harness for the slot allocator: injects messages of gateways and records the messages sent
  * to them.
  */
-import { SlotAllocator } from '../../src/slot-agent/slot-ledger.js';
-import type { ForbiddenTake, SlotAllocatorPorts } from '../../src/slot-agent/slot-ledger.js';
+import { SlotAllocator } from '../../src/slot-agent/slot-allocator.js';
+import type { ForbiddenTake, SlotAllocatorPorts } from '../../src/slot-agent/slot-allocator.js';
 import type { StartRules } from '../../src/slot-agent/start-limiter.js';
 import type { AgentToGateway, GatewaySlotMessage } from '../../src/slot-agent/slot-messages.js';
 
--- a/test/support/store-fleet.ts
+++ b/test/support/store-fleet.ts
@@ -9,7 +9,7 @@
 import type { Clock } from '../../src/clock.js';
 import { GatewayCluster } from '../../src/gateway/gateway-cluster.js';
 import type { GatewayClusterDependencies } from '../../src/gateway/gateway-cluster.js';
-import { PEER_TICK_MS } from '../../src/gateway/links/beat-times.js';
+import { PEER_TICK_MS } from '../../src/gateway/links/heartbeat-intervals.js';
 import { SeededRandom } from '../../src/random.js';
 import type { RandomSource } from '../../src/random.js';
 import { HeapClock } from './heap-clock.js';
--- a/test/waiting-worth.test.ts
+++ b/test/wait-utility.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
-import { waitUtility } from '../src/gateway/attempt/waiting-worth.js';
-import type { WaitEstimate } from '../src/gateway/attempt/waiting-worth.js';
+import { waitUtility } from '../src/gateway/attempt/wait-utility.js';
+import type { WaitEstimate } from '../src/gateway/attempt/wait-utility.js';
 
 function estimateOf(changes: Partial<WaitEstimate>): WaitEstimate {
   return {
--- a/test/zone-evacuation.test.ts
+++ b/test/zone-evacuation.test.ts
@@ -1,14 +1,14 @@
 import fc from 'fast-check';
 import test from 'ava';
-import { sortByApplyOrder } from '../src/gateway/news-order.js';
-import type { DecodedUpdate } from '../src/gateway/news-order.js';
+import { sortByApplyOrder } from '../src/gateway/apply-order.js';
+import type { DecodedUpdate } from '../src/gateway/apply-order.js';
 import { BackendDirectory } from '../src/gateway/dispatch/backend-directory.js';
 import { SlotSupply } from '../src/gateway/dispatch/slot-supply.js';
 import { GatewayEvacuations } from '../src/gateway/gateway-evacuations.js';
-import { ZoneTopology } from '../src/routing/places.js';
+import { ZoneTopology } from '../src/routing/zone-topology.js';
 import type { AgentSlotMessage, SlotDemand } from '../src/slot-agent/slot-messages.js';
-import { backendOf, GatewayHarness, routeOf } from './support/gateway.js';
-import { positionAt } from './support/positions.js';
+import { backendOf, GatewayHarness, routeOf } from './support/gateway-harness.js';
+import { positionAt } from './support/store-positions.js';
 
 const UNSAFE_ROUTE = routeOf({ kind: 'unsafe', targetLatencyMs: 1_000 });
 const STREAM_ROUTE = routeOf({ kind: 'stream', isResumable: true });
