--- a/src/gateway/dispatch/agent-region-check.ts
+++ b/src/gateway/dispatch/agent-region-check.ts
@@ -11,20 +11,24 @@
 import type { AgentRegionInfo } from '../../slot-agent/slot-messages.js';
 
 /**
- * Whether the agent reports the engine in a region that is none of the request's allowed regions.
+ * Whether the agent reports the engine outside the request's allowed regions, or knows no region of
+ * its zone.
  */
 export function isOutsideAllowedRegions(
-  agentHomes: AgentRegionInfo | undefined,
+  agentRegion: AgentRegionInfo | undefined,
   allowedRegions: AllowedRegions,
 ): boolean {
-  if (agentHomes === undefined || allowedRegions === undefined) {
+  if (agentRegion === undefined || allowedRegions === undefined) {
     return false;
   }
-  return !isAccepted(agentHomes.region, allowedRegions);
+  return !isAccepted(agentRegion.region, allowedRegions);
 }
 
-/** Whether two requests have the same route and tenant, and so the same rules for their homes. */
-export function isSameHomeOwner(
+/**
+ * Whether two requests have the same route and tenant, and so the same allowed regions in every
+ * configuration.
+ */
+export function isSameRouteAndTenant(
   left: RouteAndTenant | undefined,
   right: RouteAndTenant | undefined,
 ): boolean {
@@ -33,13 +37,13 @@
 
 /**
  * Whether the agent has a newer configuration than this gateway. Its slots are then available by
- * grant only, since the agent checks the request's homes against the newer configuration.
+ * grant only, since the agent checks the request's allowed regions against the newer configuration.
  *
  * @param version - version of the configuration in force at this gateway; undefined where none is
  */
 export function requiresGrant(
-  agentHomes: AgentRegionInfo | undefined,
+  agentRegion: AgentRegionInfo | undefined,
   version: number | undefined,
 ): boolean {
-  return agentHomes !== undefined && version !== undefined && agentHomes.configuration > version;
+  return agentRegion !== undefined && version !== undefined && agentRegion.configuration > version;
 }
--- a/src/gateway/dispatch/backend-cost.ts
+++ b/src/gateway/dispatch/backend-cost.ts
@@ -4,27 +4,28 @@
 import type { KnownBackend } from './known-backend.js';
 import type { MeanSpeed } from './mean-speed.js';
 
-/** Weight of the time for the whole answer relative to the time to the first event. */
-const WHOLE_ANSWER_WEIGHT = 0.5;
+/** Weight of the time for the whole response relative to the time to the first event. */
+const WHOLE_RESPONSE_WEIGHT = 0.5;
 /**
  * Fraction by which each active request at the backend lengthens the time to the first event.
  * Without it the nearest of several equal engines would be filled first.
  */
 const CONCURRENCY_SLOWDOWN = 0.03;
 /**
- * Cost of each active request at a backend of unknown speed, so that it gets one request at a time.
+ * Cost of each active request at a backend of unknown speed, so that it gets one request at a time
+ * while others have a free slot.
  */
 const UNKNOWN_SPEED_COST_MS = 1_000;
 /** Cost added to a backend that is expected to send the first event after its due time. */
 const LATE_COST_MS = 100_000;
 /**
- * Cost of a certain failure: a late answer loses about 0.7 of the value of one in time, a failed
+ * Cost of a certain failure: a late response loses about 0.7 of the value of one in time, a failed
  * request all of it.
  */
 const FAILURE_COST_MS = LATE_COST_MS / 0.7;
 /**
- * Failure rate up to which a backend has no failure cost: every engine occasionally loses an
- * answer.
+ * Failure rate up to which a backend has no failure cost: every engine occasionally loses a
+ * response.
  */
 const TOLERATED_FAILURE_RATE = 0.1;
 
@@ -50,7 +51,7 @@
   return (
     firstMs +
     known.roundTrip.costMs +
-    workMs * WHOLE_ANSWER_WEIGHT +
+    workMs * WHOLE_RESPONSE_WEIGHT +
     unknownSpeedMs +
     failureMs +
     lateMs
@@ -58,8 +59,8 @@
 }
 
 /**
- * Whether processing the prompt would pause the streams of `others` requests for longer than the
- * request's own bound on pauses.
+ * Whether processing the prompt would pause the streams of `otherRequests` requests for longer than
+ * the request's own bound on pauses.
  */
 export function stallsOtherStreams(
   request: DispatchRequest,
--- a/src/gateway/dispatch/backend-directory.ts
+++ b/src/gateway/dispatch/backend-directory.ts
@@ -27,7 +27,10 @@
 export interface BackendDirectoryPorts extends OperatorRules {
   /** Whether the service's backends are engines, which process requests in batches. */
   isEngine(service: string): boolean;
-  /** Home regions in which the gateway needs engines; absent where homes are not supported. */
+  /**
+   * Home regions in which the gateway needs engines; absent where allowed regions are not
+   * supported.
+   */
   homeRegions?(): HomeRegions;
   /** Called when the local region loses or regains its usable backends of a service. */
   onLocalAvailability?(service: string, hasLocalBackends: boolean): void;
@@ -42,8 +45,8 @@
    */
   conditionOf?(backendId: string): BackendCondition;
   /**
-   * Called when another incarnation was found at the backend's address, which means that it has
-   * ended.
+   * Called when the backend was replaced: another incarnation answered at its address, or a later
+   * one was announced there.
    */
   onReplaced?(backendId: string): void;
 }
@@ -153,14 +156,14 @@
   }
 
   /**
-   * Returns the time until the first permitted backend ends its rest period, in milliseconds; 0
-   * where at least one is not resting.
+   * Returns the time until the backoff of the first permitted backend ends, in milliseconds; 0
+   * where at least one is not in backoff.
    */
   restLeftMs(service: string, allowedRegions: AllowedRegions, nowMs: number): number {
-    const restsLeftMs = this.permitted(service, allowedRegions).map(({ condition }) =>
+    const backoffsLeftMs = this.permitted(service, allowedRegions).map(({ condition }) =>
       Math.max(0, condition.backoffUntilMs - nowMs),
     );
-    return restsLeftMs.length === 0 ? 0 : Math.min(...restsLeftMs);
+    return backoffsLeftMs.length === 0 ? 0 : Math.min(...backoffsLeftMs);
   }
 
   /** Returns the total number of slots of the service's permitted backends. */
@@ -199,8 +202,8 @@
 
   /**
    * Returns the expected time to the first event at a typical backend, in milliseconds: the median
-   * over the permitted ones. Estimating by the fastest backend would count requests as in time that
-   * most others answer late.
+   * over the permitted ones. With the time of the fastest one, requests would count as in time to
+   * which most other backends respond late.
    */
   expectedFirstEventMs(
     service: string,
@@ -215,7 +218,8 @@
   }
 
   /**
-   * Returns the mean expected time for a whole answer over the permitted backends, in milliseconds.
+   * Returns the mean expected time for a whole response over the permitted backends, in
+   * milliseconds.
    */
   expectedAnswerMs(service: string, units: number, allowedRegions?: AllowedRegions): number {
     const expected = this.permitted(service, allowedRegions).flatMap(({ msPerUnit, roundTrip }) =>
@@ -227,8 +231,8 @@
 
   /**
    * Marks the end of the initial listing. Backends announced later have just started and count as
-   * cold; earlier ones, most of which have long been running, are cold only if their announcement
-   * says so.
+   * cold; earlier ones, most of which have long been running, are cold only if they were announced
+   * with remaining cold time.
    */
   endInitialListing(): void {
     this.hasInitialListing = true;
@@ -325,8 +329,8 @@
    * Reselects the subset after an operator change. Engines that return to it get time for their
    * agents to connect.
    */
-  updateSubsetAfterOrder(service: string, nowMs: number): void {
-    const outside = this.ofService(service).filter(({ isInSubset: isAssigned }) => !isAssigned);
+  updateSubsetAfterOperatorChange(service: string, nowMs: number): void {
+    const outside = this.ofService(service).filter(({ isInSubset }) => !isInSubset);
     this.updateSubset(service);
     for (const known of outside) {
       if (known.isInSubset && known.agent === undefined) {
@@ -342,8 +346,9 @@
   }
 
   /**
-   * Marks all but the latest incarnation announced at an address as replaced. An announcement for a
-   * service that is not configured does not affect the others.
+   * Marks incarnations at an address as replaced that have ended or were announced before the
+   * latest one that has not. An announcement for a service that is not configured does not affect
+   * the others.
    */
   private markReplaced(address: string): void {
     const sameAddress = this.list().filter(
--- a/src/gateway/dispatch/backend-health.ts
+++ b/src/gateway/dispatch/backend-health.ts
@@ -2,11 +2,11 @@
 
 /** Outcome of an attempt at a backend. */
 export type AttemptOutcome =
-  /** A complete answer of any status that does not indicate a failure of the backend. */
+  /** A complete response whose status does not indicate a failure of the backend. */
   | 'answered'
   /** The backend reported that it did not run the request. */
   | 'refused'
-  /** A reset, a truncated answer, or an error response of the backend itself. */
+  /** A reset, a truncated response, or an error response of the backend itself. */
   | 'failed'
   /** No data was received: the backend may hang, or the network path to it may be cut. */
   | 'silent'
@@ -14,7 +14,7 @@
   | 'path-lost'
   /** The connection was refused: the request was not sent, and none can be for now. */
   | 'unreachable'
-  /** Ended for a reason that does not reflect on the backend. */
+  /** The attempt ended for a reason that is not related to the health of the backend. */
   | 'unknown';
 
 /** Options of ejection. */
@@ -52,12 +52,15 @@
     return nowMs < this.ejectedUntilMs;
   }
 
-  /** Whether the backend is probed with one request at a time after an ejection. */
+  /**
+   * Whether the backend is probed with one request at a time: it was ejected, and no request has
+   * succeeded there since.
+   */
   get isProbing(): boolean {
     return this.isOnTrial;
   }
 
-  /** Resets the state after the process at the backend's address was replaced. */
+  /** Clears all failures and any ejection, once the agent reports the backend as open again. */
   reset(): void {
     this.failureShare = 0;
     this.ejectedUntilMs = 0;
--- a/src/gateway/dispatch/backend-picker.ts
+++ b/src/gateway/dispatch/backend-picker.ts
@@ -3,7 +3,11 @@
 import type { OperatorRules, RestrictionReason } from '../../routing/backend-restriction.js';
 import type { BackendDirectory } from './backend-directory.js';
 import type { RouteAndTenant } from '../../routing/region-restrictions.js';
-import { isOutsideAllowedRegions, isSameHomeOwner, requiresGrant } from './agent-region-check.js';
+import {
+  isOutsideAllowedRegions,
+  isSameRouteAndTenant,
+  requiresGrant,
+} from './agent-region-check.js';
 import { bindingCostMs, stallsOtherStreams } from './backend-cost.js';
 import type { ColdStartLimiter } from './cold-start-limiter.js';
 import type { DispatchRequest } from './dispatch-request.js';
@@ -24,7 +28,7 @@
   countGateways(): number;
   /** Number of tokens that an engine of the service puts into one event. */
   tokensPerEvent(service: string): number;
-  /** Version of the configuration in force; absent where homes are not supported. */
+  /** Version of the configuration in force; absent where allowed regions are not supported. */
   configurationVersion?(): number | undefined;
   /** Limits on starting requests at cold backends. */
   readonly coldStarts: ColdStartLimiter;
@@ -69,12 +73,13 @@
   ) {}
 
   /**
-   * Returns the lowest-cost backend with a free slot for the request; undefined if there is none.
+   * Returns the lowest-cost backend with a free slot for the request; undefined if there is none,
+   * or if it is in another region and the request must still wait for the local one.
    */
   pick(request: DispatchRequest, nowMs: number): KnownBackend | undefined {
     const permitted = this.candidates(request, nowMs);
     const meanSpeed = this.meanSpeeds.of(request.service, permitted, nowMs);
-    const hasProven = permitted.some((known) => !known.isOnTrial);
+    const hasProvenBackend = permitted.some((known) => !known.isOnTrial);
     let best: KnownBackend | undefined;
     let bestCost = Infinity;
     let hasLocalCapacity = false;
@@ -85,7 +90,7 @@
       ) {
         continue;
       }
-      if (known.isOnTrial && !request.isRepeatable && hasProven) {
+      if (known.isOnTrial && !request.isRepeatable && hasProvenBackend) {
         continue;
       }
       hasLocalCapacity ||= !isRemoteRegion(known);
@@ -113,7 +118,8 @@
 
   /**
    * A version with a limited rollout share gets its share first, concentrated on as few backends as
-   * can carry it, so that the version is observed under full load.
+   * can carry it, so that the version is observed under full load. A backend with a stale rate
+   * limit is preferred in the same way.
    */
   private costOf(
     request: DispatchRequest,
@@ -128,7 +134,7 @@
 
   /**
    * Whether a backend that announced a rate limit has sent no statement for a while. It then gets
-   * the next request for which a send right is held, since only an answer can show that the limit
+   * the next request for which a send right is held, since only a response can show that the limit
    * was lifted.
    */
   private isLimitStale({ condition }: KnownBackend, nowMs: number): boolean {
@@ -173,8 +179,9 @@
   }
 
   /**
-   * Whether slots may be requested from the backend's agent. Not of a rate-limited backend, whose
-   * slots also require a send right.
+   * Whether slots may be requested from the backend's agent: not while operators exclude the
+   * backend or limit the rollout share of its version, nor during backoff, nor of a rate-limited
+   * backend, whose slots also require a send right.
    */
   mayUseGrants(known: KnownBackend, nowMs: number): boolean {
     return (
@@ -211,10 +218,10 @@
     grantedTo: RouteAndTenant | undefined,
     nowMs: number,
   ): DispatchRequest | undefined {
-    const needsSameOwner = this.requiresGrant(known);
+    const needsSameRouteAndTenant = this.requiresGrant(known);
     const isEligible = (request: DispatchRequest) =>
       this.canUseGrant(request, known) &&
-      (!needsSameOwner || isSameHomeOwner(request.homeOwner, grantedTo));
+      (!needsSameRouteAndTenant || isSameRouteAndTenant(request.homeOwner, grantedTo));
     if (!this.mayUseGrants(known, nowMs)) {
       return undefined;
     }
@@ -266,8 +273,9 @@
   }
 
   /**
-   * Returns the backends that the request may be bound to: healthy ones of this gateway's subset if
-   * there are any, else other healthy ones.
+   * Returns the permitted backends that the request may be bound to: healthy ones of this gateway's
+   * subset; if there are none, other healthy ones; if no ready one is healthy, all ready ones; if
+   * none is ready, recently unlisted ones.
    */
   private candidates(request: DispatchRequest, nowMs: number): KnownBackend[] {
     const { service, allowedRegions, excluded } = request;
@@ -283,9 +291,9 @@
       (known) => known.availability !== 'closed' && !known.health.isEjected(nowMs),
     );
     const reachable = selectReachable(healthy, request.isRepeatable, nowMs);
-    const assigned = reachable.filter((known) => known.isInSubset);
-    if (assigned.length > 0) {
-      return assigned;
+    const inSubset = reachable.filter((known) => known.isInSubset);
+    if (inSubset.length > 0) {
+      return inSubset;
     }
     return reachable.length > 0 ? [...reachable] : ready;
   }
@@ -306,6 +314,7 @@
     return this.mayBegin(known, nowMs) && this.hasFreeSlot(known, nowMs);
   }
 
+  /** Whether a slot is free that may be taken without a grant. */
   private hasFreeSlot(known: KnownBackend, nowMs: number): boolean {
     if (this.requiresGrant(known)) {
       return false;
@@ -320,16 +329,19 @@
   }
 
   /**
-   * Whether the backend's own statements (rest period, rate limit) allow a request now, whatever
-   * its free slots. `mayUseGrants` is the same check for grants, since the agent may have issued a
-   * grant before the statement arrived.
+   * Whether the backend is not in backoff and, if it is rate-limited, a send right for it is held,
+   * regardless of its free slots. For a grant `mayUseGrants` is checked instead when it arrives,
+   * since the agent may have issued it before the backoff or rate limit was known.
    */
   mayBegin(known: KnownBackend, nowMs: number): boolean {
     const hasRight = this.ports.sendRights?.mayBegin(known.backend.id) ?? true;
     return hasRight && !known.condition.isInBackoff(nowMs);
   }
 
-  /** Whether the backend announces no rate limit, so that its agent may grant slots. */
+  /**
+   * Whether the backend requires no send rights: it announces no rate limit and is not recovering
+   * from a backoff.
+   */
   private isUnlimited({ condition }: KnownBackend): boolean {
     return sendLimitPerS(condition) === undefined;
   }
--- a/src/gateway/dispatch/cold-start-limiter.ts
+++ b/src/gateway/dispatch/cold-start-limiter.ts
@@ -67,7 +67,7 @@
       : known.cold.currentPeriod(bound.coldStartMs, this.ports.returnedAtMs(zone), nowMs);
   }
 
-  /** Whether this gateway or the backend's agent considers it cold. */
+  /** Whether this gateway or the backend's agent considers the backend cold. */
   isCold(known: KnownBackend, nowMs: number): boolean {
     const isReportedCold = this.hasStartLimit(known) && known.agent?.grantsOnly === 'cold';
     return isReportedCold || this.coldness(known, nowMs) !== undefined;
@@ -77,7 +77,7 @@
     return this.ports.startLimitOf(backend.service) !== undefined;
   }
 
-  /** Whether a request may start there without a grant. */
+  /** Whether a request may start at the backend without a grant. */
   mayStart(known: KnownBackend, nowMs: number): boolean {
     const bound = this.ports.startLimitOf(known.backend.service);
     if (bound === undefined) {
@@ -103,7 +103,7 @@
     return share > 0 && (this.ungrantedStarts.get(known)?.count(nowMs) ?? 0) < share;
   }
 
-  /** Records a request that starts without a grant. */
+  /** Records a request that starts without a grant; counted only while no agent is connected. */
   noteStart(known: KnownBackend, nowMs: number): void {
     if (known.agent !== undefined || !this.hasStartLimit(known)) {
       return;
@@ -114,9 +114,10 @@
   }
 
   /**
-   * Whether a grant is too old to be used: the agent based it on this gateway's message of
-   * `heardAtMs`. Applies only to services with a start rate limit: elsewhere demands carry no time,
-   * so that message may be old while the grant is recent.
+   * Whether a grant is too old to be used: `heardAtMs` is the latest time of this gateway's clock
+   * that the agent had received when it issued the grant. Applies only to services with a start
+   * rate limit: elsewhere demands carry no time, so `heardAtMs` may be old while the grant is
+   * recent.
    */
   isStaleGrant(known: KnownBackend, heardAtMs: number | undefined, nowMs: number): boolean {
     return (
@@ -153,7 +154,7 @@
     }
     const perS = usable.map((known) => this.startsPerS(known, gateways, nowMs));
     const sum = perS.reduce((total, starts) => total + starts, 0);
-    // A gateway that has just started has no share yet, but its agents will grant shortly.
+    // A gateway that has just started has no share yet, but gets grants once agents are connected.
     return sum === 0 ? undefined : sum / MS_PER_S;
   }
 
@@ -167,8 +168,8 @@
 
   /** Reports backends that became cold or warm since the last call. Must be called periodically. */
   reportChanges(backends: readonly KnownBackend[], nowMs: number): void {
-    const isListed = new Set(backends);
-    for (const known of [...this.coldBackends].filter((one) => !isListed.has(one))) {
+    const listed = new Set(backends);
+    for (const known of [...this.coldBackends].filter((one) => !listed.has(one))) {
       this.coldBackends.delete(known);
     }
     for (const known of backends) {
--- a/src/gateway/dispatch/cold-start-share.ts
+++ b/src/gateway/dispatch/cold-start-share.ts
@@ -25,10 +25,10 @@
 
 /** Whether the peer view is complete enough to compute a share. */
 export function isPeerViewSettled(
-  { hasReachedPeers: hasHeardPeers, startedAtMs }: PeerView,
+  { hasReachedPeers, startedAtMs }: PeerView,
   nowMs: number,
 ): boolean {
-  return hasHeardPeers && nowMs - startedAtMs >= PEER_VIEW_SETTLE_MS;
+  return hasReachedPeers && nowMs - startedAtMs >= PEER_VIEW_SETTLE_MS;
 }
 
 /** Returns this gateway's share of `total` at a backend; 0 until the peer view is complete. */
--- a/src/gateway/dispatch/dispatch-request.ts
+++ b/src/gateway/dispatch/dispatch-request.ts
@@ -12,7 +12,7 @@
    * undefined for any.
    */
   readonly allowedRegions: AllowedRegions;
-  /** Route and tenant that determine the allowed regions; sent to agents that report homes. */
+  /** Route and tenant that determine the allowed regions; sent to agents that report `homes`. */
   readonly homeOwner?: RouteAndTenant | undefined;
   /** Amount of work, in a unit that is uniform within the service. */
   readonly units: number;
--- a/src/gateway/dispatch/dispatcher.ts
+++ b/src/gateway/dispatch/dispatcher.ts
@@ -29,7 +29,7 @@
 import type { KnownBackend, SlotAgentLink } from './known-backend.js';
 import { hasWaitedForLocalRegion } from './region-fallback.js';
 import { nextDemand, UNSENT_DEMAND } from './slot-demand.js';
-import { homeFieldsOf } from './home-fields.js';
+import { regionConstraintsOf } from './home-fields.js';
 import { ServiceQueue } from './service-queue.js';
 
 /** Options of a dispatcher. */
@@ -95,7 +95,7 @@
     return this.waiting.get(service)?.length ?? 0;
   }
 
-  /** Returns why the request is refused because of its homes; undefined where it is not. */
+  /** Returns why the request is refused because of its allowed regions; undefined if not. */
   homeRefusal(request: PlacementConstraints, nowMs: number): RegionRefusalReason | undefined {
     return regionRefusalOf(request.allowedRegions, () => this.picker.hasCandidates(request, nowMs));
   }
@@ -110,7 +110,7 @@
     return this.ports.regionOf(zone);
   }
 
-  /** Whether operators permit a ready backend for the request that is not in `excluded`. */
+  /** Whether a backend that is not in `excluded` is ready and permitted by operators. */
   hasReady(request: PlacementConstraints, excluded: ReadonlySet<string>): boolean {
     return this.directory
       .ofService(request.service)
@@ -123,8 +123,8 @@
   }
 
   /**
-   * Like `hasReady`, but also skips backends in a rest period, so that the request need not wait
-   * for one.
+   * Like `hasReady`, but also skips backends in backoff, so that the request need not wait for one
+   * to end.
    */
   hasNonResting(
     request: PlacementConstraints,
@@ -147,11 +147,11 @@
     excluded: ReadonlySet<string>,
     nowMs: number,
   ): boolean {
-    const suspects = this.directory
+    const suspectOrClosed = this.directory
       .ofService(request.service)
       .filter(({ path, availability }) => path.isSuspect || availability === 'closed')
       .map(({ backend }) => backend.id);
-    return this.hasNonResting(request, new Set([...excluded, ...suspects]), nowMs);
+    return this.hasNonResting(request, new Set([...excluded, ...suspectOrClosed]), nowMs);
   }
 
   /**
@@ -190,7 +190,7 @@
     const slotsBefore = directory.services.map((service) => directory.countSlots(service));
     apply();
     for (const [index, service] of directory.services.entries()) {
-      directory.updateSubsetAfterOrder(service, nowMs);
+      directory.updateSubsetAfterOperatorChange(service, nowMs);
       this.queueOf(service).scaleSupply(slotsBefore[index]!, directory.countSlots(service));
       this.serve(service, nowMs);
       this.sendDemand(service, nowMs);
@@ -224,7 +224,7 @@
   }
 
   /**
-   * Reacts to a changed statement of a backend: reselects the subset in case it is leaving, and
+   * Reacts to a changed statement of a backend: reselects the subset in case it is draining, and
    * serves the queue in case it accepts requests again.
    */
   handleConditionChange({ backend }: KnownBackend, nowMs: number): void {
@@ -260,8 +260,8 @@
       known.noteOutcome(hasFailed, nowMs);
     }
     const isSilent = outcome === 'silent';
-    // The backend may be reachable for other gateways, so the agent gets a silent attempt and no
-    // failure.
+    // The backend may be reachable for other gateways, so the attempt is reported to the agent as
+    // silent, not as failed.
     const released: SlotReleased = isSilent
       ? { kind: 'released', isSilent }
       : { kind: 'released', hasFailed };
@@ -282,7 +282,7 @@
     }
   }
 
-  /** Updates a backend's speed estimate from a whole answer. */
+  /** Updates a backend's speed estimate from a whole response. */
   learnSpeed(backendId: string, units: number, elapsedMs: number): void {
     this.directory.find(backendId)?.learnSpeed(units, elapsedMs);
   }
@@ -293,7 +293,9 @@
     return known !== undefined && this.ports.coldStarts.isCold(known, nowMs);
   }
 
-  /** Records the first event, which proves that a backend on trial works. */
+  /**
+   * Reports the first event to the agent of a backend on trial: it shows that the backend works.
+   */
   noteFirstEvent(backendId: string): void {
     const known = this.directory.find(backendId);
     if (known?.availability === 'trial') {
@@ -477,8 +479,8 @@
     known.path.noteSent(nowMs);
     known.pendingPromptTokens += request.promptTokens;
     if (!isGranted && known.agent !== undefined) {
-      const homeFields = homeFieldsOf(request, known.agent);
-      this.sendToAgent(known.backend.id, known, { kind: 'taken', ...homeFields });
+      const regionConstraints = regionConstraintsOf(request, known.agent);
+      this.sendToAgent(known.backend.id, known, { kind: 'taken', ...regionConstraints });
       known.agent.unacknowledgedTakes.push(known.agent.messagesSent);
     }
     if (!isGranted) {
@@ -516,7 +518,7 @@
       mayUseRemoteRegion: (request: DispatchRequest) => this.mayUseRemoteRegion(request, nowMs),
       waiting: this.waitingInOrder(service, nowMs),
       maxLength: this.options.demandLength,
-      isOpen: (known: KnownBackend) => this.picker.mayUseGrants(known, nowMs),
+      mayUseGrants: (known: KnownBackend) => this.picker.mayUseGrants(known, nowMs),
       canUseGrant: (request: DispatchRequest, known: KnownBackend) =>
         this.picker.canUseGrant(request, known),
     };
@@ -531,8 +533,8 @@
 
   /**
    * Sends the demand again after a stale grant. The agent considers the request of that grant
-   * served and nothing changed here, so `nextDemand` would skip it. Sent before the slot is
-   * returned, so that the next grant is based on a current demand.
+   * served, but the demand here is unchanged, so `nextDemand` would skip it. Sent before the slot
+   * is returned, so that the next grant is based on a current demand.
    */
   private resendDemand(known: KnownBackend, nowMs: number): void {
     if (known.agent !== undefined) {
@@ -549,7 +551,9 @@
   }
 }
 
-/** Returns whether an attempt shows a failure of its backend; undefined where it shows neither. */
+/**
+ * Whether an attempt shows that its backend failed (true) or works (false); undefined for neither.
+ */
 function failureOf(outcome: AttemptOutcome): boolean | undefined {
   if (outcome === 'answered') {
     return false;
--- a/src/gateway/dispatch/engine-speed.ts
+++ b/src/gateway/dispatch/engine-speed.ts
@@ -43,7 +43,7 @@
     return { prefill: this.prefill, eventMs: this.eventMs };
   }
 
-  /** Adopts the estimates of other gateways for values without a sample of its own. */
+  /** Adopts the estimates of other gateways for values that have no estimate yet. */
   adoptLearned(learned: SpeedEstimates): void {
     this.prefillEstimate.adopt(learned.prefill);
     this.eventMs ??= learned.eventMs;
@@ -56,10 +56,10 @@
 
   /**
    * Returns the expected time to the first event for `tokens` of queued prompts, in milliseconds;
-   * `usual` is used while the engine's own speed is unknown.
+   * `fallback` is used while the engine's own speed is unknown.
    */
-  expectedFirstEventMs(tokens: number, usual?: PrefillSpeed): number {
-    const fit = this.prefill ?? usual;
+  expectedFirstEventMs(tokens: number, fallback?: PrefillSpeed): number {
+    const fit = this.prefill ?? fallback;
     return fit === undefined ? 0 : predictFirstEventMs(fit, tokens);
   }
 
--- a/src/gateway/dispatch/home-engines.ts
+++ b/src/gateway/dispatch/home-engines.ts
@@ -1,10 +1,13 @@
-/** Extends a gateway's engine subset with engines of the home regions in the configuration. */
+/**
+ * Extends a gateway's engine subset with engines of the home regions: the allowed regions of routes
+ * and tenants in the configuration.
+ */
 import { pairHash } from '../../pair-hash.js';
 import type { SubsetEngine } from './engine-subset.js';
 
 /** Home regions in which a gateway needs engines. */
 export interface HomeRegions {
-  /** Regions that are a home of some route or tenant. */
+  /** Allowed regions of all routes and tenants. */
   readonly named: ReadonlySet<string>;
   regionOf(zone: string): string | undefined;
 }
--- a/src/gateway/dispatch/home-fields.ts
+++ b/src/gateway/dispatch/home-fields.ts
@@ -1,16 +1,16 @@
-/** The home fields of a request in messages to slot agents. */
+/** The region fields of a request in messages to slot agents. */
 import type { RegionConstraints } from '../../slot-agent/slot-messages.js';
 import type { DispatchRequest } from './dispatch-request.js';
 import type { SlotAgentLink } from './known-backend.js';
 
 /**
- * Returns the allowed regions and home owner of a request as message fields; empty where the
- * request has none.
+ * Returns the allowed regions of a request, and the route and tenant that determine them
+ * (`homeOwner`), as message fields; empty where the request has none.
  *
- * The owner is sent to agents that report homes, also by a gateway whose own configuration has
- * none, so that the agent can look up the regions itself.
+ * The route and tenant are sent to agents that report `homes`, also by a gateway whose own
+ * configuration restricts no request to regions, so that the agent can look up the regions itself.
  */
-export function homeFieldsOf(
+export function regionConstraintsOf(
   { allowedRegions, homeOwner }: DispatchRequest,
   agent: SlotAgentLink,
 ): RegionConstraints {
--- a/src/gateway/dispatch/known-backend.ts
+++ b/src/gateway/dispatch/known-backend.ts
@@ -15,8 +15,8 @@
 const SPEED_SMOOTHING = 0.15;
 /**
  * Time allowed for the connection to the agent of a new engine, in milliseconds, in addition to the
- * network round trips: a machine without an agent refuses it within two, a busy gateway opens it
- * within some tens.
+ * network round trips: a machine without an agent refuses it within two milliseconds, a busy
+ * gateway opens it within some tens.
  */
 const AGENT_CONNECT_MS = 150;
 /** Round trips until the agent's first state message: the connection setup and the hello. */
@@ -42,7 +42,7 @@
   availability: EngineAvailability;
   /**
    * Region and configuration version from the agent's last state message; undefined while its
-   * configuration defines no homes.
+   * configuration restricts no request to regions.
    */
   homes?: AgentRegionInfo | undefined;
   /**
@@ -75,7 +75,7 @@
   /** When it was removed from the list; undefined while it is listed. */
   unlistedAtMs: number | undefined;
   /**
-   * Whether its record describes no usable backend any more. It must then not be used even as a
+   * Whether its record no longer describes a usable backend. It must then not be used even as a
    * last resort.
    */
   isWithdrawn = false;
@@ -94,7 +94,7 @@
     learnedAtMs: number,
     /** Network distance from this gateway. */
     readonly distance: Distance = 'same-zone',
-    /** Statements of the backend: rate limit, leaving, rest period. */
+    /** Condition stated by the backend: rate limit, draining, backoff. */
     readonly condition = new BackendCondition(),
   ) {
     this.roundTrip = new RoundTripEstimate(distance);
@@ -122,7 +122,7 @@
   }
 
   /**
-   * Whether it accepts no new requests, by its announcement or by a statement in an answer.
+   * Whether it accepts no new requests, by its announcement or by a statement in a response.
    * Announcements are not updated while the store is unavailable.
    */
   get isLeaving(): boolean {
@@ -152,7 +152,7 @@
     return this.agent !== undefined && this.agent.lastDemandKey !== '';
   }
 
-  /** Learned time per unit of work, in milliseconds; undefined before the first answer. */
+  /** Learned time per unit of work, in milliseconds; undefined before the first response. */
   get msPerUnit(): number | undefined {
     return this.learnedMsPerUnit;
   }
@@ -176,7 +176,7 @@
   }
 
   /**
-   * Updates the speed estimate from a whole answer. Excludes the round trip, so that the estimate
+   * Updates the speed estimate from a whole response. Excludes the round trip, so that the estimate
    * is the same for gateways at any distance.
    */
   learnSpeed(units: number, elapsedMs: number): void {
@@ -189,7 +189,7 @@
     return { ...this.speed.learned, msPerUnit: this.learnedMsPerUnit };
   }
 
-  /** Adopts the estimates of other gateways for values without a sample of its own. */
+  /** Adopts the estimates of other gateways for values that have no estimate yet. */
   adoptLearned(learned: SpeedEstimates): void {
     this.speed.adoptLearned(learned);
     this.learnedMsPerUnit ??= learned.msPerUnit;
--- a/src/gateway/dispatch/mean-speed.ts
+++ b/src/gateway/dispatch/mean-speed.ts
@@ -12,7 +12,7 @@
 /**
  * Lifetime of a cached mean, in milliseconds. Recomputing the means for each waiting request took a
  * fifth of a gateway's time in a burst (20 gateways and 30 engines, garbage collection excluded),
- * while learned speeds change by a few percent per answer.
+ * while learned speeds change by a few percent per response.
  */
 const CACHE_MS = 100;
 
@@ -20,30 +20,30 @@
 export class MeanSpeedCache {
   private readonly byService = new Map<
     string,
-    { readonly usual: MeanSpeed; readonly atMs: number }
+    { readonly meanSpeed: MeanSpeed; readonly atMs: number }
   >();
 
   /** Returns the mean speed of `backends`, which are those of `service`. */
   of(service: string, backends: readonly KnownBackend[], nowMs: number): MeanSpeed {
     const cached = this.byService.get(service);
     if (cached !== undefined && nowMs - cached.atMs < CACHE_MS) {
-      return cached.usual;
+      return cached.meanSpeed;
     }
-    const usual = computeMeanSpeed(backends);
-    this.byService.set(service, { usual, atMs: nowMs });
-    return usual;
+    const meanSpeed = computeMeanSpeed(backends);
+    this.byService.set(service, { meanSpeed, atMs: nowMs });
+    return meanSpeed;
   }
 }
 
 /** Returns the mean of the learned speeds of `backends`. */
 export function computeMeanSpeed(backends: readonly KnownBackend[]): MeanSpeed {
-  const whole = new Mean();
+  const perUnit = new Mean();
   const base = new Mean();
   const perToken = new Mean();
   for (const { msPerUnit, speed } of backends) {
     const { prefill } = speed;
     if (msPerUnit !== undefined) {
-      whole.add(msPerUnit);
+      perUnit.add(msPerUnit);
     }
     if (prefill !== undefined) {
       base.add(prefill.baseMs);
@@ -52,7 +52,7 @@
   }
   const [baseMs, msPerToken] = [base.value, perToken.value];
   return {
-    msPerUnit: whole.value ?? 1,
+    msPerUnit: perUnit.value ?? 1,
     prefill: baseMs === undefined || msPerToken === undefined ? undefined : { baseMs, msPerToken },
   };
 }
--- a/src/gateway/dispatch/path-monitor.ts
+++ b/src/gateway/dispatch/path-monitor.ts
@@ -13,7 +13,7 @@
 export interface PathMonitorPorts {
   /** Called when a path becomes suspect. */
   onSuspected(known: KnownBackend, cause: SuspicionCause, silentMs: number): void;
-  /** Called when data was received on a suspect path. */
+  /** Called when the suspicion of a path ended. */
   onRecovered(known: KnownBackend, ended: EndedSuspicion): void;
 }
 
@@ -29,17 +29,17 @@
   readonly silenceMs: number;
   /**
    * Silence that suffices where an engine of the same zone has become suspect. Default 800: the
-   * longest interval on a healthy path, and two ticks.
+   * longest interval on a healthy path plus two ticks.
    */
   readonly zoneSilenceMs: number;
   /**
-   * Silence that suffices where a connection has also hung. Default 650: that interval, and the
-   * network latency.
+   * Silence that suffices where a connection has also hung. Default 650: the longest interval on a
+   * healthy path plus the network latency.
    */
   readonly hungConnectionSilenceMs: number;
   /**
-   * Maximum silence of another path that counts as receiving data. Default 650, for the same
-   * reason.
+   * Maximum silence of another path that counts as receiving data. Default 650, as for
+   * `hungConnectionSilenceMs`.
    */
   readonly otherPathsMaxSilenceMs: number;
 }
@@ -53,8 +53,8 @@
 };
 
 /**
- * Minimum number of silent engines that makes a whole zone suspect: a single one may have a fault
- * of its own.
+ * Minimum number of engines with an agent in a zone whose loss makes the whole zone suspect: a
+ * single one may have a fault of its own.
  */
 const MIN_ZONE_ENGINES = 2;
 
@@ -162,11 +162,11 @@
    * either; if all with an agent are lost, adds those without an agent as well.
    */
   private addSilentZoneMembers(
-    zone: readonly KnownBackend[],
+    zoneMembers: readonly KnownBackend[],
     lost: Map<KnownBackend, SuspicionCause>,
     nowMs: number,
   ): void {
-    const withAgent = zone.filter(isAgentTrafficExpected);
+    const withAgent = zoneMembers.filter(isAgentTrafficExpected);
     for (const known of withAgent) {
       const isSilent = known.path.silentMs(nowMs) >= this.options.zoneSilenceMs;
       if (!known.path.isSuspect && !lost.has(known) && isSilent) {
@@ -177,7 +177,7 @@
     if (withAgent.length < MIN_ZONE_ENGINES || !isWholeZoneLost) {
       return;
     }
-    for (const known of zone) {
+    for (const known of zoneMembers) {
       if (!known.path.isSuspect && !lost.has(known)) {
         lost.set(known, 'zone-silent');
       }
--- a/src/gateway/dispatch/path-state.ts
+++ b/src/gateway/dispatch/path-state.ts
@@ -11,7 +11,10 @@
   | 'agent-silent'
   /** A connection for a request hung while a message of the agent was overdue. */
   | 'connection-hung'
-  /** No data was received from the backend's zone any more. */
+  /**
+   * Engines of the same zone became suspect, and nothing was received from this backend either, or
+   * it has no agent that would send anything.
+   */
   | 'zone-silent';
 
 /** A suspicion that has ended. */
@@ -22,7 +25,7 @@
 
 /**
  * Shortest and longest interval between two requests that probe a suspect path, in milliseconds.
- * Each may cost its caller a connect timeout, and the agent connections probe the path as well.
+ * Each may cost its caller a connect timeout, and the agent connections probe the path anyway.
  */
 const MIN_PROBE_INTERVAL_MS = 500;
 const MAX_PROBE_INTERVAL_MS = 4_000;
@@ -60,7 +63,7 @@
   }
 
   /**
-   * Records data from the backend's machine: an agent message, an answer, or a refused connection.
+   * Records data from the backend's machine: an agent message, a response, or a refused connection.
    */
   noteActivity(nowMs: number): void {
     this.heardAtMs = nowMs;
--- a/src/gateway/dispatch/prefill-estimate.ts
+++ b/src/gateway/dispatch/prefill-estimate.ts
@@ -44,7 +44,7 @@
     };
   }
 
-  /** Adopts the estimate of other gateways if there is no sample of its own. */
+  /** Adopts the estimate of other gateways if there is no estimate yet. */
   adopt(learned: PrefillSpeed | undefined): void {
     this.fit ??= learned;
   }
--- a/src/gateway/dispatch/region-fallback.ts
+++ b/src/gateway/dispatch/region-fallback.ts
@@ -27,7 +27,7 @@
   return distance === 'other-region';
 }
 
-/** Whether a request may wait for the backend: it is local, not closed and not on trial. */
+/** Whether a request may wait for the backend: it is local, ready, not closed and not on trial. */
 export function isUsableLocally(known: KnownBackend): boolean {
   return (
     !isRemoteRegion(known) && known.isReady && known.availability !== 'closed' && !known.isOnTrial
@@ -37,14 +37,14 @@
 /** Computes the availability by region from the backends of one service. */
 export function regionAvailabilityOf(backends: readonly KnownBackend[]): RegionAvailability {
   const ready = backends.filter(({ isReady }) => isReady);
-  const ways = ready.filter(isRemoteRegion).map(({ roundTrip }) => roundTrip.costMs);
-  if (ways.length === 0) {
+  const remoteCostsMs = ready.filter(isRemoteRegion).map(({ roundTrip }) => roundTrip.costMs);
+  if (remoteCostsMs.length === 0) {
     return DEFAULT_REGION_AVAILABILITY;
   }
   if (!ready.some(isUsableLocally)) {
     return { isLocalRegionLost: true, remoteDelayMs: 0 };
   }
-  const sorted = ways.sort((left, right) => left - right);
+  const sorted = remoteCostsMs.sort((left, right) => left - right);
   return { isLocalRegionLost: false, remoteDelayMs: sorted[Math.floor(sorted.length / 2)]! };
 }
 
--- a/src/gateway/dispatch/slot-demand.ts
+++ b/src/gateway/dispatch/slot-demand.ts
@@ -1,6 +1,6 @@
 /** Builds the demand messages that list waiting requests to slot agents. */
 import type { SlotDemand, WaitingRank } from '../../slot-agent/slot-messages.js';
-import { homeFieldsOf } from './home-fields.js';
+import { regionConstraintsOf } from './home-fields.js';
 import type { DispatchRequest } from './dispatch-request.js';
 import type { KnownBackend, SlotAgentLink } from './known-backend.js';
 import { isRemoteRegion } from './region-fallback.js';
@@ -10,13 +10,13 @@
   /** Waiting requests in queue order. */
   readonly waiting: readonly DispatchRequest[];
   /**
-   * Whether slots of the backend may be requested: its zone is not evacuated, its version has no
-   * limited rollout share, and it announces no rate limit and no rest period.
+   * Whether slots of the backend may be requested: its zone is not evacuated, its version is
+   * neither closed nor has a limited rollout share, and it is neither rate-limited nor in backoff.
    */
-  isOpen(known: KnownBackend): boolean;
-  /** Whether the request could use a slot of the backend, which is open. */
+  mayUseGrants(known: KnownBackend): boolean;
+  /** Whether the request could use a slot of a backend that `mayUseGrants` allows. */
   canUseGrant(request: DispatchRequest, known: KnownBackend): boolean;
-  /** Whether the request may be listed to agents in other regions; local ones are asked first. */
+  /** Whether the request has waited long enough to be listed to agents in other regions. */
   mayUseRemoteRegion(request: DispatchRequest): boolean;
   /** Maximum number of requests in a demand. */
   readonly maxLength: number;
@@ -28,7 +28,10 @@
  */
 export const UNSENT_DEMAND = '?';
 
-/** Returns the demand to send to the agent of `known`; undefined if it equals the last one sent. */
+/**
+ * Returns the demand to send to the agent of `known`; undefined if it equals the last one sent, or
+ * if the backend is not ready or has no connected agent.
+ */
 export function nextDemand(
   known: KnownBackend,
   inputs: DemandInputs,
@@ -39,7 +42,7 @@
     return undefined;
   }
   // An empty demand replaces an earlier one that listed requests.
-  const listed = inputs.isOpen(known) ? findDemandedRequests(known, inputs) : [];
+  const listed = inputs.mayUseGrants(known) ? findDemandedRequests(known, inputs) : [];
   const demandKey = demandKeyOf(listed, agent);
   if (agent.lastDemandKey === demandKey) {
     return undefined;
@@ -50,8 +53,8 @@
 }
 
 /**
- * Returns a key that changes whenever the demand must be sent again, also after a change of homes;
- * empty where no request waits.
+ * Returns a key that changes whenever the demand must be sent again, also after a change of the
+ * agent's configuration; empty where no request is listed.
  */
 function demandKeyOf(waiting: readonly DispatchRequest[], { homes }: SlotAgentLink): string {
   const version = homes === undefined ? '' : `@${homes.configuration}`;
@@ -70,7 +73,7 @@
     rankInTier,
     waitedMs: nowMs - arrivedAtMs,
     startInMs: startByMs - nowMs,
-    ...homeFieldsOf(request, agent),
+    ...regionConstraintsOf(request, agent),
   };
 }
 
--- a/src/gateway/dispatch/slot-supply.ts
+++ b/src/gateway/dispatch/slot-supply.ts
@@ -17,12 +17,12 @@
  */
 const MIN_BUSY_MS = 50;
 /**
- * Fraction of the supply below which the rest left by more urgent arrivals counts as none. Both
- * rates are based on about ten requests, so a smaller rest cannot be distinguished from zero.
+ * Fraction of the supply below which what more urgent arrivals leave counts as none. Both rates are
+ * based on about ten requests, so a smaller remainder cannot be distinguished from zero.
  */
 const MIN_SPARE_SHARE = 0.05;
 
-/** Arrivals of one rank that could still be answered in time. */
+/** Arrivals of one rank whose requests could still be served in time. */
 interface RankArrivals {
   readonly tier: number;
   readonly rankInTier: number;
@@ -39,7 +39,7 @@
   private countedToMs = 0;
   private maxPerMs: number | undefined;
 
-  /** Records the arrival of a request that can be answered in time. */
+  /** Records the arrival of a request that can still be served in time. */
   noteArrival({ tier, rankInTier }: WaitingPriority, nowMs: number): void {
     let rank = this.arrivals.find((one) => one.tier === tier && one.rankInTier === rankInTier);
     if (rank === undefined) {
@@ -86,15 +86,19 @@
   }
 
   /**
-   * Returns the slots per millisecond while requests wait; undefined before there is an estimate.
-   * Counts one slot more than were observed, so that a short wait without any has little effect,
-   * and never returns less than the recent rate of use.
+   * Returns the slots per millisecond while requests wait, within the cap; undefined before there
+   * is an estimate or a cap.
    */
   slotsPerMs(nowMs: number): number | undefined {
     const learned = this.learnedPerMs(nowMs);
     return this.maxPerMs === undefined ? learned : Math.min(learned ?? Infinity, this.maxPerMs);
   }
 
+  /**
+   * Returns the estimated supply rate without the cap; undefined before there is an estimate.
+   * Counts one slot more than were observed, so that a short wait without any has little effect,
+   * and never returns less than the recent rate of use.
+   */
   private learnedPerMs(nowMs: number): number | undefined {
     this.countBusyTime(nowMs);
     const busyMs = this.busyMs.at(nowMs);
@@ -105,25 +109,28 @@
     return Math.max(whileBusy, this.allBound.at(nowMs) / RATE_DECAY_MS);
   }
 
-  /** Returns the rate per millisecond of arrivals that are ordered before `place`. */
-  arrivalsPerMsBefore(place: WaitingPriority, isLate: boolean, nowMs: number): number {
-    const rank = effectiveRank(place, isLate);
+  /**
+   * Returns the rate per millisecond of arrivals that are ordered before a request of `priority`.
+   */
+  arrivalsPerMsBefore(priority: WaitingPriority, isLate: boolean, nowMs: number): number {
+    const rank = effectiveRank(priority, isLate);
     const before = this.arrivals.filter(
-      ({ tier, rankInTier }) => tier < place.tier || (tier === place.tier && rankInTier < rank),
+      ({ tier, rankInTier }) =>
+        tier < priority.tier || (tier === priority.tier && rankInTier < rank),
     );
     return before.reduce((sum, { count }) => sum + count.at(nowMs), 0) / RATE_DECAY_MS;
   }
 
   /**
-   * Returns the expected wait of a place behind `ahead` others, in milliseconds; 0 before there is
-   * an estimate, Infinity when requests ordered before it take every slot.
+   * Returns the expected wait of a request behind `ahead` others, in milliseconds; 0 before there
+   * is an estimate, Infinity when requests ordered before it take every slot.
    */
-  expectedWaitMs(place: WaitingPriority, ahead: number, isLate: boolean, nowMs: number): number {
+  expectedWaitMs(priority: WaitingPriority, ahead: number, isLate: boolean, nowMs: number): number {
     const slotsPerMs = this.slotsPerMs(nowMs);
     if (slotsPerMs === undefined) {
       return 0;
     }
-    const sparePerMs = slotsPerMs - this.arrivalsPerMsBefore(place, isLate, nowMs);
+    const sparePerMs = slotsPerMs - this.arrivalsPerMsBefore(priority, isLate, nowMs);
     return sparePerMs <= slotsPerMs * MIN_SPARE_SHARE ? Infinity : (ahead + 1) / sparePerMs;
   }
 
--- a/src/gateway/dispatch/waiting-queue.ts
+++ b/src/gateway/dispatch/waiting-queue.ts
@@ -32,8 +32,9 @@
     return [...this.requests];
   }
 
-  /** Returns the number of requests ordered before `place`. */
-  countBefore(place: WaitingPriority, nowMs: number): number {
-    return this.requests.filter((other) => compareWaitingPriority(other, place, nowMs) < 0).length;
+  /** Returns the number of waiting requests ordered before one of `priority`. */
+  countBefore(priority: WaitingPriority, nowMs: number): number {
+    return this.requests.filter((other) => compareWaitingPriority(other, priority, nowMs) < 0)
+      .length;
   }
 }
--- a/test/cold-start-limit.test.ts
+++ b/test/cold-start-limit.test.ts
@@ -10,13 +10,13 @@
   seeds: number,
   fault: ColdFleetFault = {},
 ): Promise<Array<ColdFleet['peakStarts']>> {
-  const most: Array<ColdFleet['peakStarts']> = [];
+  const peaks: Array<ColdFleet['peakStarts']> = [];
   for (let seed = 1; seed <= seeds; seed += 1) {
     const fleet = new ColdFleet(seed, fault);
     await fleet.clock.runUntil(RUN_MS);
-    most.push(fleet.peakStarts);
+    peaks.push(fleet.peakStarts);
   }
-  return most;
+  return peaks;
 }
 
 /**
@@ -33,10 +33,10 @@
 test('a cold engine gets at most the limit per second despite faults and restarts', async (t) => {
   const runs = await run(SEEDS);
   t.deepEqual(findViolations(runs), []);
-  const isUsed = runs.filter(({ all }) => all >= COLD_BOUND.granted);
+  const atGrantedLimit = runs.filter(({ all }) => all >= COLD_BOUND.granted);
   t.true(
-    isUsed.length > SEEDS / 2,
-    `only ${isUsed.length} runs reach the granted part of the limit`,
+    atGrantedLimit.length > SEEDS / 2,
+    `only ${atGrantedLimit.length} runs reach the granted part of the limit`,
   );
 });
 
--- a/test/cold-start.test.ts
+++ b/test/cold-start.test.ts
@@ -14,7 +14,7 @@
 )!;
 const OPEN = { kind: 'state', messagesSeen: 0, speed: {}, failureShare: 0 } as const;
 
-test('both parts of the limit and its margin are within the total for any configuration', (t) => {
+test('the granted and ungranted parts of the limit are within the total for any configuration', (t) => {
   t.is(BOUND.total, 26);
   fc.assert(
     fc.property(
@@ -41,18 +41,21 @@
 
 const BOUND_LIMITS = { coldOver: 1.5, coldSlack: 5 };
 
-test('shares by rank add up to the total at most when each view holds all other gateways', (t) => {
+test('shares by rank add up to at most the total when each view holds all other gateways', (t) => {
   fc.assert(
     fc.property(
       fc.integer({ min: 1, max: 30 }),
       fc.array(fc.integer({ min: 0, max: 20 }), { minLength: 30, maxLength: 30 }),
       fc.integer({ min: 0, max: 40 }),
       fc.string(),
-      (gateways, strangers, total, backendId) => {
+      (gateways, endedGateways, total, backendId) => {
         const names = Array.from({ length: gateways }, (_none, index) => `10.0.0.${index}:1`);
         const shares = names.map((self, index) => {
-          const gone = Array.from({ length: strangers[index]! }, (_none, i) => `10.9.9.${i}:1`);
-          const others = new Set([...names.filter((name) => name !== self), ...gone]);
+          const ended = Array.from(
+            { length: endedGateways[index]! },
+            (_none, i) => `10.9.9.${i}:1`,
+          );
+          const others = new Set([...names.filter((name) => name !== self), ...ended]);
           const view = { self, others, hasReachedPeers: true, startedAtMs: 0 };
           return coldStartShare(view, backendId, total, PEER_VIEW_SETTLE_MS);
         });
@@ -153,7 +156,7 @@
   t.is(world.attempts.length, 1);
 });
 
-test('a backend whose zone is back in use counts as cold, reported once per change', (t) => {
+test('a backend whose zone was returned to use counts as cold, reported once per change', (t) => {
   const world = createColdWorld(0, 'warm');
   const reports: Array<[string, string | undefined]> = [];
   const zone: { returnedAtMs?: number } = {};
@@ -185,7 +188,7 @@
   t.deepEqual(world.agentMessages.at(-1), ['cold', { kind: 'grant-returned' }]);
 });
 
-test('an agent whose grant was delayed gets a current demand with its time', async (t) => {
+test('an agent gets a current demand before the slot of a delayed grant is returned', async (t) => {
   const world = createColdWorld(0, 'cold');
   world.dispatcher.connectAgent('cold', 0);
   world.request({ route: routeOf({ kind: 'stream', timeoutMs: 9_000, targetLatencyMs: 5_000 }) });
@@ -215,7 +218,7 @@
   t.deepEqual([at('warm'), at('cold')], [9, 2]);
 });
 
-test('a backend that was announced after the start, or was gone, counts as cold', async (t) => {
+test('a backend announced after the initial listing, or once unavailable, counts as cold', async (t) => {
   const world = createColdWorld(0, 'warm');
   world.directory.endInitialListing();
   world.dispatcher.updateBackend('new', backendOf('new'), 0);
@@ -250,7 +253,7 @@
   t.is(world.attempts.length, 1);
 });
 
-test('a late answer of a cold backend causes no ejection, speed sample or failure', async (t) => {
+test('responses and timeouts of a cold backend cause no ejection, speed sample or failure', async (t) => {
   const world = createColdWorld(9, 'cold');
   const route = routeOf({ kind: 'unsafe', timeoutMs: 1_000 });
   for (let index = 0; index < 5; index += 1) {
@@ -270,7 +273,7 @@
   );
 });
 
-test('a cold backend that truncates answers is ejected like any other', (t) => {
+test('a cold backend that resets connections is ejected like any other', (t) => {
   const world = createColdWorld(9, 'cold');
   for (let index = 0; index < 5; index += 1) {
     world.request({ route: routeOf({ kind: 'unsafe' }) });
@@ -280,7 +283,7 @@
   t.true(world.directory.find('cold')!.health.isEjected(0));
 });
 
-test('a service without slow starts has no limit', (t) => {
+test('a service without slow starts has no start rate limit', (t) => {
   const world = createColdWorld(0);
   world.coldStarts = new ColdStartLimiter();
   world.dispatcher.updateBackend('cold', backendOf('cold', { slots: 9, remainingColdMs: 9 }), 0);
@@ -308,12 +311,12 @@
   t.is(others.at(-1)!.reply.status, 503, 'the sixth request would wait longer than its caller');
   world.dispatcher.updateBackend('warm', backendOf('warm'), 0);
   world.dispatcher.tick(0);
-  t.is(world.dispatcher.forecastOf('s').expectedWaitMs(PLACE, 0), 0);
+  t.is(world.dispatcher.forecastOf('s').expectedWaitMs(PRIORITY, 0), 0);
 });
 
-const PLACE = { tier: 1, rankInTier: 0, arrivedAtMs: 0, startByMs: 1_000 };
+const PRIORITY = { tier: 1, rankInTier: 0, arrivedAtMs: 0, startByMs: 1_000 };
 
-test('a gateway that has just started into a cold fleet refuses nothing yet', async (t) => {
+test('a gateway that has just started refuses nothing while every backend is cold', async (t) => {
   const world = createColdWorld(0, 'cold');
   const { reply } = world.request({ route: routeOf({ kind: 'unsafe', targetLatencyMs: 1_000 }) });
   world.dispatcher.tick(0);
@@ -321,7 +324,7 @@
   t.is(reply.status, 0);
 });
 
-test('losing an agent connection adds no unreported cold state and sends none back', (t) => {
+test('a lost agent connection keeps only a reported cold state, which is not sent back', (t) => {
   const world = createColdWorld(9, 'warm');
   const known = world.directory.find('warm')!;
   const coldness = () => world.coldStarts.coldness(known, 0)?.reason;
--- a/test/dispatcher.test.ts
+++ b/test/dispatcher.test.ts
@@ -31,7 +31,7 @@
   return world;
 }
 
-test('requests go to the backend with the fastest expected answer', (t) => {
+test('requests go to the backend with the fastest expected response', (t) => {
   const world = new GatewayHarness(backendOf('slow'), backendOf('fast'));
   world.dispatcher.learnSpeed('slow', 1, 50);
   world.dispatcher.learnSpeed('fast', 1, 10);
@@ -49,7 +49,7 @@
   t.deepEqual(usedBackends(world), ['c', 'c']);
 });
 
-test('when every backend is unlisted at once they stay usable for a grace period', async (t) => {
+test('when every backend is unlisted at once, all stay usable for a grace period', async (t) => {
   const world = new GatewayHarness(backendOf('a'));
   world.dispatcher.updateBackend('a', undefined, 0);
   world.request();
@@ -75,7 +75,7 @@
   t.is(world.attempts[1]!.path, '/first');
 });
 
-test('the grant of a full engine serves the request that is first in the queue by then', (t) => {
+test('a grant of a full engine serves the request that is first in the queue when it arrives', (t) => {
   const world = createWorldWithFullEngine();
   world.request({ route: SECOND, path: '/second' });
   t.deepEqual(world.agentMessages.at(-1)?.[1].kind, 'demand');
@@ -93,7 +93,7 @@
   t.deepEqual(world.agentMessages.at(-1), ['a', { kind: 'grant-returned' }]);
 });
 
-test('slots taken after an agent counted its occupied slots are not taken twice', (t) => {
+test('a taken slot that the agent state does not include yet counts as occupied', (t) => {
   const world = new GatewayHarness(backendOf('a'));
   world.engines = true;
   world.dispatcher.connectAgent('a', 0);
@@ -115,7 +115,7 @@
   t.is(world.attempts.length, 2);
 });
 
-test('without its agent an engine gets a share of its slots from each gateway', async (t) => {
+test('without a connected agent each gateway uses only its share of the slots of an engine', async (t) => {
   const world = new GatewayHarness(backendOf('a', { slots: 8 }));
   world.engines = true;
   world.gateways = 2;
@@ -127,7 +127,7 @@
   t.is(world.attempts.length, 5);
 });
 
-test('when gateways outnumber the slots of an engine without an agent, not all send', (t) => {
+test('when gateways outnumber the slots of an engine without an agent, only some send to it', (t) => {
   const inputs = { isEngine: true, gateways: 27, shareWithoutAgent: 1.25 };
   const engine = new KnownBackend(backendOf('a', { slots: 10 }), 0);
   const names = Array.from({ length: 27 }, (_unused, index) => `gateway-${index}`);
@@ -153,7 +153,7 @@
   t.true(usedBackends(world).includes('c'));
 });
 
-test('a backend that keeps failing gets no requests, unless all backends fail', (t) => {
+test('an ejected backend gets no requests, unless all backends are ejected', (t) => {
   const world = new GatewayHarness(backendOf('bad', { slots: 9 }), backendOf('good', { slots: 9 }));
   for (let index = 0; index < 5; index += 1) {
     world.dispatcher.finish('bad', 'failed', 0);
@@ -228,7 +228,7 @@
   );
 });
 
-test('time without waiting requests does not count towards the expected wait', async (t) => {
+test('time without waiting requests does not lengthen the expected wait', async (t) => {
   const world = new GatewayHarness(backendOf('a', { slots: 1 }));
   for (let round = 0; round < 12; round += 1) {
     world.request({ route: SECOND });
@@ -282,7 +282,7 @@
   t.is(world.attempts.at(-1)!.backend.id, 'slow');
 });
 
-test('failures of a backend without an agent lower its rank and decay in seconds', async (t) => {
+test('failures of a backend without an agent raise its cost and decay within seconds', async (t) => {
   const world = new GatewayHarness(backendOf('a', { slots: 8 }), backendOf('b', { slots: 8 }));
   const failing = world.directory.find('a')!;
   for (let index = 0; index < 4; index += 1) {
@@ -335,7 +335,7 @@
   t.is(world.attempts[0]!.path, '/repeatable');
 });
 
-test('a grant of an engine on trial goes to a repeatable request, else to the last', (t) => {
+test('a grant of an engine on trial goes to a repeatable request, else to the last in the queue', (t) => {
   const world = createWorldWithFullEngine();
   const state = { kind: 'state', failureShare: 0, messagesSeen: 0, speed: {} } as const;
   world.dispatcher.receiveFromAgent('a', { ...state, occupied: 2, availability: 'trial' }, 0);
--- a/test/engine-subset.test.ts
+++ b/test/engine-subset.test.ts
@@ -14,11 +14,11 @@
 
 const OWNER = { name: 'g1', zone: 'z0' };
 
-test('a small deployment is selected as a whole', (t) => {
+test('in a small deployment all engines are selected', (t) => {
   t.is(selectSubset(enginesOf(3, 5), OWNER).size, 15);
 });
 
-test('the subset holds the engines of the own zone and two of each other zone', (t) => {
+test('the subset holds the engines of the local zone and two of each other zone', (t) => {
   const engines = enginesOf(4, 20);
   const chosen = engines.filter(({ id }) => selectSubset(engines, OWNER).has(id));
   t.is(chosen.filter(({ zone }) => zone === 'z0').length, 20);
@@ -61,22 +61,20 @@
   const world = new GatewayHarness();
   world.engines = true;
   backends.forEach((backend) => world.directory.update(backend.id, backend, 0));
-  const assigned = new Set(
-    world.directory
-      .list()
-      .flatMap(({ backend, isInSubset: isAssigned }) => (isAssigned ? [backend.id] : [])),
+  const subset = new Set(
+    world.directory.list().flatMap(({ backend, isInSubset }) => (isInSubset ? [backend.id] : [])),
   );
-  t.is(assigned.size, 22);
+  t.is(subset.size, 22);
   await world.clock.runUntil(200);
   for (let count = 0; count < 22; count += 1) {
     world.request();
   }
-  t.true(world.attempts.every(({ backend }) => assigned.has(backend.id)));
-  for (const id of assigned) {
+  t.true(world.attempts.every(({ backend }) => subset.has(backend.id)));
+  for (const id of subset) {
     world.directory.update(id, undefined, 0);
   }
   world.request();
-  t.false(assigned.has(world.attempts.at(-1)!.backend.id));
+  t.false(subset.has(world.attempts.at(-1)!.backend.id));
 });
 
 /** Six zones in three regions: z0 and z3, z1 and z4, z2 and z5. */
@@ -90,7 +88,7 @@
     .map((engine) => REGIONS.distance(zone, engine.zone));
 }
 
-test('over several regions the subset holds the own region and a few of each other', (t) => {
+test('over several regions the subset holds the local region and a few engines of each other', (t) => {
   const engines = enginesOf(6, 6);
   const distances = distancesOf(
     selectSubset(engines, { ...OWNER, places: REGIONS }),
@@ -124,7 +122,7 @@
   t.is(selectSubset(engines, { ...OWNER, places: REGIONS }).size, 16);
 });
 
-test('with one region, or without named regions, the selection is by zone and hash alone', (t) => {
+test('with one region, or none configured, the selection is by zone and hash alone', (t) => {
   const engines = enginesOf(5, 20);
   const oneRegion = new ZoneTopology(new Map(engines.map(({ zone }) => [zone, 'r'])));
   for (const places of [undefined, new ZoneTopology(new Map()), oneRegion]) {
--- a/test/lost-paths.test.ts
+++ b/test/lost-paths.test.ts
@@ -18,11 +18,11 @@
 /** A gateway with two engines in each of two zones, whose agents send heartbeats or fall silent. */
 class TwoZones extends GatewayHarness {
   readonly suspected: Array<[string, SuspicionCause]> = [];
-  readonly regained: string[] = [];
+  readonly recovered: string[] = [];
   readonly silent = new Set<string>();
-  readonly paths = new PathMonitor(this.directory, {
+  readonly monitor = new PathMonitor(this.directory, {
     onSuspected: ({ backend }, cause) => void this.suspected.push([backend.id, cause]),
-    onRecovered: ({ backend }) => void this.regained.push(backend.id),
+    onRecovered: ({ backend }) => void this.recovered.push(backend.id),
   });
 
   constructor() {
@@ -52,25 +52,25 @@
           path.noteActivity(nowMs);
         }
       }
-      this.paths.checkPaths(nowMs);
+      this.monitor.checkPaths(nowMs);
       this.dispatcher.tick(nowMs);
     }
   }
 
-  /** Stops the heartbeats of the zone's agents; the connections to `declared` of them time out. */
-  silenceZone(zone: string, declared: readonly string[]): void {
+  /** Stops the heartbeats of the zone's agents; the connections to those in `timedOut` time out. */
+  silenceZone(zone: string, timedOut: readonly string[]): void {
     for (const { backend } of this.directory.list()) {
       if (backend.zone === zone) {
         this.silent.add(backend.id);
       }
     }
-    for (const id of declared) {
+    for (const id of timedOut) {
       this.dispatcher.disconnectAgent(id, this.clock.now());
       this.pathOf(id).noteAgentTimeout();
     }
   }
 
-  usedSince(index: number): string[] {
+  backendsUsedSince(index: number): string[] {
     return this.attempts.slice(index).map(({ backend }) => backend.id);
   }
 
@@ -92,7 +92,7 @@
   return world;
 }
 
-test('the first lost engine of a zone makes all suspect that have been silent since', async (t) => {
+test('once one engine of a zone is lost, other silent engines of the zone are suspect too', async (t) => {
   const world = await createActiveWorld();
   world.silenceZone('y', ['far1']);
   await world.runUntil(1_200);
@@ -127,7 +127,7 @@
   t.deepEqual(world.suspected, [['far1', 'connection-hung']]);
 });
 
-test('a gateway that was paused and so received nothing suspects no path', async (t) => {
+test('a paused gateway, which receives nothing from any engine, suspects no path', async (t) => {
   const world = await createActiveWorld();
   world.silenceZone('y', ['far1', 'far2']);
   world.silenceZone('z', ['near1', 'near2']);
@@ -135,7 +135,7 @@
   t.deepEqual(world.suspected, []);
 });
 
-test('heartbeats at the longest healthy interval keep a path trusted in a lost zone', async (t) => {
+test('an engine with heartbeats at the longest healthy interval stays trusted in a lost zone', async (t) => {
   const world = await createActiveWorld();
   world.silenceZone('y', ['far1']);
   await world.runUntil(700);
@@ -144,7 +144,7 @@
   t.deepEqual(world.suspected, [['far1', 'agent-silent']]);
 });
 
-test('an agent that closed its connection leaves the path trusted', async (t) => {
+test('the path to an agent that closed its connection stays trusted', async (t) => {
   const world = await createActiveWorld();
   world.silent.add('far1');
   world.dispatcher.disconnectAgent('far1', HEARTBEAT_MS);
@@ -159,17 +159,17 @@
   for (let count = 0; count < 12; count += 1) {
     world.request({ route: UNSAFE });
   }
-  t.deepEqual(new Set(world.usedSince(0)), new Set(['near1', 'near2']));
+  t.deepEqual(new Set(world.backendsUsedSince(0)), new Set(['near1', 'near2']));
   await world.runUntil(1_800);
   const before = world.attempts.length;
   for (let count = 0; count < 12; count += 1) {
     world.request({ route: SAFE });
   }
-  const tried = world.usedSince(before).filter((id) => id.startsWith('far'));
-  t.deepEqual(tried.sort(), ['far1', 'far2']);
+  const probed = world.backendsUsedSince(before).filter((id) => id.startsWith('far'));
+  t.deepEqual(probed.sort(), ['far1', 'far2']);
 });
 
-test('an answer on a suspect path ends the suspicion even while the agent is silent', async (t) => {
+test('a response on a suspect path ends the suspicion even while the agent is silent', async (t) => {
   const world = await createActiveWorld();
   const index = world.sendRequestTo('far1', UNSAFE);
   world.silenceZone('y', ['far1']);
@@ -179,10 +179,10 @@
   t.false(world.pathOf('far1').isSuspect);
   await world.runUntil(3_000);
   t.false(world.pathOf('far1').isSuspect);
-  t.true(world.regained.includes('far1'));
+  t.true(world.recovered.includes('far1'));
 });
 
-test('when every path is suspect all of them are used', async (t) => {
+test('when every path is suspect, all of them are used', async (t) => {
   const world = await createActiveWorld();
   for (const { path } of world.directory.list()) {
     path.suspect('agent-silent', world.clock.now());
@@ -190,7 +190,7 @@
   for (let count = 0; count < 8; count += 1) {
     world.request({ route: UNSAFE });
   }
-  t.is(new Set(world.usedSince(0)).size, 4);
+  t.is(new Set(world.backendsUsedSince(0)).size, 4);
   t.is(world.attempts.length, 8);
 });
 
@@ -203,7 +203,7 @@
   await world.runUntil(1_300);
   t.true(world.attempts[safe]!.isCancelled);
   t.false(world.attempts[unsafe]!.isCancelled);
-  const moved = world.usedSince(before);
+  const moved = world.backendsUsedSince(before);
   t.true(moved.length > 0);
   t.true(moved.every((id) => id.startsWith('near')));
 });
@@ -256,20 +256,20 @@
   );
   world.engines = true;
   world.directory.updateSubset('s');
-  const assigned = () =>
+  const reachableInSubset = () =>
     world.directory
       .list()
-      .filter(({ isInSubset: isAssigned, path }) => isAssigned && !path.isSuspect)
+      .filter(({ isInSubset, path }) => isInSubset && !path.isSuspect)
       .map(({ backend }) => backend.zone);
-  t.is(assigned().filter((zone) => zone === 'z').length, 10);
+  t.is(reachableInSubset().filter((zone) => zone === 'z').length, 10);
   for (const known of world.directory.list()) {
     if (known.backend.zone === 'z') {
       known.path.suspect('zone-silent', 0);
     }
   }
   world.directory.updateSubset('s');
-  t.is(assigned().length, 16);
-  t.false(assigned().includes('z'));
+  t.is(reachableInSubset().length, 16);
+  t.false(reachableInSubset().includes('z'));
 });
 
 test('engines without an agent are suspected and trusted again with their zone', async (t) => {
@@ -284,7 +284,7 @@
   t.false(world.pathOf('far3').isSuspect);
 });
 
-test('a non-repeatable request with hung connections moves on, counting no attempt', async (t) => {
+test('a non-repeatable request leaves hung connections, which do not count as attempts', async (t) => {
   const world = await createActiveWorld();
   const { reply } = world.request({ route: { ...UNSAFE, maxAttempts: 1 } });
   const hung = {
@@ -296,13 +296,13 @@
   for (let index = 0; index < 3; index += 1) {
     world.attempts[index]!.handlers.onFailure(hung);
   }
-  t.is(new Set(world.usedSince(0)).size, 4);
+  t.is(new Set(world.backendsUsedSince(0)).size, 4);
   world.answer(3, 200, 'whole');
   t.is(reply.status, 200);
   t.is(world.requestEnds[0]!.attempts, 1);
 });
 
-test('a request that left a lost path records path-lost, not an engine failure', async (t) => {
+test('an attempt that left a lost path ends as path-lost, not as an engine failure', async (t) => {
   const world = await createActiveWorld();
   const index = world.sendRequestTo('far1', SAFE);
   world.silenceZone('y', ['far1', 'far2']);
--- a/test/slot-supply.test.ts
+++ b/test/slot-supply.test.ts
@@ -2,8 +2,8 @@
 import { DecayedSum } from '../src/decayed-sum.js';
 import { SlotSupply } from '../src/gateway/dispatch/slot-supply.js';
 
-const PLACE = { tier: 1, rankInTier: 1, arrivedAtMs: 0, startByMs: 1_000 };
-const URGENT = { ...PLACE, tier: 0 };
+const PRIORITY = { tier: 1, rankInTier: 1, arrivedAtMs: 0, startByMs: 1_000 };
+const URGENT = { ...PRIORITY, tier: 0 };
 
 /**
  * Returns a supply with a slot every `slotMs` while requests wait, and an urgent arrival every
@@ -30,19 +30,19 @@
 });
 
 test('the expected wait is zero for a service without waiting requests', (t) => {
-  t.is(new SlotSupply().expectedWaitMs(PLACE, 3, false, 100), 0);
+  t.is(new SlotSupply().expectedWaitMs(PRIORITY, 3, false, 100), 0);
 });
 
 test('the expected wait counts the requests ahead and later, more urgent arrivals', (t) => {
   const supply = busySupply(10, 20);
   const urgentMs = supply.expectedWaitMs(URGENT, 1, false, 10_000);
-  const otherMs = supply.expectedWaitMs(PLACE, 1, false, 10_000);
+  const otherMs = supply.expectedWaitMs(PRIORITY, 1, false, 10_000);
   t.true(urgentMs > 15 && urgentMs < 25, `${urgentMs}`);
   t.true(otherMs > 35 && otherMs < 45, `${otherMs}`);
 });
 
 test('the expected wait is infinite when more urgent requests take every slot', (t) => {
-  t.is(busySupply(20, 10).expectedWaitMs(PLACE, 0, false, 10_000), Infinity);
+  t.is(busySupply(20, 10).expectedWaitMs(PRIORITY, 0, false, 10_000), Infinity);
 });
 
 test('a late request is ordered behind the arrivals of its own rank', (t) => {
@@ -59,5 +59,5 @@
     supply.noteBound(nowMs + 20);
     supply.noteWaiting(false, nowMs + 20);
   }
-  t.true(supply.expectedWaitMs(PLACE, 0, false, 4_100) < 40);
+  t.true(supply.expectedWaitMs(PRIORITY, 0, false, 4_100) < 40);
 });
--- a/test/support/cold-fleet.ts
+++ b/test/support/cold-fleet.ts
@@ -1,6 +1,6 @@
 /**
  * Simulates gateways and an agent around one cold engine on a virtual clock, over connections that
- * are slow, stall and break.
+ * can be slow, stall and break.
  */
 import { BackendDirectory } from '../../src/gateway/dispatch/backend-directory.js';
 import { coldStartShare } from '../../src/gateway/dispatch/cold-start-share.js';
@@ -30,7 +30,7 @@
 const ENGINE = backendOf('e', { slots: 60, remainingColdMs: 20_000 });
 const TICK_MS = 100;
 const SILENCE_MS = 1_000;
-/** Maximum number of requests sent to the engine within any one second. */
+/** Limits on the number of requests sent to the engine within any one second. */
 export const COLD_BOUND = coldStartBound(SERVICE, LIMITS)!;
 
 /**
@@ -51,9 +51,9 @@
     this.heardAtMs = fleet.clock.now();
   }
 
-  /** Delays all messages in both directions. */
-  stall(forMs: number): void {
-    this.stalledUntilMs = this.fleet.clock.now() + forMs;
+  /** Delays messages in both directions until the stall ends. */
+  stall(durationMs: number): void {
+    this.stalledUntilMs = this.fleet.clock.now() + durationMs;
   }
 
   deliver(to: 'agent' | 'gateway', action: () => void): void {
@@ -73,7 +73,7 @@
 class FleetGateway {
   link: Link | undefined;
   stalledUntilMs = 0;
-  isOff = false;
+  isStopped = false;
   private readonly directory: BackendDirectory;
   private readonly dispatcher: Dispatcher;
   private lastSentToAgentAtMs = 0;
@@ -83,20 +83,23 @@
     private readonly others: ReadonlySet<string>,
     private readonly startedAtMs: number,
     private readonly fleet: ColdFleet,
-    knowsRecord: boolean,
+    hasRecord: boolean,
   ) {
     const { clock } = fleet;
-    const orders = {
+    const operatorRules = {
       versionUse: () => 'open' as const,
       isEvacuated: () => false,
       regionOf: () => undefined,
     };
-    this.directory = new BackendDirectory({ name, zone: 'z' }, { isEngine: () => true, ...orders });
+    this.directory = new BackendDirectory(
+      { name, zone: 'z' },
+      { isEngine: () => true, ...operatorRules },
+    );
     this.dispatcher = new Dispatcher(this.directory, {
       sendToAgent: (_id, message) => this.send(message),
       onEjected: () => undefined,
       onAvailability: () => undefined,
-      ...orders,
+      ...operatorRules,
       onRestricted: () => undefined,
       onSent: () => undefined,
       isEngine: () => true,
@@ -104,7 +107,7 @@
       tokensPerEvent: () => 1,
       coldStarts: this.createLimiter(),
     });
-    const backend = knowsRecord ? ENGINE : { ...ENGINE, remainingColdMs: 0 };
+    const backend = hasRecord ? ENGINE : { ...ENGINE, remainingColdMs: 0 };
     this.dispatcher.updateBackend('e', backend, clock.now());
     this.directory.find('e')!.endAgentWait();
   }
@@ -116,7 +119,7 @@
   }
 
   connect(): void {
-    if (this.link !== undefined || this.isOff) {
+    if (this.link !== undefined || this.isStopped) {
       return;
     }
     const link = this.fleet.openLink(this);
@@ -135,13 +138,13 @@
       this.link = undefined;
       this.fleet.closeFromGateway(link);
     }
-    if (link !== undefined && !this.isOff) {
+    if (link !== undefined && !this.isStopped) {
       this.dispatcher.disconnectAgent('e', this.fleet.clock.now());
     }
   }
 
   receive(link: Link, message: AgentSlotMessage): void {
-    if (link === this.link && !this.isOff) {
+    if (link === this.link && !this.isStopped) {
       link.heardAtMs = this.fleet.clock.now();
       this.dispatcher.receiveFromAgent('e', message, link.heardAtMs);
     }
@@ -187,7 +190,7 @@
   private tick(): void {
     const { clock } = this.fleet;
     const nowMs = clock.now();
-    if (this.isOff) {
+    if (this.isStopped) {
       return;
     }
     if (nowMs >= this.stalledUntilMs) {
@@ -206,7 +209,7 @@
   private generateLoad(): void {
     const { clock, random } = this.fleet;
     const nowMs = clock.now();
-    if (this.isOff) {
+    if (this.isStopped) {
       return;
     }
     if (nowMs >= this.stalledUntilMs) {
@@ -237,7 +240,7 @@
 
   private noteStart(): void {
     const { clock, random, starts } = this.fleet;
-    if (this.isOff) {
+    if (this.isStopped) {
       return;
     }
     starts.push({ atMs: clock.now(), isLinked: this.link !== undefined });
@@ -260,8 +263,8 @@
   private readonly gateways: FleetGateway[] = [];
   private readonly names: readonly string[];
   private readonly links = new Map<number, Link>();
-  private ledger!: SlotAllocator;
-  private coldness!: EngineColdStart;
+  private allocator!: SlotAllocator;
+  private coldStart!: EngineColdStart;
   private nextLink = 1;
 
   constructor(
@@ -274,9 +277,9 @@
     this.names = Array.from({ length: size }, (_none, index) => `g${index}`);
     this.startAgent();
     this.names.forEach((name, index) => (this.gateways[index] = this.create(name, -10_000)));
-    this.repeat(300, () => this.ledger.sendHeartbeat(300, this.clock.now()));
-    this.repeat(50, () => this.endSilent());
-    this.repeat(250, () => this.injectFault());
+    this.schedulePeriodically(300, () => this.allocator.sendHeartbeat(300, this.clock.now()));
+    this.schedulePeriodically(50, () => this.closeTimedOut());
+    this.schedulePeriodically(250, () => this.injectFault());
   }
 
   openLink(gateway: FleetGateway): Link {
@@ -292,11 +295,11 @@
     }
     const nowMs = this.clock.now();
     if (message.kind === 'hello') {
-      this.coldness.applyHello(message.coldStart);
+      this.coldStart.applyHello(message.coldStart);
     } else if (message.kind === 'demand') {
-      this.coldness.extendColdPeriod(message.coldMs, nowMs);
+      this.coldStart.extendColdPeriod(message.coldMs, nowMs);
     }
-    this.ledger.receive(link.number, message, nowMs);
+    this.allocator.receive(link.number, message, nowMs);
   }
 
   closeFromGateway(link: Link): void {
@@ -305,51 +308,51 @@
 
   /** Returns the maximum number of requests sent within any one second. */
   get peakStarts(): { readonly all: number; readonly linked: number; readonly unlinked: number } {
-    const times = (kind: (isLinked: boolean) => boolean) =>
+    const peakOf = (kind: (isLinked: boolean) => boolean) =>
       peakPerSecondOf(this.starts.filter(({ isLinked }) => kind(isLinked)).map(({ atMs }) => atMs));
     return {
-      all: times(() => true),
-      linked: times((isLinked) => isLinked),
-      unlinked: times((isLinked) => !isLinked),
+      all: peakOf(() => true),
+      linked: peakOf((isLinked) => isLinked),
+      unlinked: peakOf((isLinked) => !isLinked),
     };
   }
 
   private removeLink(link: Link): void {
     if (this.links.delete(link.number)) {
-      this.ledger.disconnect(link.number, this.clock.now());
+      this.allocator.disconnect(link.number, this.clock.now());
     }
   }
 
   private startAgent(): void {
     const { clock } = this;
-    this.coldness = new EngineColdStart(
+    this.coldStart = new EngineColdStart(
       () => ({ service: undefined, backend: undefined, zoneReturnedAtMs: undefined }),
       LIMITS,
       clock.now(),
     );
-    const { coldness } = this;
-    const ledger: SlotAllocator = new SlotAllocator(
+    const { coldStart } = this;
+    const allocator: SlotAllocator = new SlotAllocator(
       {
         send: (connection, message) => this.send(connection, message),
         onGranted: () => undefined,
-        onChangesPending: () => clock.setTimeout(() => ledger.sendChanges(clock.now()), 250),
+        onChangesPending: () => clock.setTimeout(() => allocator.sendChanges(clock.now()), 250),
         onReconciled: () => undefined,
         onProbeNeeded: () => undefined,
         onAvailability: () => undefined,
         restriction: () => undefined,
         regionInfo: () => undefined,
         onForbiddenTake: () => undefined,
-        startRules: (nowMs) => coldness.startRules(nowMs),
+        startRules: (nowMs) => coldStart.startRules(nowMs),
         onStartsDelayed: (inMs) => {
           if (Number.isFinite(inMs)) {
-            clock.setTimeout(() => ledger.resumeGrants(clock.now()), inMs);
+            clock.setTimeout(() => allocator.resumeGrants(clock.now()), inMs);
           }
         },
       },
       undefined,
       clock.now(),
     );
-    this.ledger = ledger;
+    this.allocator = allocator;
   }
 
   private send(connection: number, message: AgentSlotMessage): void {
@@ -357,27 +360,27 @@
     link?.deliver('gateway', () => link.gateway.receive(link, message));
   }
 
-  private endSilent(): void {
-    for (const number of this.ledger.findTimedOut(this.clock.now())) {
-      this.endFromAgent(this.links.get(number)!);
+  private closeTimedOut(): void {
+    for (const number of this.allocator.findTimedOut(this.clock.now())) {
+      this.closeFromAgent(this.links.get(number)!);
     }
   }
 
-  private endFromAgent(link: Link): void {
+  private closeFromAgent(link: Link): void {
     this.removeLink(link);
     link.deliver('gateway', () => link === link.gateway.link && link.gateway.disconnect());
   }
 
   /**
    * Creates a gateway whose peer view holds all others and some that have ended. A gateway without
-   * the record of the cold engine first learns of it from the agent.
+   * the record of the cold engine first learns from the agent that it is cold.
    */
   private create(name: string, startedAtMs: number): FleetGateway {
-    const gone = Array.from({ length: randomInteger(this.random, 0, 4) }, (_none, i) => `x${i}`);
-    const others = new Set([...this.names.filter((other) => other !== name), ...gone]);
+    const ended = Array.from({ length: randomInteger(this.random, 0, 4) }, (_none, i) => `x${i}`);
+    const others = new Set([...this.names.filter((other) => other !== name), ...ended]);
     const isLinked = this.random.next() < 0.6;
-    const knows = !isLinked || this.random.next() < 0.7;
-    const gateway = new FleetGateway(name, others, startedAtMs, this, knows);
+    const hasRecord = !isLinked || this.random.next() < 0.7;
+    const gateway = new FleetGateway(name, others, startedAtMs, this, hasRecord);
     if (isLinked) {
       gateway.connect();
     }
@@ -390,19 +393,19 @@
     const { random, clock } = this;
     const index = randomInteger(random, 0, this.names.length - 1);
     const gateway = this.gateways[index]!;
-    const forMs = randomInteger(random, 100, 2_500);
+    const durationMs = randomInteger(random, 100, 2_500);
     switch (randomInteger(random, 0, 6)) {
       case 0:
-        gateway.link?.stall(forMs);
+        gateway.link?.stall(durationMs);
         break;
       case 1:
-        gateway.stalledUntilMs = clock.now() + forMs;
+        gateway.stalledUntilMs = clock.now() + durationMs;
         break;
       case 2:
         gateway.disconnect();
         break;
       case 3:
-        gateway.isOff = true;
+        gateway.isStopped = true;
         gateway.disconnect();
         this.gateways[index] = this.create(gateway.name, clock.now());
         break;
@@ -418,27 +421,27 @@
 
   private restartAgent(): void {
     for (const link of [...this.links.values()]) {
-      this.endFromAgent(link);
+      this.closeFromAgent(link);
     }
     this.startAgent();
   }
 
-  private repeat(periodMs: number, action: () => void): void {
+  private schedulePeriodically(periodMs: number, action: () => void): void {
     this.clock.setTimeout(() => {
       action();
-      this.repeat(periodMs, action);
+      this.schedulePeriodically(periodMs, action);
     }, periodMs);
   }
 }
 
 function peakPerSecondOf(timesMs: readonly number[]): number {
   let from = 0;
-  let most = 0;
+  let peak = 0;
   timesMs.forEach((atMs, index) => {
     while (timesMs[from]! < atMs - 1_000) {
       from += 1;
     }
-    most = Math.max(most, index - from + 1);
+    peak = Math.max(peak, index - from + 1);
   });
-  return most;
+  return peak;
 }
--- a/test/waiting-queue.test.ts
+++ b/test/waiting-queue.test.ts
@@ -32,7 +32,7 @@
   t.deepEqual(queue.inOrder(60), [next, urgent, last, lowerTier]);
 });
 
-test('only requests ordered before a place count as ahead of it', (t) => {
+test('only requests ordered before a request count as ahead of it', (t) => {
   const queue = new WaitingQueue();
   const first = requestOf({});
   const second = requestOf({ arrivedAtMs: 1 });
