--- a/src/gateway/admission/caller-listener.ts
+++ b/src/gateway/admission/caller-listener.ts
@@ -32,6 +32,7 @@
 /** Limit at which the HTTP parser rejects headers; the configured limit is lower. */
 const PARSER_HEADER_BYTES = 128 * 1024;
 const CONNECTION_CHECK_MS = 500;
+/** Unsent bytes of a response above which it is aborted. */
 const MAX_UNREAD_RESPONSE_BYTES = 4 * 1024 * 1024;
 
 /** HTTP server that accepts the connections of callers. */
@@ -92,7 +93,7 @@
     };
     const handlers = this.handleRequest(head, reply);
     let hasDisconnected = false;
-    const disconnect = () => {
+    const handleDisconnect = () => {
       hasDisconnected = true;
       if (!response.writableFinished) {
         handlers.onCallerDisconnected();
@@ -101,11 +102,13 @@
         response.destroy();
       }
     };
-    const stopWatching = this.disconnectWatchers.get(request.socket)?.onDisconnect(disconnect);
+    const stopWatching = this.disconnectWatchers
+      .get(request.socket)
+      ?.onDisconnect(handleDisconnect);
     response.on('finish', () => stopWatching?.());
     response.on('close', () => {
       stopWatching?.();
-      disconnect();
+      handleDisconnect();
     });
     this.readBody(request, {
       onTooLong: () => handlers.onTooLong(),
--- a/src/gateway/admission/caller-protocol.ts
+++ b/src/gateway/admission/caller-protocol.ts
@@ -39,7 +39,10 @@
   readonly isNotExecuted: boolean;
   /** Whether another backend than the named one responded at the address. */
   readonly isMisdirected: boolean;
-  /** The status that the backend reports; not meaningful if `isMisdirected` is set. */
+  /**
+   * What the backend declares about itself, such as its send limit; not meaningful if
+   * `isMisdirected` is set.
+   */
   readonly statement: BackendStatement;
 }
 
--- a/src/gateway/attempt/accepted-request.ts
+++ b/src/gateway/attempt/accepted-request.ts
@@ -17,7 +17,8 @@
    */
   readonly allowedRegions: AllowedRegions;
   /**
-   * Route and tenant whose settings restrict the regions; sent to agents that support home regions.
+   * Route and tenant whose settings restrict the regions; sent to slot agents that report `homes`,
+   * so that they can look up the allowed regions themselves.
    */
   readonly homeOwner?: RouteAndTenant | undefined;
   readonly arrivedAtMs: number;
@@ -29,8 +30,8 @@
   /** Prompt tokens; 0 if the request states none. */
   readonly promptTokens: number;
   /**
-   * Quota charged to the tenant for each run, in tokens or requests; 0 for a tenant without a
-   * quota.
+   * Quota charged to the tenant for the request and again for each charged retry, in tokens or
+   * requests; 0 for a tenant without a quota.
    */
   readonly quotaCost: number;
   readonly method: string;
--- a/src/gateway/attempt/attempt-progress.ts
+++ b/src/gateway/attempt/attempt-progress.ts
@@ -47,9 +47,9 @@
 
   /** Records that the response is complete. */
   recordCompletion(nowMs: number): void {
-    const pauses = this.eventCount - 1;
-    if (pauses > 0 && !this.isColdStart) {
-      this.dispatcher.learnEventInterval(this.backendId, (nowMs - this.firstEventAtMs) / pauses);
+    const intervals = this.eventCount - 1;
+    if (intervals > 0 && !this.isColdStart) {
+      this.dispatcher.learnEventInterval(this.backendId, (nowMs - this.firstEventAtMs) / intervals);
     }
   }
 
--- a/src/gateway/attempt/http-backend-sender.ts
+++ b/src/gateway/attempt/http-backend-sender.ts
@@ -23,7 +23,8 @@
   /** Connect timeout in addition to the round-trip time, in milliseconds. Default 200. */
   readonly connectTimeoutMs: number;
   /**
-   * Idle timeout of a connection whose backend advertises none, in milliseconds. Default 20,000.
+   * Limit from which the maximum idle time of a connection is derived, in milliseconds; a shorter
+   * timeout that its backend advertises is used instead. Default 20,000.
    */
   readonly idleMs: number;
   /** Maximum idle connections to one backend. Default 32. */
@@ -45,8 +46,7 @@
 
 /**
  * Time without a response after which a cancelled request on a reused connection indicates a dead
- * connection, in milliseconds. It is longer than callers wait that disconnect early, and shorter
- * than the others wait.
+ * connection, in milliseconds. Callers that disconnect early wait for less, all others for longer.
  */
 const SILENT_CONNECTION_MS = 500;
 
@@ -78,7 +78,7 @@
 
   /** Closes the idle connections to a backend that has ended. */
   endResting(address: string): void {
-    this.agent.endResting(splitAddress(address));
+    this.agent.closeIdleConnections(splitAddress(address));
   }
 
   /** Number of connections opened, by reason. */
@@ -144,7 +144,7 @@
       this.isReusedWithoutResponse &&
       performance.now() - this.startedAtMs > SILENT_CONNECTION_MS
     ) {
-      this.agent.endResting(this.address);
+      this.agent.closeIdleConnections(this.address);
     }
     this.setCloseReason('broken-off');
     this.abortRequest();
@@ -272,10 +272,10 @@
     this.handlers.onEnd();
   }
 
-  private setCloseReason(loss: ConnectionCloseReason): void {
+  private setCloseReason(reason: ConnectionCloseReason): void {
     const socket = this.request?.socket;
     if (socket) {
-      this.agent.connectionReasons.setCloseReason(socket, loss);
+      this.agent.connectionReasons.setCloseReason(socket, reason);
     }
   }
 
@@ -296,7 +296,7 @@
     if (!this.isReusedWithoutResponse) {
       return;
     }
-    this.agent.endResting(this.address);
+    this.agent.closeIdleConnections(this.address);
     const isStaleReset = performance.now() - startedAtMs <= STALE_RESET_MS + this.roundTripMs;
     if (isStaleReset && request?.socket) {
       this.agent.recordStaleReset(request.socket);
--- a/src/gateway/attempt/keep-alive-agent.ts
+++ b/src/gateway/attempt/keep-alive-agent.ts
@@ -13,15 +13,18 @@
 
 /** Limits of idle connections. */
 export interface IdleConnectionLimits {
-  /** Idle timeout of a connection whose backend advertises none, in milliseconds. */
+  /**
+   * Limit from which the maximum idle time of a connection is derived, in milliseconds; a shorter
+   * timeout that its backend advertises is used instead.
+   */
   readonly idleMs: number;
   /** Maximum idle connections to one backend. */
   readonly maxIdlePerBackend: number;
 }
 
 /**
- * Share of the idle timeout that is used, so that a backend that advertises none does not close
- * first.
+ * Share of `idleMs` that is used as the maximum idle time, so that a backend that advertises no
+ * timeout does not close first.
  */
 const IDLE_TIMEOUT_SHARE = 0.6;
 /** Minimum idle time after which a reset counts as a sign of stale connections, in milliseconds. */
@@ -63,8 +66,8 @@
   }
 
   /**
-   * Handles the reset of a reused connection before any response: lowers the timeout and closes
-   * idle ones above it.
+   * Handles the reset of a reused connection before any response: lowers the idle timeout and
+   * closes the connections that have been idle for longer.
    */
   recordStaleReset(socket: Socket): void {
     const idleMs = this.lastIdleMs.get(socket);
@@ -83,7 +86,7 @@
   }
 
   /** Closes the idle connections to one address. */
-  endResting({ host, port }: HostAndPort): void {
+  closeIdleConnections({ host, port }: HostAndPort): void {
     for (const idleSocket of this.freeSockets[this.getName({ host, port })] ?? []) {
       idleSocket.destroy();
     }
--- a/src/gateway/attempt/proxied-request.ts
+++ b/src/gateway/attempt/proxied-request.ts
@@ -27,8 +27,8 @@
 import { RequestRecord } from './request-record.js';
 
 /**
- * Maximum failed connects of one request, closed ports aside; each uses up a part of the caller's
- * time.
+ * Maximum failed connects after which a request is still sent elsewhere; each uses up a part of the
+ * caller's time. Closed ports are not counted.
  */
 const MAX_CONNECT_FAILURES = 4;
 const MIN_TIME_FOR_ATTEMPT_MS = 5;
@@ -134,8 +134,8 @@
   }
 
   /**
-   * Whether the backend is no longer permitted. An exhausted rollout share does not affect requests
-   * already in it.
+   * Whether the backend is no longer permitted. A version that a rollout has closed, for example
+   * because its share of the requests is used up, keeps the requests already assigned to it.
    */
   private isBackendForbidden(backend: Backend): boolean {
     const entry = this.ports.directory.find(backend.id);
@@ -148,12 +148,11 @@
    * network partition they are not, and the request would wait until its deadline for a response
    * that cannot arrive.
    */
-  handleBackendEnded(backendId: string, evidence: ExitEvidence): void {
-    const isAssigned = this.attempt !== undefined && this.backend?.id === backendId;
+  handleBackendEnded(id: string, evidence: ExitEvidence): void {
+    const isAssigned = this.attempt !== undefined && this.backend?.id === id;
     // A draining backend closes its port first and completes its requests; its connections show
     // when it ends.
-    const isDraining =
-      evidence !== 'replaced' && this.ports.directory.find(backendId)?.isLeaving === true;
+    const isDraining = evidence !== 'replaced' && this.ports.directory.find(id)?.isLeaving === true;
     if (isAssigned && !isDraining && !this.endedTimer.isRunning) {
       this.endedTimer.start(ENDED_GRACE_MS, () => this.failEndedBackend());
     }
@@ -207,13 +206,13 @@
     this.wait.begin();
   }
 
-  private failWait(homeReason: RegionRefusalReason | undefined): void {
-    if (homeReason === undefined && this.wait?.isEvacuated === true) {
+  private failWait(regionReason: RegionRefusalReason | undefined): void {
+    if (regionReason === undefined && this.wait?.isEvacuated === true) {
       this.replyWithFailure('zone-evacuated');
       return;
     }
     const hasBackends = this.ports.dispatcher.hasReady(this.request, NO_BACKENDS);
-    this.replyWithFailure(homeReason ?? (hasBackends ? 'overloaded' : 'no-backend'));
+    this.replyWithFailure(regionReason ?? (hasBackends ? 'overloaded' : 'no-backend'));
   }
 
   private send(backend: Backend, nowMs: number): void {
@@ -311,17 +310,13 @@
 
   /** Whether another eligible backend is reachable over a path that is not suspected. */
   private hasReachableAlternative(): boolean {
-    const others = new Set([...this.excludedIds, this.backend!.id]);
-    return this.ports.dispatcher.hasReachable(this.request, others, this.ports.clock.now());
+    const used = new Set([...this.excludedIds, this.backend!.id]);
+    return this.ports.dispatcher.hasReachable(this.request, used, this.ports.clock.now());
   }
 
-  private hasFreeSlotElsewhere(backendId: string): boolean {
+  private hasFreeSlotElsewhere(id: string): boolean {
     const { dispatcher, clock } = this.ports;
-    return dispatcher.hasCapacity(
-      this.request,
-      new Set([...this.excludedIds, backendId]),
-      clock.now(),
-    );
+    return dispatcher.hasCapacity(this.request, new Set([...this.excludedIds, id]), clock.now());
   }
 
   private recordReceipt(): void {
@@ -449,7 +444,7 @@
     }
     const backendId = this.backend!.id;
     this.endAttempt(outcomeOfFailure(failure), failure.detail);
-    this.reportBrokenRun(failure);
+    this.recordPossibleExit(failure);
     if (!failure.mayHaveRun) {
       this.attempts -= 1;
       // A closed port is detected at once, and no other request is sent there for now.
@@ -472,8 +467,11 @@
     this.replyWithFailure('backend-failed');
   }
 
-  /** Reports that the backend may have ended, because of this request or at the same time. */
-  private reportBrokenRun({ isPortClosed, mayHaveRun, isSilent }: AttemptFailure): void {
+  /**
+   * Records for crash attribution that the backend's port is closed or that its response was cut
+   * off.
+   */
+  private recordPossibleExit({ isPortClosed, mayHaveRun, isSilent }: AttemptFailure): void {
     const { crashes } = this.ports;
     if (isPortClosed) {
       crashes.recordBackendExit(this.backend!.id, 'port-closed');
@@ -494,13 +492,9 @@
 
   private canRetryElsewhere(): boolean {
     const { route } = this.request;
-    const others = new Set([...this.excludedIds, this.backend!.id]);
-    const hasOther = this.ports.dispatcher.hasNonResting(
-      this.request,
-      others,
-      this.ports.clock.now(),
-    );
-    return hasOther && this.mayRetry() && this.attempts < route.maxAttempts && this.hasTimeLeft();
+    const used = new Set([...this.excludedIds, this.backend!.id]);
+    const canMove = this.ports.dispatcher.hasNonResting(this.request, used, this.ports.clock.now());
+    return canMove && this.mayRetry() && this.attempts < route.maxAttempts && this.hasTimeLeft();
   }
 
   private hasTimeLeft(): boolean {
@@ -582,8 +576,8 @@
   }
 
   /**
-   * Cancels an attempt because of slowness or a disconnect; slowness of a cold backend does not
-   * count as its failure.
+   * Cancels the current attempt, if any, and ends it with `outcome`; silence of a backend that was
+   * cold at the send does not count as its failure.
    */
   private abortAttempt(outcome: AttemptOutcome, detail: string): void {
     if (this.attempt !== undefined && outcome !== 'refused') {
--- a/src/gateway/attempt/request-model.ts
+++ b/src/gateway/attempt/request-model.ts
@@ -32,7 +32,7 @@
   bytes: number;
   outcome: AttemptOutcome | 'under-way';
   detail: string;
-  /** Status that the backend reported in its response headers; omitted if it reported none. */
+  /** Statement of the backend in its response headers; omitted if it made none. */
   stated?: Pick<BackendStatement, 'limitPerS' | 'isLeaving' | 'restMs'>;
 }
 
@@ -44,6 +44,7 @@
    */
   readonly status: number;
   readonly reason: string;
+  /** Number of attempts that may have reached their backend. */
   readonly attempts: number;
   readonly tries: readonly AttemptRecord[];
   readonly waitedMs: number;
@@ -64,7 +65,7 @@
   readonly isBad: boolean | undefined;
 }
 
-/** The status report in a response head received from a backend. */
+/** The statement in a response head received from a backend. */
 export interface ResponseStatement extends ReceivedStatement {
   readonly backend: Backend;
   readonly requestId: string;
@@ -86,10 +87,10 @@
    * called synchronously.
    */
   chargeRetry(request: AcceptedRequest, onResult: (isGranted: boolean) => void): void;
-  /** Called with the status report of each response head that is from the intended backend. */
-  onStatement(heard: ResponseStatement): void;
+  /** Called with the statement in each response head that is from the intended backend. */
+  onStatement(statement: ResponseStatement): void;
   /** Called once at the end of each attempt. */
-  onTryOver(over: EndedAttempt): void;
+  onTryOver(attempt: EndedAttempt): void;
   /** Called once at the end of the request. */
   onEnd(request: AcceptedRequest, end: RequestEnd): void;
 }
@@ -99,9 +100,9 @@
   /** Interval at which the utility of waiting is recomputed, in milliseconds. Default 100. */
   readonly waitReviewMs: number;
   /**
-   * Callers give up a stream without an event for the longest of these: a time in milliseconds, and
-   * multiples of the target latency and of the maximum pause. Defaults 2,000, 4 and 8, as stated by
-   * users.
+   * Callers give up on a stream once it has sent no event for the longest of these: a time in
+   * milliseconds, and multiples of the target latency and of the maximum pause. Defaults 2,000, 4
+   * and 8, as stated by users.
    */
   readonly streamPatienceMs: number;
   readonly streamPatienceTargets: number;
@@ -121,15 +122,15 @@
   /** Retry-After of refusals, in milliseconds. Default 300. */
   readonly retryAfterMs: number;
   /**
-   * Bounds of the Retry-After when engines are full, in milliseconds. Defaults 300 and 2,500:
-   * below, a caller causes more attempts than it can gain from; above, a slot that becomes free
-   * sooner than expected is missed.
+   * Bounds of the Retry-After when all slots are occupied, in milliseconds. Defaults 300 and 2,500:
+   * a shorter one causes more attempts than a caller can gain from; with a longer one a slot that
+   * becomes free sooner than expected is missed.
    */
   readonly overloadRetryMinMs: number;
   readonly overloadRetryMaxMs: number;
   /**
-   * Maximum Retry-After as a share of the time that the caller has left; callers ignore more.
-   * Default 1/3.
+   * Maximum Retry-After as a share of the time that the caller has left; callers ignore a longer
+   * one. Default 1/3.
    */
   readonly maxRetryShare: number;
 }
--- a/src/gateway/attempt/request-record.ts
+++ b/src/gateway/attempt/request-record.ts
@@ -31,7 +31,7 @@
     });
   }
 
-  /** Adds the status that the backend reported to the current attempt. */
+  /** Adds the backend's statement to the current attempt. */
   addStatement(statement: BackendStatement): void {
     if (statement !== NO_STATEMENT) {
       const { limitPerS, isLeaving, restMs } = statement;
@@ -58,7 +58,8 @@
   }
 
   /**
-   * Returns the final record; `attempts` counts the backends that may have executed the request.
+   * Returns the final record; `attempts` counts only the attempts that may have reached their
+   * backend.
    */
   end(status: number, reason: string, attempts: number, nowMs: number): RequestEnd {
     const { arrivedAtMs, firstByteAtMs, tries, longestPauseMs } = this;
--- a/src/gateway/attempt/request-wait.ts
+++ b/src/gateway/attempt/request-wait.ts
@@ -25,14 +25,15 @@
   readonly request: AcceptedRequest;
   readonly ports: RequestPorts;
   readonly options: RequestOptions;
+  /** Response sent to the caller so far. */
   readonly answer: ResponseProgress;
   /** Ids of backends that must not be used. */
   readonly excluded: ReadonlySet<string>;
   /** Called when a slot is assigned. */
   onPlaced: DispatchRequest['onPlaced'];
   /**
-   * Called after the wait ended without a slot: `reason` if a home region rule prevents it, else no
-   * slot in time.
+   * Called after the wait ended without a slot; `reason` is set if no backend in the allowed
+   * regions can serve the request, and undefined if further waiting is not useful.
    */
   onAbandoned(reason?: RegionRefusalReason): void;
 }
@@ -77,7 +78,7 @@
   /** Submits the request; a slot may be assigned before this returns. */
   begin(): void {
     const { clock, dispatcher } = this.context.ports;
-    if (!this.endIfHomeRefused(clock.now())) {
+    if (!this.endIfRegionsRefused(clock.now())) {
       dispatcher.submit(this.dispatchRequest, clock.now());
       this.review();
       this.scheduleOtherRegions();
@@ -123,8 +124,8 @@
   }
 
   /**
-   * Time until the first eligible backend ends its requested pause (`rest`), in milliseconds; 0 if
-   * one is not paused.
+   * Time until the first eligible backend ends the backoff that it requested (`restMs`), in
+   * milliseconds; 0 if one is not in backoff.
    */
   private restLeftMs(nowMs: number): number {
     const { service, allowedRegions } = this.dispatchRequest;
@@ -148,11 +149,11 @@
     if (this.isOver || leftMs <= 0) {
       return;
     }
-    const review = () => {
+    const considerOtherRegions = () => {
       dispatcher.serveAgain(service, clock.now());
       this.scheduleOtherRegions();
     };
-    this.otherRegionsTimer = clock.setTimeout(review, Math.ceil(leftMs));
+    this.otherRegionsTimer = clock.setTimeout(considerOtherRegions, Math.ceil(leftMs));
   }
 
   /** Ends the wait if it is no longer useful; otherwise schedules the next review. */
@@ -160,24 +161,24 @@
     if (this.isOver) {
       return;
     }
-    const { ports, options, onAbandoned: onGivenUp } = this.context;
+    const { ports, options, onAbandoned } = this.context;
     const nowMs = ports.clock.now();
-    if (this.endIfHomeRefused(nowMs)) {
+    if (this.endIfRegionsRefused(nowMs)) {
       return;
     }
     if (!this.shouldKeepWaiting(nowMs)) {
       this.cancel();
-      onGivenUp();
+      onAbandoned();
       return;
     }
     this.reviewTimer = ports.clock.setTimeout(() => this.review(), options.waitReviewMs);
   }
 
   /**
-   * Ends the wait if no backend in the allowed home regions can serve the request; returns whether
+   * Ends the wait if no backend in the allowed regions can serve the request; returns whether
    * it did.
    */
-  private endIfHomeRefused(nowMs: number): boolean {
+  private endIfRegionsRefused(nowMs: number): boolean {
     const reason = this.context.ports.dispatcher.homeRefusal(this.dispatchRequest, nowMs);
     if (reason === undefined) {
       return false;
@@ -251,10 +252,10 @@
  * milliseconds.
  */
 function dueAtMs(
-  { firstAttemptAtMs: firstTriedAtMs, route }: AcceptedRequest,
+  { firstAttemptAtMs, route }: AcceptedRequest,
   lastEventAtMs: number | undefined,
 ): number {
   return lastEventAtMs === undefined
-    ? firstTriedAtMs + route.targetLatencyMs
+    ? firstAttemptAtMs + route.targetLatencyMs
     : lastEventAtMs + route.maxPauseMs;
 }
--- a/test/backend-sender.test.ts
+++ b/test/backend-sender.test.ts
@@ -19,7 +19,7 @@
   readonly failure?: AttemptFailure;
 }
 
-/** Starts a backend that handles each received request with `act` on the raw socket. */
+/** Starts a backend that calls `act` with the raw socket for each received request. */
 async function startBackend(
   act: (socket: Socket, requestNumber: number) => void,
 ): Promise<{ server: Server; address: string }> {
@@ -95,10 +95,10 @@
   const backend = backendOf('b', { address });
   const attempt = { backend, method: 'POST', path: '/', headers: [], body: Buffer.from('body') };
   const ignore = () => undefined;
-  const silent = { onHead: ignore, onData: ignore, onEnd: ignore, onFailure: ignore };
-  t.true(sender.send(attempt, silent).withdraw());
+  const handlers = { onHead: ignore, onData: ignore, onEnd: ignore, onFailure: ignore };
+  t.true(sender.send(attempt, handlers).withdraw());
   const ended = new Promise<boolean>((resolve) => {
-    const sent = sender.send(attempt, { ...silent, onHead: () => resolve(sent.withdraw()) });
+    const sent = sender.send(attempt, { ...handlers, onHead: () => resolve(sent.withdraw()) });
   });
   t.false(await ended);
   await new Promise((resolve) => setTimeout(resolve, 50));
@@ -344,9 +344,9 @@
 }
 
 test('connections are counted by the reason they were opened', async (t) => {
-  const answer = (socket: Socket) => void socket.write(`${FRAMED}a-01`);
-  t.deepEqual(await openReasonsFor(answer, { rounds: 3, pauseMs: 5 }), { first: 1 });
-  t.deepEqual(await openReasonsFor(answer, { rounds: 3, pauseMs: 150 }), {
+  const respond = (socket: Socket) => void socket.write(`${FRAMED}a-01`);
+  t.deepEqual(await openReasonsFor(respond, { rounds: 3, pauseMs: 5 }), { first: 1 });
+  t.deepEqual(await openReasonsFor(respond, { rounds: 3, pauseMs: 150 }), {
     first: 1,
     'rest-over': 2,
   });
@@ -372,8 +372,8 @@
 
 test('tracked backends are bounded, and the least recently used one counts as new after eviction', (t) => {
   const reasons: ConnectionOpenReason[] = [];
-  const causes = new ConnectionReasonTracker((reason) => reasons.push(reason));
-  const open = (index: number) => causes.recordOpened(`10.0.0.1:${index}`, new Socket());
+  const tracker = new ConnectionReasonTracker((reason) => reasons.push(reason));
+  const open = (index: number) => tracker.recordOpened(`10.0.0.1:${index}`, new Socket());
   open(0);
   for (let index = 1; index < 1_024; index += 1) {
     open(index);
--- a/test/caller-listener.test.ts
+++ b/test/caller-listener.test.ts
@@ -13,23 +13,23 @@
   readonly path: string;
   readonly reply: CallerReply;
   hasBody: boolean;
-  hasLeft: boolean;
+  hasDisconnected: boolean;
 }
 
 /** Starts a listener that only records its callbacks. */
-async function startListener(onBody: (taken: ReceivedRequest) => void = () => undefined) {
-  const taken: ReceivedRequest[] = [];
+async function startListener(onBody: (received: ReceivedRequest) => void = () => undefined) {
+  const received: ReceivedRequest[] = [];
   const listener = new CallerListener(
     ({ path }, reply) => {
-      const one: ReceivedRequest = { path, reply, hasBody: false, hasLeft: false };
-      taken.push(one);
+      const request: ReceivedRequest = { path, reply, hasBody: false, hasDisconnected: false };
+      received.push(request);
       return {
         onBody: () => {
-          one.hasBody = true;
-          onBody(one);
+          request.hasBody = true;
+          onBody(request);
         },
         onTooLong: () => undefined,
-        onCallerDisconnected: () => (one.hasLeft = true),
+        onCallerDisconnected: () => (request.hasDisconnected = true),
       };
     },
     () => 1_000_000,
@@ -37,10 +37,10 @@
   listener.server.listen(0, '127.0.0.1');
   await once(listener.server, 'listening');
   const { port } = listener.server.address() as AddressInfo;
-  return { listener, taken, call: () => callerOf(port) };
+  return { listener, received, connectCaller: () => connectTo(port) };
 }
 
-async function callerOf(port: number): Promise<Socket> {
+async function connectTo(port: number): Promise<Socket> {
   const socket = connect(port, '127.0.0.1');
   socket.on('error', () => undefined);
   await once(socket, 'connect');
@@ -48,34 +48,34 @@
 }
 
 test('a caller that ends its connection without reading the response is reported as disconnected', async (t) => {
-  const { listener, taken, call } = await startListener(({ reply }) => {
+  const { listener, received, connectCaller } = await startListener(({ reply }) => {
     reply.start(200, []);
     // More than the socket buffers hold, less than the gateway buffers for a slow reader.
     for (let written = 0; written < 60; written += 1) {
       reply.write(Buffer.alloc(64 * 1024));
     }
   });
-  const caller = await call();
+  const caller = await connectCaller();
   caller.pause();
   caller.write(REQUEST);
   await sleep(SYSTEM_CLOCK, 100);
-  t.true(taken[0]!.hasBody);
-  t.false(taken[0]!.hasLeft);
+  t.true(received[0]!.hasBody);
+  t.false(received[0]!.hasDisconnected);
   caller.end();
   await sleep(SYSTEM_CLOCK, DISCONNECT_WITHIN_MS);
-  t.true(taken[0]!.hasLeft);
+  t.true(received[0]!.hasDisconnected);
   caller.destroy();
   listener.server.closeAllConnections();
   listener.server.close();
 });
 
 test('a closed connection is reported as a disconnect to all requests sent on it', async (t) => {
-  const { listener, taken, call } = await startListener();
-  const caller = await call();
+  const { listener, received, connectCaller } = await startListener();
+  const caller = await connectCaller();
   caller.write(REQUEST + REQUEST.replace('/a', '/b'));
   await sleep(SYSTEM_CLOCK, 100);
   t.deepEqual(
-    taken.map(({ path, hasBody }) => [path, hasBody]),
+    received.map(({ path, hasBody }) => [path, hasBody]),
     [
       ['/a', true],
       ['/b', true],
@@ -84,7 +84,7 @@
   caller.destroy();
   await sleep(SYSTEM_CLOCK, DISCONNECT_WITHIN_MS);
   t.deepEqual(
-    taken.map(({ hasLeft }) => hasLeft),
+    received.map(({ hasDisconnected }) => hasDisconnected),
     [true, true],
   );
   listener.server.closeAllConnections();
@@ -92,14 +92,14 @@
 });
 
 test('the body of a disconnected caller is not passed on', async (t) => {
-  const { listener, taken, call } = await startListener();
-  const caller = await call();
+  const { listener, received, connectCaller } = await startListener();
+  const caller = await connectCaller();
   caller.write('POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\n12');
   await sleep(SYSTEM_CLOCK, 50);
   caller.destroy();
   await sleep(SYSTEM_CLOCK, DISCONNECT_WITHIN_MS);
-  t.true(taken[0]!.hasLeft);
-  t.false(taken[0]!.hasBody);
+  t.true(received[0]!.hasDisconnected);
+  t.false(received[0]!.hasBody);
   listener.server.closeAllConnections();
   listener.server.close();
 });
--- a/test/event-stream-parser.test.ts
+++ b/test/event-stream-parser.test.ts
@@ -10,8 +10,8 @@
       const parser = new EventStreamParser();
       const events = [];
       let from = 0;
-      for (let turn = 0; from < STREAM.length; turn += 1) {
-        const size = sizes[turn % sizes.length]!;
+      for (let index = 0; from < STREAM.length; index += 1) {
+        const size = sizes[index % sizes.length]!;
         events.push(...parser.push(Buffer.from(STREAM.slice(from, from + size))));
         from += size;
       }
--- a/test/first-attempt-deadlines.test.ts
+++ b/test/first-attempt-deadlines.test.ts
@@ -39,7 +39,7 @@
   t.is(deadlines.timeSinceFirstAttemptMs('r', LONGEST_MS - 900), 900);
 });
 
-test('routes are learned separately, and a route with few samples has only clear retries', (t) => {
+test('routes are learned separately, and with few samples only a much shorter deadline is a retry', (t) => {
   const deadlines = new FirstAttemptDeadlines();
   shareClassifiedAsRetries(deadlines, 1);
   t.is(deadlines.timeSinceFirstAttemptMs('other', 1_000), 0);
--- a/test/proxied-request.test.ts
+++ b/test/proxied-request.test.ts
@@ -176,7 +176,7 @@
   t.is(reply.body, EVENT_1);
 });
 
-test('an interrupted stream that is not resumable is aborted visibly', (t) => {
+test('an interrupted stream that is not resumable is aborted and never completed', (t) => {
   const world = twoBackends();
   const { reply } = world.request({ route: STREAM });
   const { handlers } = world.attempts[0]!;
@@ -251,7 +251,7 @@
   handlers.onData(Buffer.from(EVENT_2));
   handlers.onEnd();
   t.deepEqual([reply.body, reply.isEnded], [EVENT_1 + EVENT_2, true]);
-  t.is(world.chargedAgain, 1);
+  t.is(world.chargedRetries, 1);
 });
 
 test('an error response to a resumed stream aborts it and never completes it', (t) => {
@@ -347,7 +347,7 @@
   world.request({ route: safe });
   world.attempts[0]!.handlers.onFailure(RESET_FAILURE);
   t.is(world.attempts.length, 2);
-  t.is(world.chargedAgain, 1);
+  t.is(world.chargedRetries, 1);
   world.hasQuota = false;
   const { reply } = world.request({ route: safe });
   world.attempts[2]!.handlers.onFailure(RESET_FAILURE);
@@ -360,5 +360,5 @@
   world.request({ route: UNSAFE });
   world.attempts[0]!.handlers.onFailure(CONNECTION_REFUSED);
   t.is(world.attempts.length, 2);
-  t.is(world.chargedAgain, 0);
+  t.is(world.chargedRetries, 0);
 });
--- a/test/support/gateway-harness.ts
+++ b/test/support/gateway-harness.ts
@@ -157,7 +157,9 @@
     this,
   );
   readonly dispatcher = new Dispatcher(this.directory, this);
+  /** Retries left in the retry budget. */
   repeatsLeft = 10;
+  /** Whether the backends of all services are engines. */
   engines = false;
   gateways = 1;
   /** Versions with restricted use; all others are open. */
@@ -166,8 +168,8 @@
   readonly reachChanges: boolean[] = [];
   readonly evacuatedZones = new Set<string>();
   /**
-   * Home regions of the configuration in force; undefined leaves the regions of each request
-   * unchanged.
+   * Region restrictions of the configuration in force; undefined leaves the allowed regions of each
+   * request unchanged.
    */
   homes: RegionRestrictions | undefined;
   version = 1;
@@ -189,7 +191,7 @@
       isLeaving: (backendId) => this.directory.find(backendId)?.backend.state === 'draining',
       probe: ({ id }) => void this.probedBackendIds.push(id),
       onCrash: (crash) => void this.crashes.push(crash),
-      onTalliesChanged: (news) => void this.crashReports.push(...news),
+      onTalliesChanged: (changed) => void this.crashReports.push(...changed),
       onRefused: () => this.proxiedRequests.forEach((request) => request.refuseIfCrashing()),
     },
     this.clock,
@@ -217,9 +219,9 @@
     return sendLimitPerS(this.directory.find(backendId)!.condition) !== undefined;
   }
 
-  private recordStatement({ backend, ...heard }: ResponseStatement): void {
+  private recordStatement({ backend, ...received }: ResponseStatement): void {
     const known = this.directory.find(backend.id);
-    if (known?.condition.applyStatement(heard, this.clock.now()) === true) {
+    if (known?.condition.applyStatement(received, this.clock.now()) === true) {
       this.dispatcher.handleConditionChange(known, this.clock.now());
     }
   }
@@ -277,7 +279,7 @@
   }
 
   /** Number of retries charged to a tenant; `hasQuota` sets whether its quota suffices. */
-  chargedAgain = 0;
+  chargedRetries = 0;
   hasQuota = true;
 
   /** Evacuates a zone, or ends its evacuation. */
@@ -304,13 +306,13 @@
   }
 
   send(attempt: OutgoingAttempt, handlers: AttemptHandlers) {
-    const seen: RecordedAttempt = { ...attempt, handlers, isCancelled: false };
-    this.attempts.push(seen);
+    const recorded: RecordedAttempt = { ...attempt, handlers, isCancelled: false };
+    this.attempts.push(recorded);
     const ignore = () => undefined;
-    const cancel = () => void (seen.isCancelled = true);
+    const cancel = () => void (recorded.isCancelled = true);
     const withdraw = () => {
-      seen.isCancelled ||= this.unconnectableBackendIds.has(attempt.backend.id);
-      return seen.isCancelled;
+      recorded.isCancelled ||= this.unconnectableBackendIds.has(attempt.backend.id);
+      return recorded.isCancelled;
     };
     return { cancel, withdraw, pause: ignore, resume: ignore };
   }
@@ -353,12 +355,12 @@
       protocol: PLAIN_PROTOCOL,
       crashes: this.crashingRequests,
       chargeRetry: (_request: AcceptedRequest, onResult: (isGranted: boolean) => void) => {
-        this.chargedAgain += 1;
+        this.chargedRetries += 1;
         onResult(this.hasQuota);
       },
       takeRetry: () => this.repeatsLeft-- > 0,
-      onStatement: (heard: ResponseStatement) => this.recordStatement(heard),
-      onTryOver: (over: EndedAttempt) => void this.endedAttempts.push(over),
+      onStatement: (statement: ResponseStatement) => this.recordStatement(statement),
+      onTryOver: (attempt: EndedAttempt) => void this.endedAttempts.push(attempt),
       onEnd: (ended: AcceptedRequest, end: RequestEnd) => {
         this.requestEnds.push(end);
         this.endedRequests.push([ended, end]);
@@ -374,11 +376,16 @@
     const reply = new RecordedReply();
     const accepted = this.accept(changes);
     const owner = { route: accepted.route.name, tenant: accepted.tenant };
-    const followed =
+    const restricted =
       this.homes === undefined
         ? accepted
         : withActiveRegions(accepted, new RequestRegions(owner, () => this.homes));
-    const request = new ProxiedRequest(followed, reply, this.requestPorts, DEFAULT_REQUEST_OPTIONS);
+    const request = new ProxiedRequest(
+      restricted,
+      reply,
+      this.requestPorts,
+      DEFAULT_REQUEST_OPTIONS,
+    );
     this.proxiedRequests.push(request);
     request.begin();
     return { reply, request };
--- a/test/wait-utility.test.ts
+++ b/test/wait-utility.test.ts
@@ -23,7 +23,7 @@
   t.true(waitUtility(estimateOf({ ...never, untilLateMs: -1 })) < 0);
 });
 
-test('a late request waits for a slot expected soon, and not for one expected late', (t) => {
+test('a late request waits for a slot that is expected soon, but not for one expected much later', (t) => {
   t.true(waitUtility(estimateOf({ untilLateMs: -1, expectedWaitOnceLateMs: 300 })) > 0);
   t.true(waitUtility(estimateOf({ untilLateMs: -1, expectedWaitOnceLateMs: 5_000 })) < 0);
 });
