--- a/src/gateway/active-configuration.ts
+++ b/src/gateway/active-configuration.ts
@@ -24,7 +24,7 @@
   }
 
   /** Regions that its routes and tenants are restricted to; undefined before the first one. */
-  get namedRegions(): RegionRestrictions | undefined {
+  get regionRestrictions(): RegionRestrictions | undefined {
     return this.current?.regionRestrictions;
   }
 
@@ -51,8 +51,8 @@
   }
 
   /**
-   * The service's cold-start settings; undefined if its backends take the full rate from their
-   * start.
+   * The service's cold-start settings; undefined if the configuration does not name the service, or
+   * if its backends take the full rate from their start.
    */
   coldStartOf(service: string): Service | undefined {
     const found = this.current?.findService(service);
--- a/src/gateway/apply-order.ts
+++ b/src/gateway/apply-order.ts
@@ -7,9 +7,9 @@
 }
 
 /**
- * Sorts evacuations first and backends last, keeping the order of arrival within each kind. A
+ * Sorts evacuations first and backends last; updates of equal rank keep their order of arrival. A
  * backend starts to serve waiting requests as soon as it is applied, so the orders and allowed
- * regions that arrived with it must apply before.
+ * regions that arrived with it must be applied before it.
  */
 export function sortByApplyOrder<Update extends DecodedUpdate>(
   updates: readonly Update[],
--- a/src/gateway/gateway-adapter.ts
+++ b/src/gateway/gateway-adapter.ts
@@ -26,13 +26,13 @@
     expected: StorePosition,
   ): Promise<StoreWriteResult>;
   /**
-   * Writes the state of a rollout, if the stored one is still at `follows`.
+   * Writes the state of a rollout, if the stored one is still at `expected`.
    *
-   * @param follows - store position of the state to replace; revision 0 if there is none
+   * @param expected - store position of the state to replace; revision 0 if there is none
    */
   writeRolloutState(
     order: RolloutOrder,
     state: RolloutState,
-    follows: StorePosition,
+    expected: StorePosition,
   ): Promise<StoreWriteResult>;
 }
--- a/src/gateway/gateway-backends.ts
+++ b/src/gateway/gateway-backends.ts
@@ -16,7 +16,7 @@
   readonly clock: Clock;
   readonly log: DecisionLog;
   readonly metrics: GatewayMetrics;
-  /** Called when a new incarnation of a backend announced itself, so that `backendId` has ended. */
+  /** Called when a newer announcement shows that the incarnation `backendId` has ended. */
   onIncarnationEnded(backendId: string): void;
 }
 
@@ -33,11 +33,7 @@
     { name, announcement, problem: unreadable }: DecodedBackend,
     position: StorePosition,
   ): void {
-    const {
-      changes,
-      previousId: formerId,
-      problem: rejected,
-    } = this.incarnations.apply(name, announcement);
+    const { changes, previousId, problem: rejected } = this.incarnations.apply(name, announcement);
     this.reportProblem(name, unreadable ?? rejected, position);
     for (const { id, backend } of changes) {
       this.logChange(id, backend, position);
@@ -49,8 +45,8 @@
         isWithdrawn,
       );
     }
-    if (formerId !== undefined) {
-      this.dependencies.onIncarnationEnded(formerId);
+    if (previousId !== undefined) {
+      this.dependencies.onIncarnationEnded(previousId);
     }
   }
 
--- a/src/gateway/gateway-cluster.ts
+++ b/src/gateway/gateway-cluster.ts
@@ -35,7 +35,10 @@
 import type { CrashReportExchange, ConditionExchange } from './links/gateway-peers.js';
 import type { GatewayMetrics } from './metrics/gateway-metrics.js';
 
-/** Replication lag behind peers above which a gateway reads the store itself, in milliseconds. */
+/**
+ * Time for which the replica may lag behind a peer's before the gateway reads the store itself, in
+ * milliseconds.
+ */
 const MAX_REPLICATION_LAG_MS = 1_000;
 
 /**
@@ -63,7 +66,10 @@
   readonly network?: PeerNetwork;
   /** Orders records by the counters of their owners; see `CompareOwnerVersions`. */
   readonly compareByOwner: CompareOwnerVersions;
-  /** Called with new or changed records from the store or from peers. */
+  /**
+   * Called with records from the store or from peers that are new, changed, or the same write in a
+   * later epoch.
+   */
   onRecords(records: readonly AppliedRecord[], source: RecordsSource): void;
 }
 
@@ -76,7 +82,7 @@
   private readonly follower: StoreFollower;
   private readonly viewAge = new ReplicaAge();
   private isStoreReader = true;
-  private wasKnowledgeOld = true;
+  private wasViewStale = true;
   private readonly epochs: ReplicaEpochTracker;
 
   constructor(private readonly dependencies: GatewayClusterDependencies) {
@@ -138,7 +144,10 @@
     return this.isStoreReader;
   }
 
-  /** Store position up to which every value is known; `NO_POSITION` before the first listing. */
+  /**
+   * Store position up to which every value is known; `NO_POSITION` before the first records from
+   * the store or a peer.
+   */
   get position(): StorePosition {
     return this.records.currentTo;
   }
@@ -205,7 +214,7 @@
       statements,
       isReading: () => this.follower.isFollowing,
       knowledgeAgeMs: () => this.storeAgeMs,
-      onReplicaAge: (reach, ageMs) => this.applyPeerViewAge(reach, ageMs),
+      onReplicaAge: (progress, ageMs) => this.applyPeerViewAge(progress, ageMs),
       clock,
       random,
       network: this.dependencies.network,
@@ -263,11 +272,11 @@
   }
 
   /**
-   * Confirms the view if a peer's view, `ageMs` old and complete up to `progress`, holds nothing that
-   * it lacks.
+   * Confirms the view as of `ageMs` ago, if it is not behind a peer's view of that age, which has
+   * reached `progress`.
    */
-  private applyPeerViewAge(reach: ReplicaProgress, ageMs: number): void {
-    if (!this.records.isBehind(reach)) {
+  private applyPeerViewAge(progress: ReplicaProgress, ageMs: number): void {
+    if (!this.records.isBehind(progress)) {
       this.viewAge.confirm(this.dependencies.clock.now() - ageMs);
     }
   }
@@ -290,12 +299,12 @@
   }
 
   private logViewStaleness(): void {
-    const isOld = this.isKnowledgeOld;
-    if (isOld === this.wasKnowledgeOld) {
+    const isStale = this.isKnowledgeOld;
+    if (isStale === this.wasViewStale) {
       return;
     }
-    this.wasKnowledgeOld = isOld;
-    this.dependencies.log.write(isOld ? 'knowledge-old' : 'knowledge-confirmed', 'state', {
+    this.wasViewStale = isStale;
+    this.dependencies.log.write(isStale ? 'knowledge-old' : 'knowledge-confirmed', 'state', {
       storeAgeMs: this.storeAgeMs,
       ...this.records.progress,
       behindMs: this.exchange.behindMs,
--- a/src/gateway/gateway-cold-starts.ts
+++ b/src/gateway/gateway-cold-starts.ts
@@ -17,7 +17,10 @@
 export interface GatewayColdStartsDependencies {
   readonly limits: ColdStartLimits;
   readonly configuration: ActiveConfiguration;
-  /** When this process learned that a zone's evacuation had ended; undefined if it did not end. */
+  /**
+   * When this process learned that a zone's evacuation had ended; undefined if the zone is still
+   * evacuated or never was.
+   */
   returnedAtMs(zone: string): number | undefined;
   /** This gateway's view of the other gateways. */
   view(): PeerView;
@@ -37,7 +40,7 @@
       coldStartShare(dependencies.view(), backendId, total, nowMs),
     onStartDelayed: ({ backend: { service } }) =>
       metrics.record(({ startsHeld }) => startsHeld.inc({ service })),
-    onChange: (known, coldness) => logChange(known, coldness, dependencies),
+    onChange: (known, coldPeriod) => logChange(known, coldPeriod, dependencies),
   });
 }
 
@@ -66,15 +69,15 @@
 
 function logChange(
   { backend, agent }: KnownBackend,
-  coldness: ColdPeriod | undefined,
+  coldPeriod: ColdPeriod | undefined,
   { log, clock }: GatewayColdStartsDependencies,
 ): void {
   const nowMs = clock.now();
-  log.write(coldness === undefined ? 'cold-limit-left' : 'cold-limit-entered', 'state', {
+  log.write(coldPeriod === undefined ? 'cold-limit-left' : 'cold-limit-entered', 'state', {
     backend: backend.id,
-    reason: coldness?.reason,
-    ageMs: coldness && nowMs - coldness.sinceMs,
-    leftMs: coldness && coldness.untilMs - nowMs,
+    reason: coldPeriod?.reason,
+    ageMs: coldPeriod && nowMs - coldPeriod.sinceMs,
+    leftMs: coldPeriod && coldPeriod.untilMs - nowMs,
     isAgentConnected: agent !== undefined,
     revision: backend.revision,
   });
--- a/src/gateway/gateway-conditions.ts
+++ b/src/gateway/gateway-conditions.ts
@@ -38,7 +38,10 @@
   countGateways(): number;
   /** Sends conditions to every other gateway. */
   broadcastToPeers(conditions: readonly ConditionSnapshot[]): void;
-  /** Called when a backend's condition, or a send permit for it, changes what may be sent there. */
+  /**
+   * Called when a backend's condition changes or a send right for it arrives, so that what may be
+   * sent there changes.
+   */
   onChange(backendId: string): void;
   /** Whether the backend is still in the directory. */
   isKnown(backendId: string): boolean;
@@ -53,8 +56,8 @@
 const BROADCAST_DELAY_MS = 50;
 
 /**
- * Tracks backend-reported conditions (rate limit, rest, leaving) and enforces the rate limits by
- * send permits.
+ * Tracks backend-reported conditions (rate limit, backoff, draining) and enforces the rate limits
+ * by send rights.
  */
 export class GatewayConditions {
   readonly conditions: BackendConditions;
@@ -75,7 +78,7 @@
     this.pools = new SendRightPools(
       {
         limitOf,
-        heldSinceMs: (backendId) => dependencies.holders().soleSinceMs(holderKeyOf(backendId)),
+        heldSinceMs: (backendId) => dependencies.holders().soleSinceMs(issuerKeyOf(backendId)),
       },
       clock,
     );
@@ -83,8 +86,8 @@
       settings.process.name,
       {
         limitOf,
-        dealerOf: (backendId) => dependencies.holders().soleHolderOf(holderKeyOf(backendId)),
-        acquireLocally: (backendId, ask) => this.pools.acquire(backendId, ask),
+        dealerOf: (backendId) => dependencies.holders().soleHolderOf(issuerKeyOf(backendId)),
+        acquireLocally: (backendId, request) => this.pools.acquire(backendId, request),
         sendRightRequest: (holder, { id, backendId, place: { tier, rankInTier } }) =>
           dependencies.holders().sendTo(holder, {
             kind: 'send-right-ask',
@@ -93,7 +96,7 @@
             place: { tier, rankInTier },
             condition: this.conditionOf(backendId).snapshot(backendId, clock.now()),
           }),
-        returnRight: (holder, { id, backendId }) => this.giveBack(holder, id, backendId),
+        returnRight: (holder, { id, backendId }) => this.returnRight(holder, id, backendId),
         countGateways: () => dependencies.countGateways(),
         onRightReceived: (backendId) => dependencies.onChange(backendId),
       },
@@ -131,36 +134,36 @@
     this.conditions.merge(conditions, this.dependencies.clock.now());
   }
 
-  /** Answers a peer's request for a send permit from a pool of this gateway. */
+  /** Responds to a peer's request for a send right from a pool of this gateway. */
   answerPeer(
     { incarnation }: PeerHello,
     { id, backendId, place, condition }: PeerSendRightRequest,
-    reply: (answer: PeerSendRightResponse) => void,
+    reply: (response: PeerSendRightResponse) => void,
   ): void {
     if (condition !== undefined) {
       this.hearPeer([condition]);
     }
-    const answer = (isGranted: boolean) => reply({ kind: 'send-right-answer', id, isGranted });
+    const respond = (isGranted: boolean) => reply({ kind: 'send-right-answer', id, isGranted });
     this.pools.acquire(backendId, {
       name: rightRequestName(incarnation, id),
       place,
-      respond: answer,
+      respond,
     });
   }
 
-  /** Processes another gateway's answer to a permit request. */
+  /** Processes an issuer's response to a request for a send right. */
   receiveAnswer({ id, isGranted }: PeerSendRightResponse): void {
     this.rights.receiveResponse(id, isGranted);
   }
 
-  /** Returns a peer's unused permit to its pool. */
+  /** Returns a peer's unused send right to its pool. */
   takeBack({ incarnation }: PeerHello, { id, backendId }: PeerSendRightReturn): void {
     this.pools.returnRight(backendId, rightRequestName(incarnation, id));
   }
 
   /**
-   * Answers waiting permit requests and drops pools that this gateway no longer holds; called on
-   * each tick.
+   * Issues send rights to queued requests and closes pools of backends without a limit and of those
+   * whose rights this gateway no longer issues; called on each tick.
    */
   tick(): void {
     this.pools.issueAll();
@@ -180,7 +183,7 @@
     }
   }
 
-  private giveBack(holder: string, id: number, backendId: string): void {
+  private returnRight(holder: string, id: number, backendId: string): void {
     const { name } = this.dependencies.settings.process;
     if (holder === name) {
       this.pools.returnRight(backendId, rightRequestName(name, id));
@@ -217,14 +220,14 @@
   }
 
   private logChange(backendId: string, condition: BackendCondition, source: ConditionSource): void {
-    const { limitPerS, isLeaving, backoffUntilMs: restUntilMs } = condition;
+    const { limitPerS, isLeaving, backoffUntilMs } = condition;
     const logged = this.loggedLimits.get(backendId);
     const isSameLimit =
       limitPerS !== undefined &&
       logged !== undefined &&
       Math.abs(limitPerS - logged) <= logged * MIN_LOGGED_LIMIT_CHANGE;
-    const restLeftMs = restUntilMs - this.dependencies.clock.now();
-    if (isSameLimit && !isLeaving && restLeftMs <= 0) {
+    const backoffLeftMs = backoffUntilMs - this.dependencies.clock.now();
+    if (isSameLimit && !isLeaving && backoffLeftMs <= 0) {
       return;
     }
     this.loggedLimits.set(backendId, limitPerS);
@@ -233,12 +236,12 @@
       source,
       limitPerS,
       isLeaving,
-      restLeftMs: restLeftMs > 0 ? restLeftMs : undefined,
+      restLeftMs: backoffLeftMs > 0 ? backoffLeftMs : undefined,
     });
   }
 }
 
-/** Key by which the gateway that grants a backend's send permits is found. */
-function holderKeyOf(backendId: string): string {
+/** Key of a backend's send rights; the sole holder of this resource is their issuer. */
+function issuerKeyOf(backendId: string): string {
   return `send/${backendId}`;
 }
--- a/src/gateway/gateway-crashes.ts
+++ b/src/gateway/gateway-crashes.ts
@@ -33,7 +33,7 @@
 /** Tracks requests that crash backends. */
 export class GatewayCrashes {
   readonly requests: CrashingRequests;
-  private readonly portProbes: ExitProber;
+  private readonly exitProber: ExitProber;
   private readonly recordWriter: CrashRecordWriter;
 
   constructor(private readonly dependencies: GatewayCrashesDependencies) {
@@ -41,14 +41,14 @@
     this.requests = new CrashingRequests(
       {
         isLeaving: (backendId) => directory.find(backendId)?.isLeaving === true,
-        probe: (backend) => this.portProbes.start(backend),
+        probe: (backend) => this.exitProber.start(backend),
         onCrash: (crash) => this.reportCrash(crash),
         onTalliesChanged: (tallies, source) => this.publishTallies(tallies, source),
         onRefused: () => dependencies.refuseWaiting(),
       },
       clock,
     );
-    this.portProbes = new ExitProber(
+    this.exitProber = new ExitProber(
       {
         hasAgent: (backendId) => directory.find(backendId)?.agent !== undefined,
         probe: probePort,
--- a/src/gateway/gateway-evacuations.ts
+++ b/src/gateway/gateway-evacuations.ts
@@ -21,19 +21,22 @@
   readonly log: Pick<DecisionLog, 'write'>;
   /** Age of the view of the store, in milliseconds; undefined before the first confirmation. */
   storeAgeMs(): number | undefined;
-  /** Redirects unsent requests whose backend is not permitted any more; returns their number. */
+  /** Redirects unsent requests whose backend is no longer permitted; returns their number. */
   withdrawUnsent(): number;
 }
 
 /** The zone evacuations that this gateway applies. */
 export class GatewayEvacuations {
   readonly zones = new ZoneEvacuations();
-  /** Evacuated zones in which requests of this gateway still run. */
+  /**
+   * Evacuated zones in which requests of this gateway may still run; once none does, `zone-cleared`
+   * is logged.
+   */
   private readonly drainingZones = new Set<string>();
 
   constructor(private readonly dependencies: GatewayEvacuationsDependencies) {}
 
-  /** Applies an evacuation order or its removal before it returns. */
+  /** Applies an evacuation order or its removal, synchronously. */
   apply(change: EvacuationChange): void {
     const { dispatcher, clock } = this.dependencies;
     const nowMs = clock.now();
@@ -63,8 +66,8 @@
         epoch,
         revision,
         afterMs: clock.now() - learnedAtMs,
-        // Logged here, not with the order: a listing names orders before the backends of their
-        // zones.
+        // Logged here, not with the order: orders are applied before the backends of the same
+        // listing.
         isKnownZone: places.isKnown(zone) || backends.length > 0,
       });
     }
--- a/src/gateway/gateway-paths.ts
+++ b/src/gateway/gateway-paths.ts
@@ -22,7 +22,7 @@
 /** The network paths from this gateway to its backends. */
 export class GatewayPaths {
   private readonly monitor: PathMonitor;
-  /** Time up to which all received data has been read. */
+  /** All data that had arrived by this time has been read. */
   private readUpToMs = -Infinity;
   private isStopped = false;
 
@@ -38,12 +38,12 @@
     });
   }
 
-  /** Number of backends whose network paths are suspected to be cut. */
+  /** Number of backends whose network paths from this gateway are suspected to be cut. */
   countSuspected(): number {
     return this.monitor.countSuspect();
   }
 
-  /** Checks the paths for silence and opens missing links; called on each tick. */
+  /** Checks the paths for silence and opens or closes links; called on each tick. */
   tick(): void {
     afterPendingReads(this.dependencies.clock, (readUpToMs) => this.checkSilence(readUpToMs));
   }
--- a/src/gateway/gateway-quotas.ts
+++ b/src/gateway/gateway-quotas.ts
@@ -32,7 +32,10 @@
   readonly settings: GatewaySettings;
   /** Unique for each start of the process. */
   readonly incarnation: string;
-  /** Start of this process, in milliseconds; its predecessor had ended by then. */
+  /**
+   * Start of this process, in milliseconds; the previous process of the same name had ended by
+   * then.
+   */
   readonly startedAtMs: number;
   readonly places: ZoneTopology;
   readonly adapter: Pick<GatewayAdapter, 'writeOwnRecord'>;
@@ -54,9 +57,12 @@
 }
 
 const MS_PER_S = 1_000;
-/** Ticks between two checks whether the member record must be written. */
+/** Ticks between two checks whether the membership record must be written. */
 const MEMBERS_CHECK_TICKS = 3;
-/** Cost order of pool holders; this gateway's own pools rank 0, as they need no message. */
+/**
+ * Order of preference of pool holders, lowest first; this gateway itself ranks 0, as its pools need
+ * no message.
+ */
 const DISTANCE_RANKS = { 'same-zone': 1, 'same-region': 2, 'other-region': 3 } as const;
 
 /** Charges requests to tenant quotas and holds this gateway's share of the quota pools. */
@@ -80,15 +86,15 @@
     this.rights = new QuotaRights(
       name,
       dependencies.startedAtMs,
-      () => this.reviewRights(),
+      () => this.handleRightsChange(),
       () => this.pools.credit(dependencies.tenants(), clock.now()),
     );
     this.pools = new QuotaPools(tolerance, {
       quotaOf: (tenant) => dependencies.quotaOf(tenant),
       heldSinceMs: (tenant) => this.rights.heldSinceMs(tenant, clock.now()),
       countPools: () => this.rights.pools,
-      onExhaustedChange: (tenant, isDry, level, terms) =>
-        this.logPoolState(tenant, isDry, level, terms),
+      onExhaustedChange: (tenant, isExhausted, level, config) =>
+        this.logPoolState(tenant, isExhausted, level, config),
     });
     this.charges = new QuotaCharges(
       name,
@@ -97,7 +103,7 @@
       this.pools,
       {
         quotaOf: (tenant) => dependencies.quotaOf(tenant),
-        sendRequest: (holder, ask) => this.sendTo(holder, { kind: 'quota-ask', ...ask }),
+        sendRequest: (holder, request) => this.sendTo(holder, { kind: 'quota-ask', ...request }),
         sendRefund: (holder, { id, tenant }) =>
           void this.sendTo(holder, { kind: 'quota-return', id, tenant }),
         distanceOf: (holder) => this.distanceOf(holder),
@@ -124,7 +130,7 @@
     );
   }
 
-  /** Store position of the applied member record; revision 0 if there is none. */
+  /** Store position of the applied membership record; revision 0 if there is none. */
   get position(): StorePosition {
     return positionOf(this.rights.record);
   }
@@ -159,14 +165,14 @@
     return this.rights.soleSinceMs(key, this.dependencies.clock.now());
   }
 
-  /** Applies the member record of the store. */
+  /** Applies the membership record of the store. */
   applyRecord(record: QuotaMembersRecord): void {
     if (!this.rights.take(record, this.dependencies.clock.now())) {
       return;
     }
     const { members, settled, epoch, revision, sequence, credits, isLost } = this.rights.record;
     this.dependencies.addPeers((members ?? []).map(({ address }) => address));
-    this.refreshContact();
+    this.renewRightsLease();
     this.dependencies.log.write('quota-members', 'state', {
       members: members?.length,
       settled: settled.length,
@@ -178,7 +184,7 @@
     });
   }
 
-  /** Processes a peer's heartbeat, which names the member record that the peer has applied. */
+  /** Processes a peer's heartbeat, which names the membership record that the peer has applied. */
   receiveHeartbeat(
     { name, address, zone = '' }: PeerHello,
     { quotaPosition, ageMs }: PeerHeartbeat,
@@ -190,14 +196,19 @@
     this.peersByName.set(name, { name, zone, region, address, heardAtMs, startedAtMs, follows });
   }
 
-  /** Answers a peer's request for a grant from a pool of this gateway. */
-  answerPeer({ incarnation }: PeerHello, ask: PeerQuotaRequest): PeerQuotaResponse {
+  /** Returns the response to a peer's request for a grant from a pool of this gateway. */
+  answerPeer({ incarnation }: PeerHello, request: PeerQuotaRequest): PeerQuotaResponse {
     const nowMs = this.dependencies.clock.now();
-    const grant = this.pools.acquire(ask.tenant, ask, grantKey(incarnation, ask.id), nowMs);
-    return { kind: 'quota-answer', id: ask.id, grant };
+    const grant = this.pools.acquire(
+      request.tenant,
+      request,
+      grantKey(incarnation, request.id),
+      nowMs,
+    );
+    return { kind: 'quota-answer', id: request.id, grant };
   }
 
-  /** Processes a pool holder's answer to a grant request. */
+  /** Processes a pool holder's response to a grant request. */
   receiveAnswer({ id, grant }: PeerQuotaResponse): void {
     this.charges.receive(id, grant);
   }
@@ -207,28 +218,31 @@
     this.pools.refund(tenant, grantKey(incarnation, id), this.dependencies.clock.now());
   }
 
-  /** Updates the contact state and writes the member record if due; called on each tick. */
+  /**
+   * Renews the lease on the quota rights and writes the membership record if due; called on each
+   * tick.
+   */
   tick(): void {
     this.ticks += 1;
-    this.refreshContact();
+    this.renewRightsLease();
     if (this.ticks % MEMBERS_CHECK_TICKS === 0) {
       this.writer.tick();
     }
   }
 
-  /** Stops writing the member record. */
+  /** Stops writing the membership record. */
   stop(): void {
     this.writer.stop();
   }
 
-  private refreshContact(): void {
+  private renewRightsLease(): void {
     const nowMs = this.dependencies.clock.now();
     const storeAgeMs = this.dependencies.storeAgeMs() ?? Infinity;
     this.rights.renewLease(Math.max(nowMs - storeAgeMs, this.majorityHeardAtMs(nowMs)), nowMs);
     const hasRights = !this.rights.isLeaseExpired(nowMs);
     if (hasRights !== this.hadRights) {
       this.hadRights = hasRights;
-      this.reviewRights();
+      this.handleRightsChange();
       this.dependencies.log.write(
         hasRights ? 'quota-rights-held' : 'quota-rights-lapsed',
         'state',
@@ -257,7 +271,7 @@
     return this.dependencies.settings.process.name;
   }
 
-  private reviewRights(): void {
+  private handleRightsChange(): void {
     this.pools.dropLostPools();
     this.charges.resetReserves();
   }
@@ -267,7 +281,7 @@
     return this.dependencies.sendToPeer(this.findMember(holder)?.address ?? '', message);
   }
 
-  /** A member as of its last heartbeat, or else as in the member record. */
+  /** A member as of its last heartbeat, or else as in the membership record. */
   private findMember(name: string): QuotaMember | undefined {
     const { members = [] } = this.rights.record;
     return this.peersByName.get(name) ?? members.find((member) => member.name === name);
@@ -298,12 +312,17 @@
     }
   }
 
-  private logPoolState(tenant: string, isDry: boolean, level: number, terms: BucketConfig): void {
-    this.dependencies.log.write(isDry ? 'quota-pool-dry' : 'quota-pool-refilled', 'state', {
+  private logPoolState(
+    tenant: string,
+    isExhausted: boolean,
+    level: number,
+    config: BucketConfig,
+  ): void {
+    this.dependencies.log.write(isExhausted ? 'quota-pool-dry' : 'quota-pool-refilled', 'state', {
       tenant,
       level,
-      capacity: terms.capacity,
-      ratePerS: terms.refillPerMs * MS_PER_S,
+      capacity: config.capacity,
+      ratePerS: config.refillPerMs * MS_PER_S,
     });
   }
 }
--- a/src/gateway/gateway-requests.ts
+++ b/src/gateway/gateway-requests.ts
@@ -59,8 +59,8 @@
 const MS_PER_S = 1_000;
 const FIRST_ERROR_STATUS = 400;
 /**
- * Wait from which the log entry of a request lists excluded backends, in milliseconds; shorter
- * waits are harmless.
+ * Wait from which the log entry of a successful request lists excluded backends, in milliseconds;
+ * shorter waits are harmless.
  */
 const LONG_WAIT_MS = 100;
 
@@ -73,13 +73,13 @@
 interface ActiveRequest {
   readonly regions: RequestRegions;
   readonly proxied: ProxiedRequest;
-  /** Returns the initial charge to the tenant's quota. */
+  /** Refunds the initial charge to the tenant's quota. */
   refund(): void;
 }
 
 /** The caller-side handle of an admitted request. */
 interface AdmittedRequest {
-  callerLeft(): void;
+  handleCallerDisconnect(): void;
 }
 
 /** Admits, charges, dispatches and reports the requests of callers. */
@@ -88,7 +88,7 @@
   /** Requests whose quota charge is pending. */
   private readonly charging = new Set<AcceptedRequest>();
   private readonly admission: RequestAdmission;
-  private readonly unconfirmedRefusals: ConfigurationConfirmationQueue;
+  private readonly confirmationQueue: ConfigurationConfirmationQueue;
   private readonly retryBudget: RetryBudget;
   private readonly ports: RequestPorts;
 
@@ -102,7 +102,7 @@
       },
       dependencies.crashes,
     );
-    this.unconfirmedRefusals = new ConfigurationConfirmationQueue(
+    this.confirmationQueue = new ConfigurationConfirmationQueue(
       { isKnowledgeOld: () => dependencies.cluster.isKnowledgeOld },
       clock,
     );
@@ -128,12 +128,14 @@
     };
   }
 
-  /** Requests that wait for a confirmed configuration, a quota charge or a backend, or run. */
-  get countActive(): number {
-    return this.unconfirmedRefusals.count + this.charging.size + this.active.size;
+  /**
+   * Number of requests that wait for a confirmed configuration, a quota charge or a backend, or run.
+   */
+  get activeCount(): number {
+    return this.confirmationQueue.count + this.charging.size + this.active.size;
   }
 
-  /** Redirects unsent requests whose backend is not permitted any more; returns their number. */
+  /** Redirects unsent requests whose backend is no longer permitted; returns their number. */
   withdrawUnsent(): number {
     return [...this.active.values()].filter(({ proxied }) => proxied.withdrawIfUnsent()).length;
   }
@@ -182,7 +184,7 @@
       onTooLong: () => {
         this.refuse(caller, reply, { reason: 'body-too-long' });
       },
-      onCallerDisconnected: () => request?.callerLeft(),
+      onCallerDisconnected: () => request?.handleCallerDisconnect(),
     };
   }
 
@@ -206,7 +208,7 @@
    */
   private awaitConfirmation(received: ReceivedRequest, reply: CallerReply): AdmittedRequest {
     let request: AdmittedRequest | undefined;
-    const stopWaiting = this.unconfirmedRefusals.wait((isConfirmed) => {
+    const stopWaiting = this.confirmationQueue.wait((isConfirmed) => {
       const admitted = this.admission.admit(received, this.dependencies.configuration.table);
       if (admitted.ok) {
         request = this.chargeAndBegin(admitted.val, received.caller, reply);
@@ -217,9 +219,9 @@
       this.dependencies.onEnd();
     });
     return {
-      callerLeft: () => {
+      handleCallerDisconnect: () => {
         stopWaiting();
-        request?.callerLeft();
+        request?.handleCallerDisconnect();
         this.dependencies.onEnd();
       },
     };
@@ -244,20 +246,20 @@
         this.dependencies.onEnd();
       }
     });
-    const handleDisconnect = () => {
+    const handleCallerDisconnect = () => {
       if (!isSettled) {
         isSettled = true;
         this.charging.delete(accepted);
         charge?.cancel();
-        this.logEarlyDisconnect(accepted);
+        this.endBeforeCharge(accepted);
       }
       proxied?.handleCallerDisconnect();
     };
-    return { callerLeft: handleDisconnect };
+    return { handleCallerDisconnect };
   }
 
-  /** Logs that the caller disconnected before its request was charged. */
-  private logEarlyDisconnect({ requestId, route, tenant }: AcceptedRequest): void {
+  /** Ends a request whose caller disconnected before it was charged. */
+  private endBeforeCharge({ requestId, route, tenant }: AcceptedRequest): void {
     const reason = 'caller-left';
     const fields = { request: requestId, route: route.name, tenant, status: 0, reason, tries: [] };
     this.dependencies.log.write('request-ended', 'failure', fields);
@@ -278,7 +280,10 @@
   private begin(accepted: AcceptedRequest, reply: CallerReply, refund: () => void): ProxiedRequest {
     const { tenant, route } = accepted;
     const owner = { route: route.name, tenant };
-    const regions = new RequestRegions(owner, () => this.dependencies.configuration.namedRegions);
+    const regions = new RequestRegions(
+      owner,
+      () => this.dependencies.configuration.regionRestrictions,
+    );
     const request = withActiveRegions(accepted, regions);
     this.retryBudget.countRequest(request.service, this.dependencies.clock.now());
     const proxied = new ProxiedRequest(request, reply, this.ports, DEFAULT_REQUEST_OPTIONS);
--- a/src/gateway/gateway-role.ts
+++ b/src/gateway/gateway-role.ts
@@ -65,7 +65,7 @@
 }
 
 const MS_PER_S = 1_000;
-/** Interval at which the replica's position is sent to agents, in ticks. */
+/** Interval at which the replica's progress is sent to agents, in ticks. */
 const AGENT_REACH_TICKS = 3;
 /** Interval at which expired state is removed and dropped log lines are reported, in ticks. */
 const MAINTENANCE_TICKS = 50;
@@ -83,7 +83,7 @@
   private readonly paths: GatewayPaths;
   private readonly rollouts: GatewayRollouts;
   private readonly crashes: GatewayCrashes;
-  private readonly statements: GatewayConditions;
+  private readonly conditions: GatewayConditions;
   private readonly sender = new HttpBackendSender(DEFAULT_BACKEND_SENDER_OPTIONS, (reason) =>
     this.dependencies.metrics.record(({ connections }) => connections.inc({ reason })),
   );
@@ -104,7 +104,7 @@
     const { name } = settings.process;
     const incarnation = `${name}.${Math.floor(random.next() * 2 ** 32).toString(36)}`;
     this.configuration = new ActiveConfiguration(clock);
-    this.statements = new GatewayConditions({
+    this.conditions = new GatewayConditions({
       ...dependencies,
       holders: () => this.quotas,
       countGateways: () => this.cluster.size,
@@ -114,7 +114,7 @@
     });
     this.places = new ZoneTopology(settings.places.zones);
     const isEngine = (service: string) => this.configuration.isEngine(service);
-    const orders: OperatorRules = {
+    const operatorRules: OperatorRules = {
       versionUse: (backend) => this.rollouts.rollouts.versionUse(backend),
       isEvacuated: (zone) => this.evacuations.zones.isEvacuated(zone),
       regionOf: (zone) => this.places.regionOf(zone),
@@ -124,13 +124,13 @@
       {
         isEngine,
         homeRegions: () => ({
-          named: this.configuration.namedRegions?.regions ?? new Set(),
-          regionOf: orders.regionOf,
+          named: this.configuration.regionRestrictions?.regions ?? new Set(),
+          regionOf: operatorRules.regionOf,
         }),
-        ...orders,
+        ...operatorRules,
         onLocalAvailability: (service, hasNear) => this.logRegionReach(service, hasNear),
         isServiceConfigured: (service) => this.configuration.isServiceConfigured(service),
-        conditionOf: (backendId) => this.statements.conditionOf(backendId),
+        conditionOf: (backendId) => this.conditions.conditionOf(backendId),
         onReplaced: (backendId) => this.crashes.requests.recordBackendExit(backendId, 'replaced'),
       },
     );
@@ -143,12 +143,12 @@
       isEngine,
       countGateways: () => this.cluster.size,
       tokensPerEvent: (service) => this.configuration.tokensPerEvent(service),
-      ...orders,
+      ...operatorRules,
       configurationVersion: () => this.configuration.version,
       onRestricted: (reason) =>
         dependencies.metrics.record(({ requestsKept }) => requestsKept.inc({ reason })),
       onSent: (backend) => this.rollouts.rollouts.noteSent(backend),
-      sendRights: this.statements.rights,
+      sendRights: this.conditions.rights,
       coldStarts: createColdStarts({
         ...dependencies,
         limits: settings.limits,
@@ -182,7 +182,7 @@
       incarnation,
       directory: this.directory,
       countGateways: () => this.cluster.size,
-      isEvacuated: orders.isEvacuated,
+      isEvacuated: operatorRules.isEvacuated,
     });
     this.crashes = new GatewayCrashes({
       ...dependencies,
@@ -218,7 +218,7 @@
         snapshot: () => this.crashes.requests.newestTallies(),
         merge: (tallies) => this.crashes.mergePeerTallies(tallies),
       },
-      statements: this.statements,
+      statements: this.conditions,
       onRecords: (records, source) => this.applyRecords(records, source),
     });
     this.links = new SlotAgentLinks(
@@ -244,7 +244,7 @@
     );
     this.shutdown = new GracefulShutdown(clock, limits.stopGraceS * MS_PER_S, {
       stopListening: () => this.listener.stopListening(),
-      countActive: () => this.requests.countActive,
+      countActive: () => this.requests.activeCount,
       end: () => this.finishStop(),
     });
     this.requests = new GatewayRequests({
@@ -258,7 +258,7 @@
       crashes: this.crashes.requests,
       cluster: this.cluster,
       isRefusing: () => this.shutdown.isRefusing,
-      onStatement: (head) => this.statements.receiveResponseHead(head),
+      onStatement: (head) => this.conditions.receiveResponseHead(head),
       onTryOver: ({ backend, route, isBad }) =>
         this.rollouts.rollouts.noteEnded(backend, route.name, isBad),
       onEnd: () => this.shutdown.onRequestEnded(),
@@ -294,7 +294,7 @@
     }
     this.onStopped = onStopped;
     this.listener.closeConnectionsAfterResponse();
-    this.dependencies.log.write('stopping', 'state', { active: this.requests.countActive });
+    this.dependencies.log.write('stopping', 'state', { active: this.requests.activeCount });
     this.shutdown.begin();
   }
 
@@ -310,7 +310,7 @@
     this.links.stop();
     const connections = Object.fromEntries(this.sender.connectionsOpened);
     this.dependencies.log.write('stopped', 'state', {
-      active: this.requests.countActive,
+      active: this.requests.activeCount,
       connections,
     });
     this.dependencies.log.flush();
@@ -335,7 +335,7 @@
     this.links.sendKeepalives();
     this.cluster.tick();
     this.quotas.tick();
-    this.statements.tick();
+    this.conditions.tick();
     this.evacuations.tick();
     this.rollouts.rollouts.tick();
     if (this.ticks % AGENT_REACH_TICKS === 0) {
@@ -343,13 +343,13 @@
     }
     if (this.ticks % MAINTENANCE_TICKS === 0) {
       this.crashes.requests.evictExpired();
-      this.statements.removeStale();
+      this.conditions.removeStale();
       const dropped = this.dependencies.log.logDroppedLines();
       this.dependencies.metrics.record(({ linesDropped }) => linesDropped.inc(dropped));
     }
   }
 
-  /** Applies new records in their order of effect. */
+  /** Applies records in the order of `sortByApplyOrder`. */
   private applyRecords(records: readonly AppliedRecord[], source: RecordsSource): void {
     if (records.length === 0) {
       return;
@@ -420,6 +420,10 @@
     }
   }
 
+  /**
+   * Installs a newer configuration. One that names an unknown region is refused, unless the gateway
+   * has no configuration yet.
+   */
   private installConfiguration(
     configuration: RoutingConfiguration,
     { epoch, revision }: StorePosition,
@@ -491,8 +495,8 @@
 }
 
 /**
- * Whether gateways write records of this kind: each write must name a position in the store's
- * current epoch.
+ * Whether records of this kind are also applied if only their position changed: the writes that
+ * gateways base on them must name a position in the store's current epoch.
  */
 function isOwnRecord(kind: DecodedRecord['kind']): boolean {
   return OWN_RECORD_KINDS.has(kind);
--- a/src/gateway/gateway-rollouts.ts
+++ b/src/gateway/gateway-rollouts.ts
@@ -32,7 +32,7 @@
       {
         countReady: (service, targetVersion) => this.countReady(service, targetVersion),
         countGateways: () => dependencies.countGateways(),
-        write: (order, state, follows) => adapter.writeRolloutState(order, state, follows),
+        write: (order, state, expected) => adapter.writeRolloutState(order, state, expected),
         onWritten: (order, state, failure) => this.logWrite(order, state, failure),
       },
       clock,
--- a/src/gateway/gateway-settings.ts
+++ b/src/gateway/gateway-settings.ts
@@ -53,7 +53,7 @@
 
 const settingsSchema = z.object({
   process: z.object({
-    /** Function of this process. */
+    /** Role of this process. */
     role: z.literal(['gateway', 'slot-agent']),
     /** Unique name of the process. */
     name: requiredText(),
--- a/src/gateway/graceful-shutdown.ts
+++ b/src/gateway/graceful-shutdown.ts
@@ -1,7 +1,7 @@
 /**
  * Graceful shutdown of a gateway, without I/O: it reports not ready at once, serves new requests
- * for a while, since callers notice late, then waits for running requests until shortly before the
- * kill.
+ * for a while, since callers notice that late, then waits for running requests until shortly before
+ * the kill.
  */
 import type { Clock } from '../clock.js';
 
--- a/src/gateway/metrics/gateway-gauges.ts
+++ b/src/gateway/metrics/gateway-gauges.ts
@@ -12,15 +12,15 @@
 export function registerGauges(registry: Registry, read: () => GatewaySnapshot): void {
   let snapshot: GatewaySnapshot | undefined;
   const current = () => {
-    // All gauges of one scrape use the same snapshot, which is discarded in the next event loop
-    // iteration.
+    // All gauges of one scrape use the same snapshot, which is discarded in the next check phase of
+    // the event loop.
     if (snapshot === undefined) {
       snapshot = read();
       setImmediate(() => (snapshot = undefined));
     }
     return snapshot;
   };
-  const plain = (name: string, help: string, value: () => number | undefined) =>
+  const addGauge = (name: string, help: string, value: () => number | undefined) =>
     new Gauge({
       name,
       help,
@@ -29,7 +29,7 @@
         this.set(value() ?? NaN);
       },
     });
-  const byName = (
+  const addLabeledGauge = (
     name: string,
     help: string,
     label: string,
@@ -47,60 +47,63 @@
         }
       },
     });
-  plain('weirvale_store_age_seconds', 'Time since the store answered last', () =>
+  addGauge('weirvale_store_age_seconds', 'Time since the store answered last', () =>
     inSeconds(current().storeAgeMs),
   );
-  plain('weirvale_store_epoch', 'Epoch of the store', () => current().storeEpoch);
-  plain(
+  addGauge('weirvale_store_epoch', 'Epoch of the store', () => current().storeEpoch);
+  // Records that a store restored from a backup lacks or shows in an older version.
+  addGauge(
     'weirvale_store_records_kept',
     'Records that the store came back without and that are kept for now',
     () => current().retainedRecords,
   );
-  plain('weirvale_configuration_age_seconds', 'Time since the configuration came into force', () =>
-    inSeconds(current().configurationAgeMs),
+  addGauge(
+    'weirvale_configuration_age_seconds',
+    'Time since the configuration came into force',
+    () => inSeconds(current().configurationAgeMs),
   );
-  plain(
+  addGauge(
     'weirvale_loop_delay_seconds',
     'Longest delay of the event loop since the last reading',
     () => inSeconds(current().loopDelayMs),
   );
-  plain(
+  addGauge(
     'weirvale_evacuated_zones',
     'Zones that operators evacuated',
     () => current().evacuatedZones,
   );
-  plain(
+  addGauge(
     'weirvale_suspect_paths',
     'Back ends whose paths from here are believed to be cut',
     () => current().suspectedPaths,
   );
-  byName(
+  addLabeledGauge(
     'weirvale_crashing_requests',
     'Requests that have crashed back ends: refused, or only suspected so far',
     'state',
     () => new Map(Object.entries(current().crashingRequests)),
   );
-  plain('weirvale_resident_bytes', 'Memory of the process', () => process.memoryUsage.rss());
-  plain('weirvale_open_descriptors', 'Descriptors open in the process', countDescriptors);
-  byName(
+  addGauge('weirvale_resident_bytes', 'Memory of the process', () => process.memoryUsage.rss());
+  addGauge('weirvale_open_descriptors', 'Descriptors open in the process', countDescriptors);
+  addLabeledGauge(
     'weirvale_repeats_left',
     'Repeats that the retry budget still allows',
     'service',
     () => current().repeatsLeft,
   );
-  byName(
+  addLabeledGauge(
     'weirvale_quota_used_tokens',
     'Tokens of quotas let pass here since the start',
     'tenant',
     () => current().quotaUse,
   );
-  byName(
+  addLabeledGauge(
     'weirvale_quota_pool_tokens',
     'Tokens in the pools of quotas that this gateway holds',
     'tenant',
     () => current().quotaLevels,
   );
-  byName(
+  addLabeledGauge(
     'weirvale_waiting_requests',
     'Requests that wait for a back end',
     'service',
--- a/src/gateway/metrics/gateway-snapshot.ts
+++ b/src/gateway/metrics/gateway-snapshot.ts
@@ -4,8 +4,8 @@
 const MS_PER_S = 1_000;
 
 /**
- * State of a backend as observed by this gateway; an ejected one is listed as ready but gets no
- * requests.
+ * State of a backend as observed by this gateway; an ejected one is listed as ready but gets
+ * requests only where no other backend is left.
  */
 export type ObservedState = 'ready' | 'draining' | 'ejected' | 'gone';
 
@@ -17,8 +17,8 @@
 }
 
 /**
- * A condition that a backend reported: rate limit in requests per second, remaining rest in
- * seconds, or leaving (1).
+ * A condition that a backend reported, with its value: `limited` with the rate limit in requests
+ * per second, `resting` with the remaining backoff in seconds, or `leaving` (draining) with 1.
  */
 export interface ReportedCondition {
   readonly backend: string;
@@ -32,8 +32,8 @@
   /** Newest known epoch of the store; `NO_EPOCH` if the store has no epochs. */
   readonly storeEpoch: number;
   /**
-   * Records that a store restored from a backup lacks or shows in an older version, and that are
-   * kept for now.
+   * Number of records that a store restored from a backup lacks or shows in an older version, and
+   * that are kept for now.
    */
   readonly retainedRecords: number;
   readonly configurationAgeMs: number | undefined;
@@ -48,14 +48,15 @@
   readonly quotaLevels: ReadonlyMap<string, number>;
   /** Quota tokens that this gateway has charged since its start, by tenant. */
   readonly quotaUse: ReadonlyMap<string, number>;
-  /** Requests that wait for a backend, by service. */
+  /** Number of requests that wait for a backend, by service. */
   readonly waiting: ReadonlyMap<string, number>;
-  /** Longest event loop delay since the last snapshot. */
+  /** Longest delay of a tick, and so of the event loop, since the last snapshot. */
   readonly loopDelayMs: number;
-  /** Backends whose network paths from this gateway are suspected to be cut. */
+  /** Number of backends whose network paths from this gateway are suspected to be cut. */
   readonly suspectedPaths: number;
   /**
-   * Requests that are refused because they crash backends, and suspected ones with fewer crashes.
+   * Number of requests that are refused because they crash backends, and of suspected ones with
+   * fewer crashes.
    */
   readonly crashingRequests: { readonly refused: number; readonly suspected: number };
 }
@@ -78,14 +79,16 @@
   nowMs: number,
 ): ReportedCondition[] {
   return backends.flatMap(({ backend: { id: backend }, condition }): ReportedCondition[] => {
-    const { limitPerS, isLeaving, backoffUntilMs: restUntilMs } = condition;
-    const restLeftS = Math.max(0, restUntilMs - nowMs) / MS_PER_S;
+    const { limitPerS, isLeaving, backoffUntilMs } = condition;
+    const backoffLeftS = Math.max(0, backoffUntilMs - nowMs) / MS_PER_S;
     return [
       ...(limitPerS === undefined
         ? []
         : [{ backend, condition: 'limited', value: limitPerS } as const]),
       ...(isLeaving ? [{ backend, condition: 'leaving', value: 1 } as const] : []),
-      ...(restLeftS > 0 ? [{ backend, condition: 'resting', value: restLeftS } as const] : []),
+      ...(backoffLeftS > 0
+        ? [{ backend, condition: 'resting', value: backoffLeftS } as const]
+        : []),
     ];
   });
 }
--- a/src/gateway/metrics/metric-instruments.ts
+++ b/src/gateway/metrics/metric-instruments.ts
@@ -24,6 +24,7 @@
     labelNames: ['service'],
     registers: [this.registry],
   });
+  /** Attempts that were given up because the network path to the backend was lost. */
   readonly requestsMoved = new Counter({
     name: 'weirvale_requests_moved_total',
     help: 'Requests that left a back end whose path was found lost, by service',
@@ -48,24 +49,28 @@
     labelNames: ['reason'],
     registers: [this.registry],
   });
+  /** Retries that the retry budget denied. */
   readonly repeatsDenied = new Counter({
     name: 'weirvale_repeats_denied_total',
     help: 'Repeats that the retry budget did not allow, by service',
     labelNames: ['service'],
     registers: [this.registry],
   });
+  /** Requests for which operator rules exclude ready backends of their service. */
   readonly requestsKept = new Counter({
     name: 'weirvale_requests_kept_total',
     help: 'Requests that operators kept from some back ends of their service, by reason',
     labelNames: ['reason'],
     registers: [this.registry],
   });
+  /** Attempts that were running when their backend's process ended. */
   readonly crashes = new Counter({
     name: 'weirvale_backend_crashes_total',
     help: 'Runs of this gateway that were at work when their back end ended, by what showed that',
     labelNames: ['evidence'],
     registers: [this.registry],
   });
+  /** Selections that skipped a backend with a free slot because of its cold-start rate limit. */
   readonly startsHeld = new Counter({
     name: 'weirvale_starts_held_back_total',
     help: 'Choices that passed over a back end with a free slot for the rate of its starts, by service',
@@ -112,11 +117,13 @@
     labelNames: ['call', 'result'],
     registers: [this.registry],
   });
+  /** Backend records that are invalid or announce an outdated incarnation. */
   readonly recordsRefused = new Counter({
     name: 'weirvale_backend_records_refused_total',
     help: 'Records under the names of back ends that name none to use',
     registers: [this.registry],
   });
+  /** Invalid response header fields in which backends report their condition. */
   readonly statementsUnreadable = new Counter({
     name: 'weirvale_statements_unreadable_total',
     help: 'Fields of answers by which back ends speak of themselves and that could not be read',
--- a/src/gateway/regions/region-refusal.ts
+++ b/src/gateway/regions/region-refusal.ts
@@ -5,7 +5,10 @@
 export type RegionRefusalReason =
   /** Its route and its tenant have no allowed region in common. */
   | 'no-common-home'
-  /** Its service has no backend in the allowed regions, or operators excluded all of them. */
+  /**
+   * Its service has no ready or recently unlisted backend in the allowed regions, or operators
+   * excluded all of them.
+   */
   | 'no-backend-at-home';
 
 /** Returns why a request's allowed regions cause a refusal; undefined if they do not. */
--- a/src/gateway/regions/request-regions.ts
+++ b/src/gateway/regions/request-regions.ts
@@ -22,12 +22,12 @@
   readonly narrowest: AllowedRegions;
 }
 
-const ANYWHERE: TrackedRegions = { current: undefined, narrowest: undefined };
+const UNRESTRICTED: TrackedRegions = { current: undefined, narrowest: undefined };
 
 /** The allowed regions of one request. */
 export class RequestRegions {
-  private ofRoute = ANYWHERE;
-  private ofTenant = ANYWHERE;
+  private ofRoute = UNRESTRICTED;
+  private ofTenant = UNRESTRICTED;
   private intersection: AllowedRegions;
   private lastApplied: RegionRestrictions | undefined;
 
@@ -91,10 +91,13 @@
 
 function track(
   { narrowest }: TrackedRegions,
-  named: RegionRestriction | undefined,
+  restriction: RegionRestriction | undefined,
 ): TrackedRegions {
-  if (named === undefined) {
+  if (restriction === undefined) {
     return { current: narrowest, narrowest };
   }
-  return { current: named.regions, narrowest: intersectRegions(narrowest, named.regions) };
+  return {
+    current: restriction.regions,
+    narrowest: intersectRegions(narrowest, restriction.regions),
+  };
 }
--- a/test/allowed-regions-gateway.test.ts
+++ b/test/allowed-regions-gateway.test.ts
@@ -89,8 +89,8 @@
 
   /** Sends a request; returns the status and body of the response. */
   async call(): Promise<[number, string]> {
-    const answer = await request(`http://${this.callers}/a/`, { headers: { host: 'h' } });
-    return [answer.statusCode, await answer.body.text()];
+    const response = await request(`http://${this.callers}/a/`, { headers: { host: 'h' } });
+    return [response.statusCode, await response.body.text()];
   }
 
   async waitUntil(condition: () => boolean): Promise<void> {
@@ -164,10 +164,10 @@
     const withdraw = () => (counts.withdrawn += 1) > 0;
     return { cancel: ignore, withdraw, pause: ignore, resume: ignore };
   };
-  const answer = system.call();
+  const response = system.call();
   await system.waitUntil(() => counts.waiting === 1);
   system.store.put('op/config', configurationOf(2, ['b']));
-  t.deepEqual(await answer, [200, 'b']);
+  t.deepEqual(await response, [200, 'b']);
   t.deepEqual(counts, { waiting: 1, withdrawn: 1 });
   system.stop();
 });
--- a/test/allowed-regions.test.ts
+++ b/test/allowed-regions.test.ts
@@ -39,12 +39,12 @@
 }
 
 function worldOf(
-  homes: RegionRestrictions,
+  restrictions: RegionRestrictions,
   ...backends: Parameters<typeof backendOf>[]
 ): GatewayHarness {
   const world = new GatewayHarness();
   REGIONS.forEach((region, zone) => world.regions.set(zone, region));
-  world.homes = homes;
+  world.homes = restrictions;
   for (const backend of backends) {
     world.dispatcher.updateBackend(backend[0], backendOf(...backend), 0);
   }
@@ -56,21 +56,21 @@
 }
 
 test('a request follows the active configuration; a removed route or tenant keeps its narrowest regions', (t) => {
-  let homes = regionsOf({ r: ['a', 'b'] }, { t: ['a', 'b', 'c'] });
-  const request = new RequestRegions({ route: 'r', tenant: 't' }, () => homes);
+  let restrictions = regionsOf({ r: ['a', 'b'] }, { t: ['a', 'b', 'c'] });
+  const request = new RequestRegions({ route: 'r', tenant: 't' }, () => restrictions);
   t.deepEqual(request.allowed, new Set(['a', 'b']));
-  homes = regionsOf({ r: ['a', 'b'] }, { t: ['b'] });
+  restrictions = regionsOf({ r: ['a', 'b'] }, { t: ['b'] });
   t.deepEqual(request.allowed, new Set(['b']));
-  homes = regionsOf({ r: null }, { t: ['b', 'c'] });
+  restrictions = regionsOf({ r: null }, { t: ['b', 'c'] });
   t.deepEqual(request.allowed, new Set(['b', 'c']));
-  homes = regionsOf({}, {});
+  restrictions = regionsOf({}, {});
   t.deepEqual(request.allowed, new Set(['b']));
 });
 
 test('an unrestricted request stays unrestricted when its route is removed', (t) => {
-  let homes = regionsOf({ r: null });
-  const request = new RequestRegions({ route: 'r', tenant: undefined }, () => homes);
-  homes = regionsOf({ other: ['a'] });
+  let restrictions = regionsOf({ r: null });
+  const request = new RequestRegions({ route: 'r', tenant: undefined }, () => restrictions);
+  restrictions = regionsOf({ other: ['a'] });
   t.is(request.allowed, undefined);
 });
 
@@ -79,8 +79,8 @@
     routeOf({ name: 'r', allowedRegions: ['a', 'b'] }),
     routeOf({ name: 'r', pathPrefix: '/b/', allowedRegions: ['b', 'c'] }),
   ];
-  const homes = new RegionRestrictions({ routes, tenants: [] });
-  t.deepEqual(homes.allowedRegionsOf({ route: 'r', tenant: undefined }), new Set(['b']));
+  const restrictions = new RegionRestrictions({ routes, tenants: [] });
+  t.deepEqual(restrictions.allowedRegionsOf({ route: 'r', tenant: undefined }), new Set(['b']));
 });
 
 test('a waiting request is sent only to regions that a newer configuration allows', (t) => {
@@ -151,12 +151,12 @@
 });
 
 test('a request without a usable backend in its allowed regions is refused at once and not sent elsewhere', (t) => {
-  const homes = regionsOf({ r: ['a'] });
+  const restrictions = regionsOf({ r: ['a'] });
   const worlds = [
-    worldOf(homes, ['far', { zone: 'b1' }]),
+    worldOf(restrictions, ['far', { zone: 'b1' }]),
     // One in a zone that the settings do not name, and one without a zone.
-    worldOf(homes, ['lost', { zone: 'x' }], ['bare', { zone: '' }]),
-    worldOf(homes, ['drained', { zone: 'a1', state: 'draining' }], ['far', { zone: 'b1' }]),
+    worldOf(restrictions, ['lost', { zone: 'x' }], ['bare', { zone: '' }]),
+    worldOf(restrictions, ['drained', { zone: 'a1', state: 'draining' }], ['far', { zone: 'b1' }]),
     worldOf(regionsOf({ r: ['unheard-of'] }), ['far', { zone: 'b1' }], ['lost', { zone: 'x' }]),
   ];
   for (const world of worlds) {
@@ -191,19 +191,19 @@
 });
 
 test('fallbacks to unassigned, ejected and unlisted backends stay in the allowed regions', (t) => {
-  const homes = regionsOf({ r: ['a'] });
-  const ejected = worldOf(homes, ['w', { zone: 'a1' }], ['far', { zone: 'b1' }]);
+  const restrictions = regionsOf({ r: ['a'] });
+  const ejected = worldOf(restrictions, ['w', { zone: 'a1' }], ['far', { zone: 'b1' }]);
   for (let count = 0; count < 20; count += 1) {
     ejected.dispatcher.finish('w', 'failed', 0);
   }
   t.true(ejected.directory.find('w')!.health.isEjected(0));
   ejected.request();
   t.deepEqual(attemptedBackends(ejected), ['w']);
-  const unassigned = worldOf(homes, ['w', { zone: 'a1' }], ['far', { zone: 'b1' }]);
+  const unassigned = worldOf(restrictions, ['w', { zone: 'a1' }], ['far', { zone: 'b1' }]);
   unassigned.directory.find('w')!.isInSubset = false;
   unassigned.request();
   t.deepEqual(attemptedBackends(unassigned), ['w']);
-  const unlisted = worldOf(homes, ['w', { zone: 'a1' }], ['far', { zone: 'b1' }]);
+  const unlisted = worldOf(restrictions, ['w', { zone: 'a1' }], ['far', { zone: 'b1' }]);
   unlisted.dispatcher.updateBackend('far', undefined, 0);
   unlisted.dispatcher.updateBackend('w', undefined, 0);
   unlisted.request();
@@ -264,7 +264,7 @@
     const id = `w${index}`;
     world.dispatcher.updateBackend(id, backendOf(id, { zone: index < 40 ? 'z' : 'a1' }), 0);
   }
-  const assigned = world.directory.list().filter(({ isInSubset: isAssigned }) => isAssigned);
+  const assigned = world.directory.list().filter(({ isInSubset }) => isInSubset);
   t.is(assigned.filter(({ backend }) => backend.zone === 'a1').length, 4);
 });
 
@@ -334,31 +334,31 @@
           }
         }
       };
-      for (const one of steps) {
-        if (one.kind === 'request') {
-          world.request(one.hasTenant ? { tenant: 't', path: TENANT_PATH } : {});
-        } else if (one.kind === 'configure') {
-          world.homes = regionsOf({ r: one.route }, { t: one.tenant });
+      for (const action of steps) {
+        if (action.kind === 'request') {
+          world.request(action.hasTenant ? { tenant: 't', path: TENANT_PATH } : {});
+        } else if (action.kind === 'configure') {
+          world.homes = regionsOf({ r: action.route }, { t: action.tenant });
           world.dispatcher.tick(world.clock.now());
-        } else if (one.kind === 'drop') {
+        } else if (action.kind === 'drop') {
           world.homes = regionsOf({});
-        } else if (one.kind === 'end') {
+        } else if (action.kind === 'end') {
           const open = world.attempts.filter(({ isCancelled }) => !isCancelled);
-          const attempt = open[one.index % Math.max(1, open.length)];
+          const attempt = open[action.index % Math.max(1, open.length)];
           if (attempt !== undefined) {
             attempt.isCancelled = true;
             attempt.handlers.onFailure({
-              mayHaveRun: one.isFailure,
-              isPortClosed: !one.isFailure,
+              mayHaveRun: action.isFailure,
+              isPortClosed: !action.isFailure,
               detail: '',
             });
           }
-        } else if (one.kind === 'list') {
-          const backend = fleet[one.index]!;
-          const listed = one.isListed ? backend : undefined;
+        } else if (action.kind === 'list') {
+          const backend = fleet[action.index]!;
+          const listed = action.isListed ? backend : undefined;
           world.dispatcher.updateBackend(backend.id, listed, world.clock.now());
         } else {
-          await world.clock.runUntil(world.clock.now() + one.forMs);
+          await world.clock.runUntil(world.clock.now() + action.forMs);
         }
         check();
       }
@@ -369,13 +369,13 @@
 });
 
 test('the log entry of a request lists a bounded number of excluded backends with their reasons', (t) => {
-  const homes = regionsOf({ r: ['a'] }, { t: ['a', 'b'] });
-  const world = worldOf(homes, ['gone', { zone: 'a1', state: 'draining' }]);
+  const restrictions = regionsOf({ r: ['a'] }, { t: ['a', 'b'] });
+  const world = worldOf(restrictions, ['gone', { zone: 'a1', state: 'draining' }]);
   for (let index = 0; index < 20; index += 1) {
     const id = `w${index}`;
     world.dispatcher.updateBackend(id, backendOf(id, { zone: index === 0 ? 'x' : 'b1' }), 0);
   }
-  const request = new RequestRegions({ route: 'r', tenant: 't' }, () => homes);
+  const request = new RequestRegions({ route: 'r', tenant: 't' }, () => restrictions);
   const report = reportExcluded(request, {
     backends: world.directory.ofService('s'),
     regionOf: (zone) => REGIONS.get(zone),
@@ -397,7 +397,7 @@
   t.is(report.kept?.length, 8);
   t.is(report.keptMore, 13);
   t.deepEqual(
-    reportRegions(new RequestRegions({ route: 'q', tenant: undefined }, () => homes)),
+    reportRegions(new RequestRegions({ route: 'q', tenant: undefined }, () => restrictions)),
     {},
   );
 });
--- a/test/late-configuration.test.ts
+++ b/test/late-configuration.test.ts
@@ -4,7 +4,7 @@
  *
  * - One-way partition: a gateway that sends but receives nothing announces the change first. A
  *   gateway that does not read the store queries only that one, again after each heartbeat, every
- *   .8 s (seed 4), and gets no answer until the path recovers.
+ *   .8 s (seed 4), and gets no response until the path recovers.
  * - Lost watch response: a gateway waits the full watch timeout of 6.5 s for a response lost in a
  *   store outage, and still counts as a store reader for itself and its peers. After an outage of
  *   .5 s that begins 3 s after the last change, eight of 27 gateways receive a change made in it
@@ -34,12 +34,10 @@
 async function startFleet(
   seed: number,
   gateways: number,
-  breakProcess?: (cluster: GatewayCluster) => void,
+  injectFault?: (cluster: GatewayCluster) => void,
 ): Promise<StoreFleet> {
   const options = { seed, gateways, needsAcknowledgement: false };
-  const fleet = new StoreFleet(
-    breakProcess === undefined ? options : { ...options, injectFault: breakProcess },
-  );
+  const fleet = new StoreFleet(injectFault === undefined ? options : { ...options, injectFault });
   await fleet.run(SETTLE_MS);
   fleet.isLate = (machine, change, nowMs) =>
     nowMs - change.atMs > CHANGE_BOUND_MS &&
@@ -86,8 +84,8 @@
  * Runs nine gateways; the last one, not a store reader, receives from the other eight but cannot
  * reach them.
  */
-async function runUnreachablePeers(seed: number, breakProcess?: (cluster: GatewayCluster) => void) {
-  const fleet = await startFleet(seed, 9, breakProcess);
+async function runUnreachablePeers(seed: number, injectFault?: (cluster: GatewayCluster) => void) {
+  const fleet = await startFleet(seed, 9, injectFault);
   const fromMs = fleet.clock.now();
   const last = fleet.machines.find(({ cluster }) => cluster?.isReadingStore === false)!;
   fleet.machines
--- a/test/region-partition.test.ts
+++ b/test/region-partition.test.ts
@@ -59,16 +59,16 @@
     const random = new SeededRandom(seed);
     const budgets = Array.from({ length: GATEWAYS }, () => new RetryBudget(RETRY));
     let requests = 0;
-    let repeats = 0;
+    let retries = 0;
     for (let nowMs = 0; nowMs < RETRY.windowMs; nowMs += STEP_MS) {
       const budget = budgets[Math.floor(random.next() * GATEWAYS)]!;
       budget.countRequest('s', nowMs);
       requests += 1;
       // Unreachable gateways count as members until they announce that they leave.
       while (random.next() < 0.9 && budget.takeRetry('s', GATEWAYS, nowMs)) {
-        repeats += 1;
+        retries += 1;
       }
     }
-    t.true(repeats <= RETRY.ratio * requests + RETRY.slack);
+    t.true(retries <= RETRY.ratio * requests + RETRY.slack);
   }
 });
--- a/test/store-faults.test.ts
+++ b/test/store-faults.test.ts
@@ -1,6 +1,6 @@
 /**
- * Every gateway with a path to the store or to a peer that has received a change must apply it in
- * time.
+ * Every gateway that can reach the store, or a peer that has received a change, must apply the
+ * change in time.
  */
 import test from 'ava';
 import type { GatewayCluster } from '../src/gateway/gateway-cluster.js';
@@ -42,8 +42,8 @@
   });
 }
 
-/** Private members of `GatewayCluster` that a variant modifies. */
-interface Inside {
+/** Private members of `GatewayCluster` that a fault variant modifies. */
+interface GatewayClusterInternals {
   readonly follower: {
     readonly calls: object;
     readonly options: object;
@@ -51,18 +51,18 @@
   readonly records: object;
 }
 
-interface Variant {
+interface FaultVariant {
   readonly name: string;
   /** A seed in which the fault is detected. */
   readonly seed: number;
-  breakInside(inside: Inside): void;
+  injectFault(internals: GatewayClusterInternals): void;
 }
 
-const VARIANTS: readonly Variant[] = [
+const FAULT_VARIANTS: readonly FaultVariant[] = [
   {
     name: 'a store call is only given up after its full timeout',
     seed: 23,
-    breakInside: ({ follower }) => {
+    injectFault: ({ follower }) => {
       Object.defineProperty(follower.calls, 'overdueMs', { get: () => 5_000 });
       Object.assign(follower, { options: { ...follower.options, watchMs: 5_000 } });
     },
@@ -70,11 +70,14 @@
   {
     name: 'changes of the first listing after an outage are not sent to peers',
     seed: 13,
-    breakInside: ({ records }) => {
-      const reachOf = Object.getOwnPropertyDescriptor(Object.getPrototypeOf(records), 'progress')!;
+    injectFault: ({ records }) => {
+      const progressGetter = Object.getOwnPropertyDescriptor(
+        Object.getPrototypeOf(records),
+        'progress',
+      )!;
       Object.defineProperty(records, 'progress', {
         get() {
-          const { completeTo } = reachOf.get!.call(records) as { completeTo: number };
+          const { completeTo } = progressGetter.get!.call(records) as { completeTo: number };
           return { completeTo, currentTo: completeTo };
         },
       });
@@ -83,19 +86,20 @@
   {
     name: 'readers without store responses report that they read, and stale views go unnoticed',
     seed: 4,
-    breakInside: (inside) => {
-      Object.defineProperty(inside.follower, 'isFollowing', { get: () => true });
-      Object.defineProperty(inside, 'isKnowledgeOld', { get: () => false });
+    injectFault: (internals) => {
+      Object.defineProperty(internals.follower, 'isFollowing', { get: () => true });
+      Object.defineProperty(internals, 'isKnowledgeOld', { get: () => false });
     },
   },
 ];
 
-for (const { name, seed, breakInside } of VARIANTS) {
+for (const { name, seed, injectFault } of FAULT_VARIANTS) {
   test(`the check detects the fault: ${name}`, async (t) => {
-    const breakProcess = (cluster: GatewayCluster) => breakInside(cluster as unknown as Inside);
+    const injectIntoCluster = (cluster: GatewayCluster) =>
+      injectFault(cluster as unknown as GatewayClusterInternals);
     const found = await findLate(
       { from: seed, to: seed },
-      { gateways: 27, injectFault: breakProcess },
+      { gateways: 27, injectFault: injectIntoCluster },
     );
     t.not(found, undefined);
   });
--- a/test/support/platform-gateway.ts
+++ b/test/support/platform-gateway.ts
@@ -19,7 +19,8 @@
 const POLL_MS = 20;
 
 /**
- * Starts gateways at `host`, on ports above `lastPort`; each test file must use its own address.
+ * Returns helpers that start gateways at `host`, on ports above `lastPort`; each test file must use
+ * its own address.
  */
 export function platformGateways(host: string, lastPort: number) {
   let port = lastPort;
@@ -67,9 +68,9 @@
   }
 
   async function isReady({ readiness }: RunningGateway): Promise<boolean> {
-    const answer = await request(readiness);
-    await answer.body.dump();
-    return answer.statusCode === 200;
+    const response = await request(readiness);
+    await response.body.dump();
+    return response.statusCode === 200;
   }
 
   /** Waits until all gateways report ready. */
