--- a/src/gateway/crashes/crash-record.ts
+++ b/src/gateway/crashes/crash-record.ts
@@ -112,9 +112,9 @@
   }
 
   /** Adds tallies and writes those that qualify for storage and supersede the stored ones. */
-  addTallies(news: readonly RequestCrashes[]): void {
+  addTallies(tallies: readonly RequestCrashes[]): void {
     const changedAtMs = this.ports.timeOfDayMs();
-    for (const request of news) {
+    for (const request of tallies) {
       const qualifies =
         request.crashes >= this.options.minCrashes || this.stored.has(request.fingerprint);
       if (qualifies && this.supersedesStored(request)) {
--- a/src/gateway/crashes/crash-table.ts
+++ b/src/gateway/crashes/crash-table.ts
@@ -18,7 +18,7 @@
   readonly expiryMs: number;
   /**
    * Maximum number of entries; the least recently used is evicted first. Default 4,096, about half
-   * a megabyte, since each entry stands for a backend exit.
+   * a megabyte; an entry is added only for a request that was in flight when a backend exited.
    */
   readonly maxRequests: number;
 }
--- a/src/gateway/crashes/crashing-requests.ts
+++ b/src/gateway/crashes/crashing-requests.ts
@@ -110,6 +110,7 @@
     return this.table.count();
   }
 
+  /** Whether the request must not be sent to any backend; if so, postpones its expiry. */
   isRefused(request: FingerprintedRequest): boolean {
     if (this.table.isEmpty) {
       return false;
@@ -123,14 +124,16 @@
   }
 
   beginRun(request: AcceptedRequest, backend: Backend, previous?: RequestRun): RequestRun {
-    const known = this.table.isEmpty ? NO_CRASHES : this.table.tallyOf(this.fingerprintOf(request));
+    const tallyAtStart = this.table.isEmpty
+      ? NO_CRASHES
+      : this.table.tallyOf(this.fingerprintOf(request));
     const sentAtMs = this.clock.now();
     return {
       request,
       backend,
       backendId: backend.id,
       sentAtMs,
-      tallyAtStart: known,
+      tallyAtStart,
       previous,
       crashes: 0,
     };
@@ -253,7 +256,7 @@
  * request. Only a run that began after a crash was known adds to the count, see
  * `CrashTally.crashes`.
  */
-function priorCrashes({ tallyAtStart: known, previous }: RequestRun, clearances: number): number {
-  const isSameVersion = known.clearances === clearances;
-  return isSameVersion ? Math.max(known.crashes, previous?.crashes ?? 0) : 0;
+function priorCrashes({ tallyAtStart, previous }: RequestRun, clearances: number): number {
+  const isSameVersion = tallyAtStart.clearances === clearances;
+  return isSameVersion ? Math.max(tallyAtStart.crashes, previous?.crashes ?? 0) : 0;
 }
--- a/src/gateway/crashes/exit-prober.ts
+++ b/src/gateway/crashes/exit-prober.ts
@@ -21,7 +21,7 @@
 
 /**
  * Delays before successive probes, in milliseconds. An exiting process may close its connections
- * before its listener, hence the second probe. There are no more than that, since each costs a
+ * before its listener, hence the second probe. No further probes are made, since each costs a
  * running backend one connection.
  */
 const PROBE_DELAYS_MS = [0, 100];
--- a/src/gateway/crashes/interrupted-runs.ts
+++ b/src/gateway/crashes/interrupted-runs.ts
@@ -68,8 +68,8 @@
   ) {}
 
   /**
-   * Records an interrupted run; returns the evidence if its backend is already known to have
-   * exited.
+   * Records an interrupted run; returns the evidence if its backend is already known to have exited
+   * since the run began.
    */
   add(run: Run, isAbortedLocally: boolean, nowMs: number): ExitEvidence | undefined {
     const exit = this.exits.get(run.backendId);
--- a/src/gateway/links/gateway-peers.ts
+++ b/src/gateway/links/gateway-peers.ts
@@ -24,7 +24,7 @@
   maxHeartbeatIntervalMs,
 } from './heartbeat-intervals.js';
 
-/** Exchange of crash reports: how often requests have crashed back ends. */
+/** Exchange of crash reports: how often requests have crashed backends. */
 export interface CrashReportExchange {
   /** Returns the reports for a gateway that connects. */
   snapshot(): readonly RequestCrashes[];
@@ -33,7 +33,7 @@
 }
 
 /**
- * Exchange of the conditions that back ends report, and of the rights to send to those that state a
+ * Exchange of the conditions that backends report, and of the rights to send to those that state a
  * limit.
  */
 export type ConditionExchange = Pick<
@@ -70,7 +70,7 @@
    * Called when a peer reports its replication position `progress` and the age of its replica, in
    * milliseconds.
    */
-  onReplicaAge(reach: ReplicaProgress, ageMs: number): void;
+  onReplicaAge(progress: ReplicaProgress, ageMs: number): void;
   readonly clock: Clock;
   readonly random: RandomSource;
   /** Default: TCP. */
@@ -91,8 +91,8 @@
   private readonly mesh: PeerMesh;
   private ticks = 0;
   private lastHeartbeatTick = 0;
-  private lastHeartbeatReach = NO_PROGRESS;
-  private lastSentReach = NO_PROGRESS;
+  private lastHeartbeatProgress = NO_PROGRESS;
+  private lastSentProgress = NO_PROGRESS;
   private lastSentIsReading = false;
   private readonly startedAtMs: number;
 
@@ -169,7 +169,8 @@
   }
 
   /**
-   * Reopens silent connections, and sends a heartbeat or position if due; to be called each tick.
+   * Reopens silent connections, and sends a heartbeat or the replication position if due; to be
+   * called each tick.
    */
   tick(): void {
     this.ticks += 1;
@@ -179,7 +180,7 @@
     if (this.ticks % this.heartbeatTicks === 0 || this.hasReadingChanged) {
       this.sendHeartbeatIfDue();
     } else {
-      this.sendReachIfAdvanced();
+      this.sendProgressIfAdvanced();
     }
   }
 
@@ -201,7 +202,7 @@
     this.mesh.broadcast({ kind: 'crashes', requests });
   }
 
-  /** Broadcasts conditions that back ends have reported. */
+  /** Broadcasts conditions that backends have reported. */
   broadcastConditions(conditions: readonly ConditionSnapshot[]): void {
     this.mesh.broadcast({ kind: 'conditions', conditions });
   }
@@ -219,14 +220,14 @@
   }
 
   /**
-   * Broadcasts a store reader's new position before its next heartbeat, since other gateways wait
-   * for it.
+   * Broadcasts a store reader's new replication position before its next heartbeat, since other
+   * gateways wait for it.
    */
-  private sendReachIfAdvanced(): void {
-    const { progress: reach } = this.parts.records;
-    if (isAheadOf(reach, this.lastSentReach) && this.parts.isReading()) {
-      this.lastSentReach = reach;
-      this.mesh.broadcast({ kind: 'reach', reach });
+  private sendProgressIfAdvanced(): void {
+    const { progress } = this.parts.records;
+    if (isAheadOf(progress, this.lastSentProgress) && this.parts.isReading()) {
+      this.lastSentProgress = progress;
+      this.mesh.broadcast({ kind: 'reach', reach: progress });
     }
   }
 
@@ -240,14 +241,14 @@
 
   private sendHeartbeatIfDue(): void {
     const { records } = this.parts;
-    const { progress: reach } = records;
+    const { progress } = records;
     const hasRollouts = this.parts.rollouts.tell() !== undefined;
     const hasNewState =
-      isAheadOf(reach, this.lastHeartbeatReach) || hasRollouts || this.hasReadingChanged;
+      isAheadOf(progress, this.lastHeartbeatProgress) || hasRollouts || this.hasReadingChanged;
     if (hasNewState || this.ticks - this.lastHeartbeatTick >= IDLE_HEARTBEAT_TICKS) {
       this.lastHeartbeatTick = this.ticks;
-      this.lastHeartbeatReach = reach;
-      this.lastSentReach = reach;
+      this.lastHeartbeatProgress = progress;
+      this.lastSentProgress = progress;
       this.lastSentIsReading = this.parts.isReading();
       this.mesh.broadcast(this.buildHeartbeat());
     }
--- a/src/gateway/links/heartbeat-intervals.ts
+++ b/src/gateway/links/heartbeat-intervals.ts
@@ -2,13 +2,15 @@
 
 /** Time between two ticks, in milliseconds. */
 export const PEER_TICK_MS = 100;
-/** Ticks without new state after which a heartbeat is sent all the same. */
+/** Ticks without new state after which a heartbeat is sent anyway. */
 export const IDLE_HEARTBEAT_TICKS = 5;
 /**
- * Number of gateways that a heartbeat may go to in each tick; in larger fleets heartbeats are less
- * frequent.
+ * Largest fleet in which new state is sent in a heartbeat at every tick. In larger fleets
+ * heartbeats are less frequent, so that each gateway sends at most about this many per tick on
+ * average.
  */
 const PEERS_PER_HEARTBEAT_TICK = 8;
+
 /** Returns the ticks between two heartbeats with new state in a fleet of `gateways`. */
 export function heartbeatTicks(gateways: number): number {
   return Math.ceil(gateways / PEERS_PER_HEARTBEAT_TICK);
--- a/src/gateway/links/slot-agent-links.ts
+++ b/src/gateway/links/slot-agent-links.ts
@@ -19,7 +19,7 @@
 
 /** Addresses and timeouts of the connections; times in milliseconds. */
 export interface SlotAgentLinkOptions {
-  /** Port that agents listen on, on the host of their back end. */
+  /** Port that agents listen on, on the host of their backend. */
   readonly port: number;
   /** Peer address of this gateway, IP:PORT. */
   readonly peersAddress: string;
@@ -85,7 +85,7 @@
 const PEER_RESPONSE_CODES: ReadonlySet<string> = new Set(['ECONNREFUSED', 'ECONNRESET', 'EPIPE']);
 
 /**
- * Called when the connection to a back end's agent is established or lost; `reason` is the agent's,
+ * Called when the connection to a backend's agent is established or lost; `reason` is the agent's,
  * if any.
  */
 export type OnAgentConnection = (backendId: string, isConnected: boolean, reason?: string) => void;
@@ -93,7 +93,7 @@
 /** Maintains a gateway's connections to slot agents. */
 export class SlotAgentLinks {
   private readonly links = new Map<string, Link>();
-  private lastSentReach = NO_PROGRESS;
+  private lastSentProgress = NO_PROGRESS;
 
   constructor(
     private readonly gatewayName: string,
@@ -108,7 +108,7 @@
     private readonly options: SlotAgentLinkOptions,
   ) {}
 
-  /** Sends a message to a back end's agent. */
+  /** Sends a message to a backend's agent. */
   send(backendId: string, message: GatewayToAgent): void {
     const link = this.links.get(backendId);
     if (link !== undefined) {
@@ -126,8 +126,8 @@
     for (const link of this.links.values()) {
       const isIdle = nowMs - link.lastSentAtMs >= this.options.aliveMs;
       const known = this.directory.find(link.backendId);
-      const isAtWork = known !== undefined && (known.outstanding > 0 || known.hasDemand);
-      if (link.isEstablished && isIdle && isAtWork) {
+      const isInUse = known !== undefined && (known.outstanding > 0 || known.hasDemand);
+      if (link.isEstablished && isIdle && isInUse) {
         // The agent includes keepalives in its message count.
         if (known.agent !== undefined) {
           known.agent.messagesSent += 1;
@@ -137,22 +137,22 @@
     }
   }
 
-  /** Sends every agent the replication position (`progress`), if it advanced. */
+  /** Sends every connected agent the replication position of this gateway, if it advanced. */
   broadcastReach(): void {
-    const { progress: reach } = this.records;
-    if (!isAheadOf(reach, this.lastSentReach)) {
+    const { progress } = this.records;
+    if (!isAheadOf(progress, this.lastSentProgress)) {
       return;
     }
-    this.lastSentReach = reach;
+    this.lastSentProgress = progress;
     for (const { channel, isEstablished } of this.links.values()) {
       if (isEstablished) {
-        channel?.send({ kind: 'reach', reach });
+        channel?.send({ kind: 'reach', reach: progress });
       }
     }
   }
 
   /**
-   * Opens and closes connections as back ends come and go; to be called periodically. All input up
+   * Opens and closes connections as backends come and go; to be called periodically. All input up
    * to `readUpToMs` has been read, so that silence is measured up to then: later messages may still
    * be unread.
    */
@@ -322,10 +322,11 @@
 }
 
 /**
- * Whether a connection to the engine's agent is needed: while it is assigned, while it runs
- * requests of this gateway, and while its agent is silent, to detect its recovery.
+ * Whether a connection to the engine's agent is needed: while the engine is in this gateway's
+ * subset, while it runs requests of this gateway, and while its agent is silent, to detect the
+ * recovery of the path.
  */
 function needsLink(known: KnownBackend): boolean {
-  const { isCurrent, isInSubset: isAssigned, outstanding, path } = known;
-  return isCurrent && (isAssigned || outstanding > 0 || path.isAgentSilent);
+  const { isCurrent, isInSubset, outstanding, path } = known;
+  return isCurrent && (isInSubset || outstanding > 0 || path.isAgentSilent);
 }
--- a/src/gateway/quotas/pending-charge.ts
+++ b/src/gateway/quotas/pending-charge.ts
@@ -15,11 +15,11 @@
       readonly isGranted: false;
       /** Suggested delay before the caller retries, in milliseconds. */
       readonly retryAfterMs: number;
-      /** Number of holders that refused. */
+      /** Number of holders that refused in the last round of requests. */
       readonly refused: number;
       /** Number of holders that were unreachable, timed out or hold no pool of the tenant. */
       readonly unanswered: number;
-      /** Sum of the levels of the pools that refused. */
+      /** Sum of the levels of the pools that refused in that round. */
       readonly left: number;
     };
 
@@ -44,6 +44,10 @@
   nextId(): number;
   schedule(delayMs: number, callback: () => void): void;
   refund(holder: string, id: number): void;
+  /**
+   * Takes the whole cost from this gateway's reserve, for a charge that some holders did not
+   * respond to; returns false if the reserve is too low or this gateway has none.
+   */
   drawReserve(): boolean;
   onResult(result: ChargeResult): void;
 }
@@ -55,13 +59,13 @@
 const UNREACHABLE_RETRY_MS = 500;
 
 /**
- * One charge: requests as many parts in parallel as are still missing. Once every holder was tried,
- * the missing cost is split once among all holders that refused, which may then issue advance
- * grants against future refill.
+ * One charge: requests as many parts in parallel as are still missing. If all holders were asked
+ * and parts are still missing, their cost is split once among the holders that refused, which may
+ * then issue advance grants against future refill.
  */
 export class PendingCharge implements Charge {
   private readonly granted: Array<{ readonly holder: string; readonly id: number }> = [];
-  private refusals: Array<{ readonly holder: string; readonly grant: QuotaRefusal }> = [];
+  private refusals: Array<{ readonly holder: string; readonly refusal: QuotaRefusal }> = [];
   private inFlight = 0;
   private unanswered = 0;
   /** Delay until every advance grant is valid, in milliseconds. */
@@ -117,7 +121,7 @@
     if (decision === undefined || (!decision.isGranted && !decision.isHeld)) {
       this.unanswered += 1;
     } else if (!decision.isGranted) {
-      this.refusals.push({ holder, grant: decision });
+      this.refusals.push({ holder, refusal: decision });
     } else if (this.isFinished) {
       this.ports.refund(holder, id);
     } else {
@@ -164,13 +168,13 @@
       this.ports.onResult({ isGranted: true, giveBack: () => this.refundGranted() });
       return;
     }
-    const retryDelays = this.refusals.map(({ grant }) => grant.retryAfterMs);
+    const retryDelays = this.refusals.map(({ refusal }) => refusal.retryAfterMs);
     this.ports.onResult({
       isGranted: false,
       retryAfterMs: retryDelays.length === 0 ? UNREACHABLE_RETRY_MS : Math.min(...retryDelays),
       refused: this.refusals.length,
       unanswered: this.unanswered,
-      left: this.refusals.reduce((sum, { grant }) => sum + grant.left, 0),
+      left: this.refusals.reduce((sum, { refusal }) => sum + refusal.left, 0),
     });
   }
 
--- a/src/gateway/quotas/quota-bucket.ts
+++ b/src/gateway/quotas/quota-bucket.ts
@@ -71,12 +71,12 @@
     return true;
   }
 
-  private refill({ capacity, refillPerMs: perMs }: BucketConfig, nowMs: number): void {
+  private refill({ capacity, refillPerMs }: BucketConfig, nowMs: number): void {
     this.expireRefundable(nowMs);
     const freeCapacity = Math.max(0, capacity - this.refundableCost);
     this.level = Math.min(
       freeCapacity,
-      this.level + perMs * Math.max(0, nowMs - this.refilledAtMs),
+      this.level + refillPerMs * Math.max(0, nowMs - this.refilledAtMs),
     );
     this.refilledAtMs = nowMs;
   }
--- a/src/gateway/quotas/quota-budget.ts
+++ b/src/gateway/quotas/quota-budget.ts
@@ -1,9 +1,9 @@
 /**
  * Division of a tenant's limit into pools, reserves and credits.
  *
- * In any window all gateways together may admit `(rate x window + burst) x (1 + over) + slack`. Of
- * that, a few pools get the rate, with half of `over` on top, and the burst. The remaining
- * tolerance, the surplus, is divided: `POOL_SHARE` of it adds to the pools' capacity,
+ * In any window all gateways together may admit `(rate x window + burst) x (1 + overShare) +
+ * slack`. Of that, a few pools get the rate, with half of `overShare` on top, and the burst. The
+ * remaining tolerance, the surplus, is divided: `POOL_SHARE` of it adds to the pools' capacity,
  * `RESERVE_SHARE` goes to reserves, `CREDIT_SHARE` to one credit per window. The rest stays unused.
  */
 import type { TenantQuota } from '../../routing/configuration.js';
--- a/src/gateway/quotas/quota-charges.ts
+++ b/src/gateway/quotas/quota-charges.ts
@@ -40,8 +40,8 @@
 export const HOLDER_TIMEOUT_MS = 80;
 /**
  * Timer lateness above which this process's own event loop is considered stalled, in milliseconds:
- * responses that arrived during the stall are read only after the timer, so that the timeout does
- * not prove an unresponsive holder.
+ * responses that arrived during the stall are read only after the timer has fired, so that such a
+ * timeout does not prove that the holder is unresponsive.
  */
 const LOOP_STALL_MS = 40;
 /**
@@ -49,8 +49,8 @@
  */
 const UNRESPONSIVE_BACKOFF_MS = 500;
 /**
- * Longest time for which a refusal of a pool is cached, in milliseconds: limits each gateway to ten
- * requests a second to an empty pool, however far the tenant is over its limit.
+ * Longest time for which a refusal of a pool is cached, in milliseconds: limits each gateway to
+ * about ten requests a second to a pool that stays empty, however far the tenant is over its limit.
  */
 const MAX_REFUSAL_CACHE_MS = 100;
 /**
@@ -66,11 +66,11 @@
 const STARTUP_RETRY_MS = 50;
 const STARTUP_MAX_WAIT_MS = 400;
 
-/** A refusal of an empty pool, reused instead of another request. */
+/** A refusal, reused instead of sending the holder another request. */
 interface CachedRefusal {
   /** When the entry expires, in milliseconds. */
   readonly untilMs: number;
-  readonly grant: QuotaRefusal;
+  readonly refusal: QuotaRefusal;
 }
 
 interface PendingRequest {
@@ -215,7 +215,7 @@
     }
     const cached = this.cachedRefusals.get(refusalKey(holder, request));
     if (cached !== undefined && nowMs < cached.untilMs) {
-      onDecision(cached.grant);
+      onDecision(cached.refusal);
       return;
     }
     const isSkipped = nowMs < (this.skippedUntilMs.get(holder) ?? -Infinity);
@@ -252,7 +252,7 @@
       return;
     }
     const untilMs = this.clock.now() + Math.min(MAX_REFUSAL_CACHE_MS, decision.emptyForMs);
-    this.cachedRefusals.set(key, { untilMs, grant: decision });
+    this.cachedRefusals.set(key, { untilMs, refusal: decision });
   }
 
   private refund(holder: string, id: number, tenant: string): void {
--- a/src/gateway/quotas/quota-members-writer.ts
+++ b/src/gateway/quotas/quota-members-writer.ts
@@ -16,6 +16,7 @@
 
 /** State of another gateway as of its last heartbeat. */
 export interface MemberStatus extends QuotaMember {
+  /** When that heartbeat was received, in milliseconds. */
   readonly heardAtMs: number;
   /** When its process started, in milliseconds. */
   readonly startedAtMs: number;
@@ -177,8 +178,8 @@
   }
 
   /**
-   * Returns a credit for a fleet that has restarted as a whole: its pools are empty, and all its
-   * callers return at once.
+   * Returns a credit if the recently started gateways number more than half of the members, as
+   * after a restart of the whole fleet: the pools are then empty, and all callers retry at once.
    */
   private nextCredit(record: QuotaMembersChange, nowMs: number): PendingChange | undefined {
     const timeOfDayMs = this.ports.timeOfDayMs();
@@ -220,11 +221,11 @@
    * timed out.
    */
   private isAppliedByAll(record: QuotaMembersRecord, nowMs: number): boolean {
-    const heard = new Map(this.ports.knownPeers().map((peer) => [peer.name, peer]));
+    const peersByName = new Map(this.ports.knownPeers().map((peer) => [peer.name, peer]));
     return record.settled.every(
       ({ name }) =>
         name === this.self.name ||
-        !isLater(record, heard.get(name)?.follows ?? NO_POSITION) ||
+        !isLater(record, peersByName.get(name)?.follows ?? NO_POSITION) ||
         this.hasTimedOut(name, nowMs),
     );
   }
--- a/src/gateway/quotas/quota-pools.ts
+++ b/src/gateway/quotas/quota-pools.ts
@@ -79,8 +79,8 @@
 /** Retry delay returned for a tenant without quota or pool at this gateway, in milliseconds. */
 const NO_POOL_RETRY_MS = 100;
 /**
- * Bounds of the retry delay returned to a caller, in milliseconds. A caller that retries late
- * displaces one that would be on time.
+ * Bounds of the retry delay returned to a caller, in milliseconds. A request that is retried late
+ * takes quota from another that would still meet its deadline.
  */
 const MIN_RETRY_AFTER_MS = 50;
 const MAX_RETRY_AFTER_MS = 1_000;
@@ -100,8 +100,8 @@
    * Whether advance grants are useful: a high recently refused cost means that demand exceeds the
    * refill rate, and queueing would then delay every grant without serving more requests.
    */
-  allowsAdvanceGrants({ refillPerMs: perMs }: BucketConfig, nowMs: number): boolean {
-    return this.refused.at(nowMs) <= perMs * MAX_ADVANCE_GRANT_MS;
+  allowsAdvanceGrants({ refillPerMs }: BucketConfig, nowMs: number): boolean {
+    return this.refused.at(nowMs) <= refillPerMs * MAX_ADVANCE_GRANT_MS;
   }
 
   /** Returns the level below which a request for `cost` is not granted at once. */
@@ -148,7 +148,7 @@
       return { isGranted: true, afterMs };
     }
     if (mayWait) {
-      // The last attempt of the charge: its cost is refused for good.
+      // Last round of the charge: this refusal is final.
       pool.refused.add(cost, nowMs);
     }
     return {
--- a/src/gateway/quotas/quota-rights.ts
+++ b/src/gateway/quotas/quota-rights.ts
@@ -116,8 +116,9 @@
   }
 
   /**
-   * Start of the current rights: advance grants of the previous process of this name may be used
-   * shortly after its end.
+   * Start of the current rights, in milliseconds; at least `MAX_ADVANCE_GRANT_MS` after the start
+   * of this process, since advance grants of the previous process of this name may be used shortly
+   * after its end.
    */
   private get freeSinceMs(): number {
     return Math.max(this.changedAtMs, this.startedAtMs + MAX_ADVANCE_GRANT_MS);
--- a/src/gateway/statements/backend-condition.ts
+++ b/src/gateway/statements/backend-condition.ts
@@ -1,6 +1,6 @@
 /**
- * The state of one backend instance as derived from its own statements: its request limit, whether
- * it is draining, and its backoff period.
+ * The state of one backend instance as derived from its own statements and refusals: its request
+ * limit, whether it is draining, and its backoff period.
  *
  * Statements arrive with every response, through several gateways and delayed, so each value
  * carries the time of its statement and an older statement never overrides a newer one.
@@ -96,7 +96,10 @@
     return nowMs < Math.max(this.sharedBackoffEndMs, this.refusalBackoffEndMs);
   }
 
-  /** Whether the backend has not served a request since its backoff. */
+  /**
+   * Whether the backend has served no request since the end of its last shared backoff; also true
+   * during that backoff.
+   */
   get isRecovering(): boolean {
     return this.sharedBackoffEndMs > this.lastServedAtMs;
   }
@@ -139,7 +142,10 @@
     return hasLimitChanged || hasDrainingChanged || hasBackoffChanged || hasServedChanged;
   }
 
-  /** Returns the condition to send to peers; undefined if the backend never stated anything. */
+  /**
+   * Returns the condition to send to peers; undefined if the backend never had a limit or a shared
+   * backoff and is not draining.
+   */
   snapshot(backendId: string, nowMs: number): ConditionSnapshot | undefined {
     const { limit, limitAtMs, sharedBackoffEndMs, lastServedAtMs, hasDrainStarted } = this;
     const hadBackoff = sharedBackoffEndMs !== -Infinity;
--- a/src/gateway/statements/backend-conditions.ts
+++ b/src/gateway/statements/backend-conditions.ts
@@ -62,11 +62,12 @@
   }
 
   /**
-   * Removes conditions that have not changed for a long time, except those of `known` instances.
+   * Removes conditions that have not changed for a long time, except those of instances for which
+   * `isKnown` returns true.
    */
-  evictExpired(known: (backendId: string) => boolean, nowMs: number): void {
+  evictExpired(isKnown: (backendId: string) => boolean, nowMs: number): void {
     for (const [backendId, { changedAtMs }] of this.entries) {
-      if (nowMs - changedAtMs > CONDITION_TTL_MS && !known(backendId)) {
+      if (nowMs - changedAtMs > CONDITION_TTL_MS && !isKnown(backendId)) {
         this.entries.delete(backendId);
       }
     }
--- a/src/gateway/statements/send-right-pools.ts
+++ b/src/gateway/statements/send-right-pools.ts
@@ -16,6 +16,7 @@
 export interface RightRequest {
   /** Unique ID of the right request. */
   readonly name: string;
+  /** Priority among the queued right requests. */
   readonly place: RequestPriority;
   /** Called exactly once, possibly before `acquire` returns. */
   respond(isGranted: boolean): void;
@@ -156,8 +157,8 @@
   }
 
   /**
-   * Removes a pool that is no longer needed or moved to another gateway; answers its queued
-   * requests.
+   * Removes a pool that is no longer needed or moved to another gateway; responds to its queued
+   * requests with `isGranted`.
    */
   private closePool(backendId: string, pool: SendRightPool, isGranted: boolean): void {
     this.pools.delete(backendId);
--- a/src/gateway/statements/send-rights.ts
+++ b/src/gateway/statements/send-rights.ts
@@ -13,6 +13,7 @@
   /** Correlates the response. */
   readonly id: number;
   readonly backendId: string;
+  /** Priority among the right requests queued at the issuer. */
   readonly place: RequestPriority;
 }
 
@@ -95,7 +96,10 @@
     return isUnlimited || (this.backends.get(backendId)?.held.length ?? 0) > 0;
   }
 
-  /** Requests a right for the backend unless one is held or already requested. */
+  /**
+   * Requests a right for the backend unless one is held or already requested, or one was denied
+   * just before.
+   */
   want(backendId: string, place: RequestPriority): void {
     const limitPerS = this.ports.limitOf(backendId);
     const rights = this.getOrCreateRights(backendId);
@@ -164,11 +168,11 @@
     if (issuer === this.self) {
       rights.pendingId = id;
       const right = { id, issuer, timer: undefined };
-      const answer = (isGranted: boolean) => this.handleResponse(backendId, right, isGranted);
+      const respond = (isGranted: boolean) => this.handleResponse(backendId, right, isGranted);
       this.ports.acquireLocally(backendId, {
         name: rightRequestName(this.self, id),
         place,
-        respond: answer,
+        respond,
       });
       return true;
     }
--- a/test/crashing-request.test.ts
+++ b/test/crashing-request.test.ts
@@ -22,11 +22,11 @@
 const CRASHING_BODY = 'what crashes';
 const HARMLESS_BODY = 'what is harmless';
 /**
- * Delays after the arrival of a request until the backend crashes and until a harmless request is
- * answered.
+ * Delays from the arrival of a request until the backend crashes, and until it responds to a
+ * harmless request.
  */
 const CRASH_AFTER_MS = 20;
-const ANSWER_AFTER_MS = 30;
+const RESPOND_AFTER_MS = 30;
 /** Downtime of a crashed backend, and the interval between requests of one caller. */
 const RESTART_DELAY_MS = 250;
 const SEND_INTERVAL_MS = 120;
@@ -43,54 +43,54 @@
 class CrashingFleet {
   readonly crashes: string[] = [];
   arrivals = 0;
-  private startedWorkers = 0;
-  private readonly workers = new Set<FakeBackend>();
+  private startedBackends = 0;
+  private readonly backends = new Set<FakeBackend>();
   private isStopped = false;
 
   constructor(private readonly store: FakeStore) {}
 
   async start(address?: string): Promise<void> {
-    this.startedWorkers += 1;
-    const id = `life-${this.startedWorkers}`;
-    const worker: FakeBackend = new FakeBackend(id, (seen, response) =>
-      this.run(worker, seen, response),
+    this.startedBackends += 1;
+    const id = `life-${this.startedBackends}`;
+    const backend: FakeBackend = new FakeBackend(id, (seen, response) =>
+      this.run(backend, seen, response),
     );
-    this.workers.add(worker);
-    const listening = await worker.start(address);
+    this.backends.add(backend);
+    const listening = await backend.start(address);
     this.store.announce(id, { service: 's', address: listening, slots: 4 });
   }
 
   /** The backends that are currently running. */
   entries(): Array<{ id: string; address: string }> {
-    return [...this.workers].map(({ id, address }) => ({ id, address }));
+    return [...this.backends].map(({ id, address }) => ({ id, address }));
   }
 
   stop(): void {
     this.isStopped = true;
-    this.workers.forEach((worker) => worker.stop());
+    this.backends.forEach((backend) => backend.stop());
   }
 
-  private run(worker: FakeBackend, { body }: ReceivedRequest, response: ServerResponse): void {
+  private run(backend: FakeBackend, { body }: ReceivedRequest, response: ServerResponse): void {
     if (body !== CRASHING_BODY) {
       setTimeout(() => {
         response.writeHead(200, { 'X-Weirvale-Server-Seal': 'seal' });
         response.end('id: 1\ndata: good\n\n');
-      }, ANSWER_AFTER_MS);
+      }, RESPOND_AFTER_MS);
       return;
     }
     this.arrivals += 1;
-    setTimeout(() => this.crash(worker), CRASH_AFTER_MS);
+    setTimeout(() => this.crash(backend), CRASH_AFTER_MS);
   }
 
-  private crash(worker: FakeBackend): void {
-    if (!this.workers.delete(worker)) {
+  private crash(backend: FakeBackend): void {
+    if (!this.backends.delete(backend)) {
       return;
     }
-    this.crashes.push(worker.id);
-    const { address } = worker;
-    worker.crash();
+    this.crashes.push(backend.id);
+    const { address } = backend;
+    backend.crash();
     setTimeout(() => {
-      this.store.remove(`servers/${worker.id}`);
+      this.store.remove(`servers/${backend.id}`);
       if (!this.isStopped) {
         void this.start(address);
       }
@@ -128,7 +128,7 @@
   body: string,
 ): Promise<{ status: number; text: string }> {
   lastId += 1;
-  const answer = await request(`${callers}/a/x`, {
+  const response = await request(`${callers}/a/x`, {
     method: 'POST',
     body,
     headers: {
@@ -137,7 +137,7 @@
       'x-weirvale-deadline-ms': '1500',
     },
   });
-  return { status: answer.statusCode, text: await answer.body.text() };
+  return { status: response.statusCode, text: await response.body.text() };
 }
 
 function sleep(delayMs: number): Promise<void> {
@@ -196,7 +196,7 @@
   });
 }
 
-test('gateways without peer connections load a crashing request from the store, also after all gateways were replaced', async (t) => {
+test('gateways without peer connections load a crashing request from the store, also after all were replaced', async (t) => {
   const { store, fleet } = await startFleet('unsafe');
   const address = await store.start();
   const unconnected = [await gateways.start('g-1', address), await gateways.start('g-2', address)];
@@ -241,22 +241,22 @@
 
 test('a queued request is refused immediately when it becomes known as crashing', async (t) => {
   const store = new FakeStore();
-  const worker = new FakeBackend('w-1', (_seen, response) => {
+  const backend = new FakeBackend('w-1', (_seen, response) => {
     setTimeout(() => response.end('good'), 1_200);
   });
   const services = [{ name: 's', maxConnections: 9, engine: { stride: 1 } }];
   store.put('op/config', { ...configuration('unsafe'), services });
-  store.announce('w-1', { address: await worker.start(), slots: 1 });
+  store.announce('w-1', { address: await backend.start(), slots: 1 });
   const gateway = await gateways.start('g-1', await store.start());
   t.teardown(() => {
     gateway.gateway.stop(() => undefined);
-    worker.stop();
+    backend.stop();
     store.stop();
   });
   await gateways.untilReady([gateway]);
   const running = send(gateway, HARMLESS_BODY);
   await sleep(PROPAGATION_MS);
-  t.is(worker.received.length, 1);
+  t.is(backend.received.length, 1);
   const startedAt = Date.now();
   const waiting = sendAndRead(gateway, CRASHING_BODY);
   await sleep(SEND_INTERVAL_MS);
--- a/test/crashing-requests-fleet.test.ts
+++ b/test/crashing-requests-fleet.test.ts
@@ -79,7 +79,7 @@
   private readonly downUntilMs = new Map<string, number>();
   private thirdCrashAtMs = Infinity;
   private record: CrashRecord | undefined;
-  /** A gateway that is cut off from its peers, and until when. */
+  /** Index of the gateway that is partitioned from its peers, and until when. */
   private partition: { index: number; untilMs: number } = { index: -1, untilMs: 0 };
 
   constructor(
@@ -104,7 +104,7 @@
     return Math.floor(this.random.next() * bound);
   }
 
-  tellPeers(from: FleetGateway, requests: readonly RequestCrashes[]): void {
+  broadcast(from: FleetGateway, requests: readonly RequestCrashes[]): void {
     for (const gateway of this.gateways) {
       if (
         gateway !== from &&
@@ -168,11 +168,11 @@
 
   private restart(): void {
     const index = this.randomBelow(GATEWAYS);
-    const dead = this.gateways[index]!;
+    const stopped = this.gateways[index]!;
     for (const [backendId, runs] of this.runs) {
       this.runs.set(
         backendId,
-        runs.filter(({ gateway }) => gateway !== dead),
+        runs.filter(({ gateway }) => gateway !== stopped),
       );
     }
     this.gateways[index] = this.create(index);
@@ -233,7 +233,7 @@
       this.outcome.crashes += 1;
       this.thirdCrashAtMs = this.outcome.crashes === 3 ? nowMs : this.thirdCrashAtMs;
     }
-    // Some agents are down; the backend's return reveals the crash then.
+    // Where the agent is down, the crash is detected only when the backend restarts.
     const detectionDelayMs =
       this.random.next() < 0.8
         ? 5 + this.randomBelow(60)
@@ -272,10 +272,10 @@
         isLeaving: () => false,
         probe: () => undefined,
         onCrash: () => undefined,
-        onTalliesChanged: (news, source) => {
+        onTalliesChanged: (changed, source) => {
           if (source === 'own' && variant.disablesSharing !== true) {
-            fleet.tellPeers(this, news);
-            this.record.addTallies(news);
+            fleet.broadcast(this, changed);
+            this.record.addTallies(changed);
           }
         },
         onRefused: () => undefined,
--- a/test/crashing-requests.test.ts
+++ b/test/crashing-requests.test.ts
@@ -21,7 +21,10 @@
   return new GatewayHarness(...['a', 'b', 'c', 'd', 'e'].map((id) => backendOf(id, { slots: 9 })));
 }
 
-/** Sends one request and crashes its backend; `recordBackendExit` reports the exit as found by an agent. */
+/**
+ * Sends one request and crashes its backend; `recordBackendExit` reports the exit as found by an
+ * agent.
+ */
 function crash(world: GatewayHarness, changes: Partial<AcceptedRequest>): void {
   world.request(changes);
   const attempt = world.attempts.at(-1)!;
--- a/test/quota-fleet.test.ts
+++ b/test/quota-fleet.test.ts
@@ -8,7 +8,7 @@
 
 /**
  * Injects the faults of a seed: single and fleet-wide kills, pauses, partitions, store outages,
- * lost messages, reruns.
+ * lost messages, retries.
  */
 async function runSeed(seed: number, fault?: QuotaFleetFault): Promise<QuotaFleet> {
   const random = new SeededRandom(seed * 7 + 1);
@@ -16,16 +16,19 @@
   const fleet = new QuotaFleet({ seed, gateways, ...(fault === undefined ? {} : { fault }) });
   await fleet.run(SETTLE_MS);
   fleet.lossShare = random.next() < 0.3 ? 0.1 : 0;
-  fleet.rerunShare = random.next() < 0.5 ? 0.4 : 0;
-  const one = () => fleet.gateways[randomInteger(random, 0, fleet.gateways.length - 1)]!;
+  fleet.retryShare = random.next() < 0.5 ? 0.4 : 0;
+  const pickGateway = () => fleet.gateways[randomInteger(random, 0, fleet.gateways.length - 1)]!;
   const kinds: Array<() => void> = [
-    () => one().kill(randomInteger(random, 200, 600)),
+    () => pickGateway().kill(randomInteger(random, 200, 600)),
     () => fleet.gateways.forEach((gateway) => gateway.kill(randomInteger(random, 200, 900))),
-    () => one().pause(randomInteger(random, 50, 2_500)),
+    () => pickGateway().pause(randomInteger(random, 50, 2_500)),
     () => {
-      const cut = one();
-      cut.isPartitioned = true;
-      fleet.clock.setTimeout(() => (cut.isPartitioned = false), randomInteger(random, 100, 9_000));
+      const partitioned = pickGateway();
+      partitioned.isPartitioned = true;
+      fleet.clock.setTimeout(
+        () => (partitioned.isPartitioned = false),
+        randomInteger(random, 100, 9_000),
+      );
     },
     () => {
       fleet.isStoreUp = false;
@@ -57,8 +60,8 @@
 const INJECTED_FAULTS: Readonly<Record<string, QuotaFleetFault>> = {
   'full pools at the start of a process': { startsFull: true },
   'requests admitted without a grant after a timeout': { treatsTimeoutAsGrant: true },
-  'pool shares claimed while other gateways still hold them': { assumesTwoPools: true },
-  'reruns that are not charged': { ignoresReruns: true },
+  'pools that are sized as if there were only two': { assumesTwoPools: true },
+  'retries that are not charged': { ignoresRetries: true },
   'credits issued at too short intervals': { creditsEachTime: true },
 };
 for (const [name, fault] of Object.entries(INJECTED_FAULTS)) {
@@ -89,7 +92,7 @@
   });
 }
 
-test('fewer than 5 in 100 requests of a tenant at .6 of its limit are refused while half of eight gateways pause in turn', async (t) => {
+test('under 5 % of requests of a tenant at .6 of its limit are refused while half of eight gateways pause in turn', async (t) => {
   const fleet = new QuotaFleet({ seed: 6, gateways: 8 });
   await fleet.run(SETTLE_MS);
   fleet.startLoad();
@@ -115,20 +118,20 @@
   const fleet = new QuotaFleet({ seed: 8, gateways: 5 });
   await fleet.run(SETTLE_MS);
   fleet.startLoad(1.5, 0.1);
-  const cut = fleet.gateways[2]!;
-  cut.isPartitioned = true;
+  const partitioned = fleet.gateways[2]!;
+  partitioned.isPartitioned = true;
   await fleet.run(90_000);
-  const { process } = cut;
+  const { process } = partitioned;
   const results: boolean[] = [];
   process!.quotas.charge('calm', 500, ({ isGranted }) => results.push(isGranted));
   await fleet.run(1_000);
   t.deepEqual(results, [false]);
   t.is(fleet.members.members!.length, 5);
   await fleet.run(80_000);
-  t.false(fleet.members.members!.some(({ name }) => name === cut.name));
-  cut.isPartitioned = false;
+  t.false(fleet.members.members!.some(({ name }) => name === partitioned.name));
+  partitioned.isPartitioned = false;
   await fleet.run(20_000);
-  t.true(fleet.members.settled.some(({ name }) => name === cut.name));
+  t.true(fleet.members.settled.some(({ name }) => name === partitioned.name));
   t.true(fleet.worstShare() <= 1);
 });
 
@@ -194,14 +197,14 @@
   const fleet = new QuotaFleet({ seed, gateways, ...(fault === undefined ? {} : { fault }) });
   await fleet.run(SETTLE_MS);
   fleet.startLoad();
-  const one = () => fleet.gateways[randomInteger(random, 0, fleet.gateways.length - 1)]!;
+  const pickGateway = () => fleet.gateways[randomInteger(random, 0, fleet.gateways.length - 1)]!;
   fleet.every(randomInteger(random, 400, 4_000), () =>
     fleet.restoreStore(randomInteger(random, 200, 20_000)),
   );
   const kinds = [
-    () => one().kill(randomInteger(random, 200, 600)),
+    () => pickGateway().kill(randomInteger(random, 200, 600)),
     () => fleet.gateways.length < 30 && fleet.addGateway(),
-    () => one().pause(randomInteger(random, 50, 2_500)),
+    () => pickGateway().pause(randomInteger(random, 50, 2_500)),
     () => undefined,
   ];
   fleet.every(randomInteger(random, 500, 4_000), () =>
--- a/test/quota-pools.test.ts
+++ b/test/quota-pools.test.ts
@@ -44,8 +44,8 @@
         const pools = Math.min(gateways, MAX_POOLS);
         const pool = poolConfig(quota, tolerance, pools);
         const reserve = reserveConfig(quota, tolerance, gateways);
-        const inWindow = ({ capacity, refillPerMs: perMs }: typeof pool) =>
-          capacity + perMs * tolerance.windowMs;
+        const inWindow = ({ capacity, refillPerMs }: typeof pool) =>
+          capacity + refillPerMs * tolerance.windowMs;
         const sum =
           pools * (inWindow(pool) + poolCredit(quota, tolerance, pools)) +
           gateways * inWindow(reserve);
--- a/test/slot-agent-links.test.ts
+++ b/test/slot-agent-links.test.ts
@@ -16,7 +16,7 @@
 
 const HOST = '127.0.5.1';
 const SILENCE_MS = 150;
-const PATIENCE_MS = 5_000;
+const WAIT_TIMEOUT_MS = 5_000;
 
 /** A fake agent that sends periodic state messages until the test silences or stops it. */
 class FakeAgent {
@@ -112,14 +112,14 @@
 
 /** Polls until `condition` holds, with a timeout for a busy machine; returns whether it holds. */
 async function waitFor(condition: () => boolean): Promise<boolean> {
-  const untilMs = SYSTEM_CLOCK.now() + PATIENCE_MS;
+  const untilMs = SYSTEM_CLOCK.now() + WAIT_TIMEOUT_MS;
   while (!condition() && SYSTEM_CLOCK.now() < untilMs) {
     await sleep(SYSTEM_CLOCK, 5);
   }
   return condition();
 }
 
-test('keepalives count as sent messages, so that no state report seems to cover slots taken after it', async (t) => {
+test('keepalives count as sent messages: a state report must not appear to include slots taken after it', async (t) => {
   const agent = new FakeAgent(28_957);
   const { known, stop } = startLinks(28_957);
   t.teardown(() => {
--- a/test/statement-choices.test.ts
+++ b/test/statement-choices.test.ts
@@ -22,7 +22,7 @@
   return world.attempts.map(({ backend }) => backend.id);
 }
 
-/** Creates a world in which `a` has answered one request with the statement. */
+/** Creates a harness in which `a` has responded to one request with the statement. */
 function worldAfter(statement: Partial<BackendStatement>, ...others: string[]): GatewayHarness {
   const world = new GatewayHarness(...['a', ...others].map((id) => backendOf(id)));
   world.dispatcher.learnSpeed('a', 1, 5);
@@ -157,15 +157,15 @@
   t.is(world.attempts.length, 3);
 });
 
-test('backoff: with all backends in backoff a caller immediately gets the delay until the first returns, or waits if it can', async (t) => {
+test('backoff: with all backends in backoff a caller at once gets the delay until the first is usable, or waits if it can', async (t) => {
   const world = new GatewayHarness(backendOf('a'));
   world.request({ route: UNSAFE });
   world.answer(0, 503, '', { ...headersStating({ restMs: 10_000 }), 'not-run': '1' });
   await world.clock.runUntil(100);
   const { reply } = world.request({ route: UNSAFE });
   t.is(reply.status, 503);
-  const pauseMs = Number(reply.headers[reply.headers.indexOf('retry-after-ms') + 1]);
-  t.true(pauseMs >= 9_900 && pauseMs < 10_300);
+  const retryAfterMs = Number(reply.headers[reply.headers.indexOf('retry-after-ms') + 1]);
+  t.true(retryAfterMs >= 9_900 && retryAfterMs < 10_300);
   const shortBackoff = new GatewayHarness(backendOf('a'));
   shortBackoff.request({ route: UNSAFE });
   shortBackoff.answer(0, 503, '', { ...headersStating({ restMs: 30 }), 'not-run': '1' });
--- a/test/support/limited-backend.ts
+++ b/test/support/limited-backend.ts
@@ -18,6 +18,7 @@
 
 interface Arrival {
   readonly atMs: number;
+  /** Whether the sending gateway had known the limit for `PROPAGATION_MS` or longer. */
   readonly isInformed: boolean;
 }
 
@@ -33,7 +34,7 @@
 const QUEUE_TIMEOUT_MS = 400;
 const PROPAGATION_MS = 500;
 /**
- * The limit is enforced from this time after the first statement, over windows of this length, in
+ * The limit is checked from this time after the first statement, over windows of this length, in
  * milliseconds.
  */
 const ENFORCED_AFTER_MS = 3_000;
@@ -70,7 +71,8 @@
   }
 
   /**
-   * Returns the arrivals in the worst window as a fraction of the number allowed by `limitPerS`.
+   * Returns the arrivals in the worst window as a fraction of the number allowed by `limitPerS` and
+   * the tolerance. Counts only arrivals from gateways that knew the limit.
    */
   worstShare(limitPerS: number): number {
     const bound = (WINDOW_MS / 1_000) * limitPerS * TOLERANCE_FACTOR + TOLERANCE_REQUESTS;
@@ -136,12 +138,12 @@
     const isInformed = nowMs - (this.informedAtMs.get(process) ?? Infinity) >= PROPAGATION_MS;
     this.arrivals.push({ atMs: nowMs, isInformed });
     clock.setTimeout(
-      () => process.runWhenActive(() => this.answer(process, sentAtMs)),
+      () => process.runWhenActive(() => this.respond(process, sentAtMs)),
       randomInteger(random, ...SERVICE_TIME_MS),
     );
   }
 
-  private answer(process: FleetProcess, sentAtMs: number): void {
+  private respond(process: FleetProcess, sentAtMs: number): void {
     const { limitPerS } = this;
     if (limitPerS !== undefined) {
       const nowMs = this.fleet.clock.now();
@@ -163,7 +165,7 @@
   private injectFault(process: FleetProcess): void {
     const { issuesToSelf, reusesRights, fallbackIsWholeLimit } = this.fault;
     const { name } = process.gateway;
-    const inside = process.statements as unknown as {
+    const internals = process.statements as unknown as {
       rights: {
         use(id: string): void;
         ports: { dealerOf(id: string): string; countGateways(): number };
@@ -171,14 +173,14 @@
       pools: { ports: { heldSinceMs(id: string): number } };
     };
     if (issuesToSelf === true) {
-      inside.rights.ports.dealerOf = () => name;
-      inside.pools.ports.heldSinceMs = () => 0;
+      internals.rights.ports.dealerOf = () => name;
+      internals.pools.ports.heldSinceMs = () => 0;
     }
     if (reusesRights === true) {
-      inside.rights.use = () => undefined;
+      internals.rights.use = () => undefined;
     }
     if (fallbackIsWholeLimit === true) {
-      inside.rights.ports.countGateways = () => 0.5;
+      internals.rights.ports.countGateways = () => 0.5;
     }
   }
 }
--- a/test/support/quota-fleet.ts
+++ b/test/support/quota-fleet.ts
@@ -26,7 +26,7 @@
 import { isNoPosition, isSamePosition } from '../../src/cluster/store-position.js';
 import type { StorePosition } from '../../src/cluster/store-position.js';
 
-/** Faults injected into the quotas, which the limit check must detect. */
+/** Faults injected into the quotas, which the checks of the fleet must detect. */
 export interface QuotaFleetFault {
   /** Pools are full from the start of their process. */
   readonly startsFull?: boolean;
@@ -40,8 +40,8 @@
   readonly creditsEachTime?: boolean;
   /** An older record, which the store returns after a restore from a backup, is applied. */
   readonly ignoresSequence?: boolean;
-  /** Reruns of a request are not charged. */
-  readonly ignoresReruns?: boolean;
+  /** Retries of a request are not charged. */
+  readonly ignoresRetries?: boolean;
 }
 
 /** Options of a fleet. */
@@ -179,10 +179,10 @@
 
   private deliverTo(peer: FleetProcess, message: PeerMessage): void {
     if (message.kind === 'quota-ask') {
-      const answer = peer.quotas.answerPeer(this.hello, message);
+      const response = peer.quotas.answerPeer(this.hello, message);
       this.fleet.deliver(peer, this.gateway, (requester) => {
         if (requester === this) {
-          requester.quotas.receiveAnswer(answer);
+          requester.quotas.receiveAnswer(response);
         }
       });
     } else if (message.kind === 'quota-return') {
@@ -192,10 +192,10 @@
     } else if (message.kind === 'send-right-return') {
       peer.statements.takeBack(this.hello, message);
     } else if (message.kind === 'send-right-ask') {
-      peer.statements.answerPeer(this.hello, message, (answer) =>
+      peer.statements.answerPeer(this.hello, message, (response) =>
         this.fleet.deliver(peer, this.gateway, (requester) => {
           if (requester === this) {
-            requester.statements.receiveAnswer(answer);
+            requester.statements.receiveAnswer(response);
           }
         }),
       );
@@ -221,29 +221,25 @@
 
   /** Patches private members of the quotas to inject `fault`. */
   private injectFault(fault: QuotaFleetFault): void {
-    const {
-      startsFull,
-      treatsTimeoutAsGrant,
-      assumesTwoPools: takesOthersShare,
-      ignoresSettled,
-    } = fault;
-    const inside = this.quotas as unknown as {
+    const { startsFull, treatsTimeoutAsGrant, assumesTwoPools, ignoresSettled } = fault;
+    const internals = this.quotas as unknown as {
       rights: { freeSinceMs: number; pools: number; take(...args: TakeRecord): boolean };
       charges: { timeOut(id: number): void; receive(id: number, grant: object): void };
     };
     if (startsFull === true) {
-      Object.defineProperty(inside.rights, 'freeSinceMs', { get: () => -1e6 });
+      Object.defineProperty(internals.rights, 'freeSinceMs', { get: () => -1e6 });
     }
-    if (takesOthersShare === true) {
-      Object.defineProperty(inside.rights, 'pools', { get: () => 2 });
+    if (assumesTwoPools === true) {
+      Object.defineProperty(internals.rights, 'pools', { get: () => 2 });
     }
     if (ignoresSettled === true) {
-      const take = inside.rights.take.bind(inside.rights);
-      inside.rights.take = (record, nowMs) =>
+      const take = internals.rights.take.bind(internals.rights);
+      internals.rights.take = (record, nowMs) =>
         take({ ...record, settled: record.members ?? record.settled }, nowMs);
     }
     if (treatsTimeoutAsGrant === true) {
-      inside.charges.timeOut = (id) => inside.charges.receive(id, { isGranted: true, afterMs: 0 });
+      internals.charges.timeOut = (id) =>
+        internals.charges.receive(id, { isGranted: true, afterMs: 0 });
     }
   }
 }
@@ -270,11 +266,12 @@
     this.storeContactAtMs = undefined;
   }
 
-  kill(awayMs: number): void {
+  /** Ends the process, and starts another one `downMs` later. */
+  kill(downMs: number): void {
     if (this.process !== undefined) {
       this.process.isAlive = false;
       this.process = undefined;
-      this.fleet.clock.setTimeout(() => this.start(), awayMs);
+      this.fleet.clock.setTimeout(() => this.start(), downMs);
     }
   }
 
@@ -297,12 +294,12 @@
     ['calm', FLEET_QUOTA],
   ]);
   isStoreUp = true;
-  /** Called when a process changes its view of what may be sent to a back end. */
+  /** Called when a process changes its view of what may be sent to a backend. */
   onConditionChange: ((process: FleetProcess) => void) | undefined;
   /** Wall-clock time at the start of the virtual clock, in milliseconds. */
   timeOfDayMs = 1e12;
-  /** Share of runs that are repeated once. */
-  rerunShare = 0;
+  /** Share of requests that are retried once. */
+  retryShare = 0;
   /** Share of messages between gateways that are lost. */
   lossShare = 0;
   readonly asked = { greedy: 0, calm: 0 };
@@ -345,7 +342,7 @@
     return this.record;
   }
 
-  /** Calls `runWhenActive` periodically. */
+  /** Calls `act` every `periodMs`. */
   every(periodMs: number, act: () => void): void {
     this.clock.setTimeout(() => {
       act();
@@ -398,7 +395,7 @@
     return worst / maxPerWindow(quota, TOLERANCE);
   }
 
-  /** Returns the tokens of the greedy tenant that were run since `fromMs`. */
+  /** Returns the tokens of the greedy tenant that were executed since `fromMs`. */
   ranSince(fromMs: number): number {
     return this.ran.reduce((sum, { atMs, cost }) => sum + (atMs >= fromMs ? cost : 0), 0);
   }
@@ -441,10 +438,10 @@
     return Promise.resolve(ok(position));
   }
 
-  /** Restores the store from a backup taken `copyAgeMs` ago. */
-  restoreStore(copyAgeMs: number): void {
-    const copyAtMs = this.clock.now() - copyAgeMs;
-    const { record } = this.recordHistory.filter(({ atMs }) => atMs <= copyAtMs).at(-1) ?? {
+  /** Restores the store from a backup taken `backupAgeMs` ago. */
+  restoreStore(backupAgeMs: number): void {
+    const backupAtMs = this.clock.now() - backupAgeMs;
+    const { record } = this.recordHistory.filter(({ atMs }) => atMs <= backupAtMs).at(-1) ?? {
       record: NO_QUOTA_MEMBERS,
     };
     this.epoch += 1;
@@ -536,10 +533,10 @@
 
   private runOnce(cost: number, process: FleetProcess): void {
     this.ran.push({ atMs: this.clock.now(), cost });
-    if (this.random.next() >= this.rerunShare) {
+    if (this.random.next() >= this.retryShare) {
       return;
     }
-    if (this.fault.ignoresReruns === true) {
+    if (this.fault.ignoresRetries === true) {
       this.ran.push({ atMs: this.clock.now(), cost });
       return;
     }
