--- a/src/rollout/rollout-evidence.ts
+++ b/src/rollout/rollout-evidence.ts
@@ -1,5 +1,5 @@
 /**
- * Request outcomes of a roll-out by route and version, aggregated over all gateways that have
+ * Request outcomes of a rollout by route and version, aggregated over all gateways that have
  * reported.
  */
 import { evaluateVersion, logLikelihoodRatio } from './sequential-test.js';
@@ -18,7 +18,7 @@
 const NO_REQUESTS: OutcomeCounts = { ended: 0, bad: 0 };
 const NO_OUTCOMES: RouteOutcomes = { target: NO_REQUESTS, inForce: NO_REQUESTS };
 
-/** Collects the outcomes of one roll-out and evaluates the target version. */
+/** Collects the outcomes of one rollout and evaluates the target version. */
 export class RolloutEvidence {
   private readonly own = new Map<string, RouteOutcomes>();
   /** Latest report of each peer; that of a peer that has ended still counts. */
--- a/src/rollout/rollouts.ts
+++ b/src/rollout/rollouts.ts
@@ -1,4 +1,4 @@
-/** The roll-outs known to a gateway: permitted versions, reports to peers, and state writes. */
+/** The rollouts known to a gateway: permitted versions, reports to peers, and state writes. */
 import type { Clock } from '../clock.js';
 import { isLater } from '../cluster/store-position.js';
 import type { StorePosition } from '../cluster/store-position.js';
@@ -9,12 +9,12 @@
 import { ServiceRollout } from './service-rollout.js';
 import type { PeerRolloutReport, ReadyBackendCounts } from './service-rollout.js';
 
-/** Roll-out reports that gateways exchange, by service. */
+/** Rollout reports that gateways exchange, by service. */
 export type PeerRolloutReports = Readonly<Record<string, PeerRolloutReport>>;
 
 /** Dependencies of `Rollouts`. */
 export interface RolloutPorts {
-  /** Counts a service's ready back ends with `targetVersion`, and those with other versions. */
+  /** Counts a service's ready backends with `targetVersion`, and those with other versions. */
   countReady(service: string, targetVersion: string): ReadyBackendCounts;
   /** Counts the known gateways, including this one. */
   countGateways(): number;
@@ -34,7 +34,7 @@
  */
 const WRITE_RETRY_MS = 500;
 
-/** Roll-outs by service. */
+/** Rollouts by service. */
 export class Rollouts {
   private readonly rollouts = new Map<string, ServiceRollout>();
   private readonly statuses = new Map<string, RolloutStatus>();
@@ -47,7 +47,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Applies an order; returns true if it starts a new roll-out. */
+  /** Applies an order; returns true if it starts a new rollout. */
   applyOrder(order: RolloutOrder): boolean {
     const known = this.rollouts.get(order.service);
     if (known !== undefined && !isLater(order, known.order)) {
@@ -66,7 +66,7 @@
     return true;
   }
 
-  /** Applies the removal of an order at `position`; returns true if that ended a known roll-out. */
+  /** Applies the removal of an order at `position`; returns true if that ended a known rollout. */
   applyOrderRemoval(service: string, position: StorePosition): boolean {
     const known = this.rollouts.get(service);
     if (known === undefined || !isLater(position, known.order)) {
@@ -80,14 +80,14 @@
     return true;
   }
 
-  /** Applies a stored roll-out state. */
+  /** Applies a stored rollout state. */
   applyStatus(status: RolloutStatus): void {
     this.statuses.set(status.service, status);
     this.rollouts.get(status.service)?.applyStatus(status);
   }
 
   /**
-   * Handles a roll-out state missing from the store as of `position`. Only a later epoch counts:
+   * Handles a rollout state missing from the store as of `position`. Only a later epoch counts:
    * there the store was restored without the state.
    */
   applyStatusRemoval(service: string, position: StorePosition): void {
@@ -98,7 +98,7 @@
     }
   }
 
-  /** Returns how a back end may be used. */
+  /** Returns how a backend may be used. */
   versionUse({ service, version }: Backend): VersionUse {
     const rollout = this.rollouts.get(service);
     if (rollout === undefined) {
@@ -109,8 +109,8 @@
   }
 
   /**
-   * Whether a closed version must be used because no other is available. The target's back ends may
-   * all be in evacuated zones, and a service may get further versions after a roll-out. Once the
+   * Whether a closed version must be used because no other is available. The target's backends may
+   * all be in evacuated zones, and a service may get further versions after a rollout. Once the
    * order was removed, the target is used only if there are no other versions.
    */
   private isOnlyAvailableVersion({ order, isRemoved }: ServiceRollout, version: string): boolean {
@@ -121,14 +121,14 @@
     return isRemoved && this.ports.countReady(service, targetVersion).others === 0;
   }
 
-  /** Records that a request is sent to a back end. */
+  /** Records that a request is sent to a backend. */
   noteSent({ service, version }: Backend): void {
     this.rollouts.get(service)?.noteSent(version, this.clock.now());
   }
 
   /**
    * Records that a sent request ended; `isBad` is undefined where the outcome is not attributable
-   * to the back end.
+   * to the backend.
    */
   noteEnded({ service, version }: Backend, route: string, isBad: boolean | undefined): void {
     this.rollouts.get(service)?.noteEnded(version, route, isBad, this.clock.now());
@@ -141,7 +141,7 @@
     }
   }
 
-  /** Returns the reports for peers; undefined where no roll-out is in progress. */
+  /** Returns the reports for peers; undefined where no rollout is in progress. */
   tell(): PeerRolloutReports | undefined {
     const inProgress = [...this.rollouts].filter(([, { isOver }]) => !isOver);
     if (inProgress.length === 0) {
@@ -179,8 +179,8 @@
 }
 
 /**
- * Whether an order repeats the known one in a later store epoch, after the store was restored from
- * a copy.
+ * Whether an order is the known one, rewritten in a later store epoch after the store was restored
+ * from a backup.
  */
 function isRestoredOrder(order: RolloutOrder, known: RolloutOrder): boolean {
   const isSame =
--- a/src/rollout/sequential-test.ts
+++ b/src/rollout/sequential-test.ts
@@ -1,6 +1,6 @@
 /**
- * Query: tests whether a version has a higher failure rate than the version in force (Wald's
- * sequential probability ratio test).
+ * Tests whether a version has a higher failure rate than the version in force (Wald's sequential
+ * probability ratio test).
  *
  * Both hypotheses are relative to the failure rate of the version in force over the same period: up
  * to a small margin above it is good, at least a large margin above it is bad.
@@ -15,7 +15,7 @@
 /** Result of the test; `open` while there is too little evidence. */
 export type Verdict = 'open' | 'good' | 'bad';
 
-/** Probability of classifying a good version as bad; each such error costs operators a roll-out. */
+/** Probability of classifying a good version as bad; each such error costs operators a rollout. */
 const FALSE_BAD_RATE = 0.001;
 /** Probability of classifying a bad version as good, by this test alone. */
 const FALSE_GOOD_RATE = 0.01;
--- a/src/rollout/service-rollout.ts
+++ b/src/rollout/service-rollout.ts
@@ -1,12 +1,12 @@
 /**
- * One gateway's part in the roll-out of a version of a service, without I/O.
+ * One gateway's part in the rollout of a version of a service, without I/O.
  *
  * The target version gets a small share of the requests. Each gateway applies the share to its own
  * requests, so the overall limit holds without coordination. Once the evidence of all gateways
- * shows that the version is good, the share grows in steps. Late in the order's time all traffic
- * cuts over to the target version, requests at the old back ends drain, and only then is the
- * roll-out reported as completed. A bad verdict is final: it stops traffic to the target version at
- * once, here and at every gateway that receives the verdict.
+ * shows that the version is good, the share grows in steps. Late in the order's time, all traffic
+ * cuts over to the target version, requests at the old backends drain, and only then is the rollout
+ * reported as completed. A bad verdict is final: it stops traffic to the target version at once,
+ * here and at every gateway that receives the verdict.
  */
 import { isLater, isSamePosition, positionOf } from '../cluster/store-position.js';
 import type { StorePosition } from '../cluster/store-position.js';
@@ -15,7 +15,7 @@
 import type { OutcomesByRoute } from './rollout-evidence.js';
 import type { RolloutOrder, RolloutState, RolloutStatus, VersionUse } from './rollout-order.js';
 
-/** A gateway's report to its peers on a roll-out that is not over. */
+/** A gateway's report to its peers on a rollout that is not over. */
 export interface PeerRolloutReport {
   /** Store position of the order. */
   readonly position: StorePosition;
@@ -31,7 +31,7 @@
   readonly stepOutcomes: OutcomesByRoute;
 }
 
-/** Numbers of ready back ends of a service with the target version and with other versions. */
+/** Numbers of ready backends of a service with the target version and with other versions. */
 export interface ReadyBackendCounts {
   readonly target: number;
   readonly others: number;
@@ -61,11 +61,14 @@
  */
 const CUTOVER_AT = STEPS.at(-1)!.until;
 const DECISION_AT = 0.88;
-/** Fraction of the order's time after which a cutover counts as complete without waiting. */
+/**
+ * Fraction of the order's time after which a cutover counts as complete without waiting for peers
+ * and requests in flight.
+ */
 const COMPLETE_AT = 0.95;
 /** Minimum number of requests completed at the target version before the cutover. */
 const MIN_TARGET_REQUESTS = 20;
-/** Minimum number of ready target back ends for the cutover, relative to the other ready ones. */
+/** Minimum number of ready target backends for the cutover, relative to the other ready ones. */
 const MIN_READY_SHARE = 0.5;
 /**
  * Time without a report after which a peer is ignored, in milliseconds: a few heartbeats in a large
@@ -77,12 +80,12 @@
 /** Hash key for the ranks of writers. */
 const WRITER_RANK_KEY = 'rollout-writer';
 
-/** State of a roll-out at one gateway. */
+/** State of a rollout at one gateway. */
 export class ServiceRollout {
   private readonly evidence = new RolloutEvidence();
   /** By step and route, so that earlier successes do not mask a version that turns bad. */
   private readonly stepEvidence = new RolloutEvidence();
-  private readonly peers = new Map<string, PeerRolloutReport & { readonly heardAtMs: number }>();
+  private readonly peers = new Map<string, PeerRolloutReport & { readonly receivedAtMs: number }>();
   /** Number of requests that the target version may get, of those sent so far. */
   private allowance = 0;
   private targetSent = 0;
@@ -91,7 +94,7 @@
   private hasMoved = false;
   private isOrderRemoved = false;
   private status: RolloutStatus | undefined;
-  /** The state in the store; older than `status` where the store was restored from a copy. */
+  /** The state in the store; older than `status` where the store was restored from a backup. */
   private storedStatus: RolloutStatus | undefined;
   private startedAtMs: number;
   private pendingState: { readonly state: RolloutState; readonly sinceMs: number } | undefined;
@@ -122,7 +125,7 @@
     return this.status?.state;
   }
 
-  /** Whether the roll-out is over: its stored state is final, or its order was removed. */
+  /** Whether the rollout is over: its stored state is final, or its order was removed. */
   get isOver(): boolean {
     return this.isOrderRemoved || this.state === 'completed' || this.state === 'rolled-back';
   }
@@ -139,12 +142,12 @@
     return this.isOrderRemoved;
   }
 
-  /** Ends the roll-out: an unconfirmed target version is closed, and no state is written. */
+  /** Ends the rollout: the target version is closed unless it is completed; no state is written. */
   markOrderRemoved(): void {
     this.isOrderRemoved = true;
   }
 
-  /** Returns how back ends of a version may be used. */
+  /** Returns how backends of a version may be used. */
   versionUse(version: string): VersionUse {
     const isTarget = version === this.order.targetVersion;
     if (this.state === 'completed') {
@@ -162,7 +165,7 @@
     return this.targetSent < this.allowance ? 'limited' : 'closed';
   }
 
-  /** Records that a request of the service is sent to a back end of `version`. */
+  /** Records that a request of the service is sent to a backend of `version`. */
   noteSent(version: string, nowMs: number): void {
     this.allowance += this.shareAt(nowMs);
     if (version === this.order.targetVersion) {
@@ -188,7 +191,7 @@
     this.isBad ||= isTarget && this.hasBadVerdict;
   }
 
-  /** Applies a stored state; once the roll-out is over, its state never changes. */
+  /** Applies a stored state; once the rollout is over, its state never changes. */
   applyStatus(status: RolloutStatus): void {
     const isOfOrder = status.targetVersion === this.order.targetVersion;
     if (!isOfOrder || !isLater(status, this.order)) {
@@ -210,7 +213,7 @@
     if (!isSamePosition(report.position, this.order)) {
       return;
     }
-    this.peers.set(peer, { ...report, heardAtMs: nowMs });
+    this.peers.set(peer, { ...report, receivedAtMs: nowMs });
     this.startedAtMs = Math.min(this.startedAtMs, nowMs - report.elapsedMs);
     this.evidence.setPeerOutcomes(peer, report.outcomes);
     this.stepEvidence.setPeerOutcomes(peer, report.stepOutcomes);
@@ -278,7 +281,7 @@
     );
   }
 
-  /** Whether every gateway has cut over and no requests are in flight at old back ends. */
+  /** Whether every gateway has cut over and no requests are in flight at old backends. */
   private isCutoverComplete(gateways: number, elapsed: number, nowMs: number): boolean {
     if (elapsed >= COMPLETE_AT) {
       return true;
@@ -310,7 +313,9 @@
   }
 
   private alivePeers(nowMs: number): Array<[string, PeerRolloutReport]> {
-    return [...this.peers].filter(([, { heardAtMs }]) => nowMs - heardAtMs <= PEER_TIMEOUT_MS);
+    return [...this.peers].filter(
+      ([, { receivedAtMs }]) => nowMs - receivedAtMs <= PEER_TIMEOUT_MS,
+    );
   }
 
   private writerRank(nowMs: number): number {
--- a/src/routing/backend-incarnations.ts
+++ b/src/routing/backend-incarnations.ts
@@ -1,14 +1,13 @@
 /**
- * Distinguishes the incarnations of a back end that announce themselves under one name, without
- * I/O.
+ * Distinguishes the incarnations of a backend that announce themselves under one name, without I/O.
  *
- * A back end may keep its name when it restarts, but its process is a new one, and statistics
+ * A backend may keep its name when it restarts, but its process is a new one, and statistics
  * collected for the previous process do not apply to it. Each incarnation has its own id, made of
  * the name and the announced start time, so that state indexed by id ends with its incarnation.
  */
 import type { Backend } from './backend.js';
 
-/** A back end's decoded record, without the id, which `BackendIncarnations` assigns. */
+/** A backend's decoded record, without the id, which `BackendIncarnations` assigns. */
 export type Announcement = Omit<Backend, 'id'>;
 
 /** The state of one incarnation after a record changed. */
@@ -28,7 +27,7 @@
   readonly problem?: string;
 }
 
-/** The latest incarnation of each back end, by record name. */
+/** The latest incarnation of each backend, by record name. */
 export class BackendIncarnations {
   private readonly latest = new Map<string, Backend>();
 
@@ -60,8 +59,8 @@
 }
 
 /**
- * Start times come from the back end's own clock, so they order only the incarnations of one back
- * end.
+ * Start times come from the backend's own clock, so they order only the incarnations of one
+ * backend.
  */
 function isEarlier({ bornAtMs }: Announcement, known: Backend | undefined): boolean {
   return bornAtMs !== undefined && known?.bornAtMs !== undefined && bornAtMs < known.bornAtMs;
--- a/src/routing/backend-restriction.ts
+++ b/src/routing/backend-restriction.ts
@@ -1,19 +1,19 @@
 /**
- * Query: whether operator rules permit sending a request to a back end at all.
+ * Decides whether operator rules permit sending a request to a backend at all.
  *
  * Gateways check this before each send; slot agents check it again against their own replica before
  * they grant a slot. Health, load and start rates are not considered here: they decide which
- * permitted back end is picked, and when.
+ * permitted backend is picked, and when.
  */
 import type { VersionUse } from '../rollout/rollout-order.js';
 import type { Backend } from './backend.js';
 import { isAccepted } from './label-matching.js';
 
-/** Why a request may not be sent to a back end. */
+/** Why a request may not be sent to a backend. */
 export type RestrictionReason =
   /** Its zone is evacuated. */
   | 'zone-evacuated'
-  /** A roll-out has closed its version to requests. */
+  /** A rollout has closed its version to requests. */
   | 'version-closed'
   /** Its region is not among the request's allowed regions, or its zone is unknown. */
   | 'outside-home';
--- a/src/routing/backend.ts
+++ b/src/routing/backend.ts
@@ -1,12 +1,12 @@
-/** The announcement of a back end in the cluster's store. */
+/** The announcement of a backend in the cluster's store. */
 import type { StorePosition } from '../cluster/store-position.js';
 
-/** Whether a back end takes new requests. */
+/** Whether a backend takes new requests. */
 export type BackendState = 'ready' | 'draining';
 
 /**
- * One incarnation of a back end: one process, from its start to its end. The position is that of
- * its announcement in the store: of two announcements for one address, the later one is in force.
+ * One incarnation of a backend: one process, from its start to its end. The position is that of its
+ * announcement in the store: of two announcements for one address, the later one is in force.
  */
 export interface Backend extends StorePosition {
   /** Identifies this incarnation; statistics are indexed by it. */
@@ -26,6 +26,6 @@
   readonly state: BackendState;
   /** Increases with each announcement of this incarnation. */
   readonly sequence: number;
-  /** Remaining slow-start time when announced, in milliseconds; 0 once it is warm. */
+  /** Remaining cold-start time when announced, in milliseconds; 0 once it is warm. */
   readonly remainingColdMs: number;
 }
--- a/src/routing/cold-start.ts
+++ b/src/routing/cold-start.ts
@@ -1,38 +1,38 @@
 /**
- * Slow starts of back ends: how many requests a second a cold one may be sent, and when one must be
- * assumed cold. Pure; the time is passed in. Gateways and slot agents each apply the same functions
- * independently.
+ * Cold starts of backends: how many requests a second a cold one may be sent, and when one must be
+ * assumed cold. Pure functions and state, without I/O; callers pass the time. Gateways and slot
+ * agents apply them independently.
  */
 import type { Service } from './configuration.js';
 
-/** The slow-start settings of a service. */
+/** The cold-start settings of a service. */
 export type ColdStartService = Pick<Service, 'coldStartMs' | 'coldRequestsPerS' | 'isEngine'>;
 
 /** Limits over all processes, in requests in any one second. */
 export interface ColdStartLimits {
-  /** Factor on the configured rate of a cold back end. */
+  /** Factor on the configured rate of a cold backend. */
   readonly coldOver: number;
   /** Requests allowed in addition. */
   readonly coldSlack: number;
 }
 
-/** Limits for one back end of a service with slow starts, in requests in any one second. */
+/** Limits for one backend of a service with cold starts, in requests in any one second. */
 export interface ColdStartBound {
-  /** Time for which a back end is cold after its start, in milliseconds. */
+  /** Time for which a backend is cold after its start, in milliseconds. */
   readonly coldStartMs: number;
-  /** Limit over all processes for a cold back end. */
+  /** Limit over all processes for a cold backend. */
   readonly total: number;
   /** Share of `total` that its slot agent may grant. */
   readonly granted: number;
   /** Share of `total` for all gateways without a connection to its agent together. */
   readonly ungranted: number;
   /**
-   * Limit on slots granted by the agent or taken without a grant at a warm back end, which may
+   * Limit on slots granted by the agent or taken without a grant at a warm backend, which may
    * restart and be cold before the agent detects it.
    */
   readonly warm: number;
   /**
-   * Number of starts at a warm back end from which free slots may no longer be taken without a
+   * Number of starts at a warm backend from which free slots may no longer be taken without a
    * grant.
    */
   readonly taken: number;
@@ -43,8 +43,8 @@
 /** Requests left out of both shares, reserved for a gateway that the others have not discovered. */
 const RESERVED_REQUESTS = 2;
 /**
- * Share of the total at which a warm back end gets no more requests. With a total of 26 this allows
- * 19 in a second, where 200 requests a second over 27 back ends average 7 each, and 16 in bursts.
+ * Share of the total at which a warm backend gets no more requests. With a total of 26 this allows
+ * 19 in a second, where 200 requests a second over 27 backends average 7 each, and 16 in bursts.
  */
 const WARM_SHARE = 0.75;
 /**
@@ -53,7 +53,7 @@
  */
 const GRANTS_ONLY_SHARE = 0.5;
 
-/** Returns the limits of a service; undefined where it has no slow starts or no limit for them. */
+/** Returns the limits of a service; undefined where it has no cold starts or no limit for them. */
 export function coldStartBound(
   { coldRequestsPerS, coldStartMs, isEngine }: ColdStartService,
   { coldOver, coldSlack }: ColdStartLimits,
@@ -73,13 +73,13 @@
   };
 }
 
-/** Returns at least one, so that no back end is left idle. */
+/** Returns at least one, so that no backend is left idle. */
 function grantedLimit(coldRequestsPerS: number, total: number): number {
   const part = Math.floor(Math.min(coldRequestsPerS, total * GRANTED_SHARE));
   return Math.max(Math.min(1, total), part);
 }
 
-/** Why a back end is assumed cold. */
+/** Why a backend is assumed cold. */
 export type ColdReason =
   /** Reported by its announcement, or by a gateway that read the announcement. */
   | 'announced'
@@ -94,14 +94,14 @@
   /** This process has just started and has no earlier state. */
   | 'not-known';
 
-/** A period during which a back end is assumed cold. */
+/** A period during which a backend is assumed cold. */
 export interface ColdPeriod {
   readonly reason: ColdReason;
   readonly sinceMs: number;
   readonly untilMs: number;
 }
 
-/** Tracks the most recent start of a back end. */
+/** Tracks whether a backend is, or must be assumed, cold. */
 export class ColdStartTracker {
   private announced: ColdPeriod | undefined;
   private suspected: { readonly reason: ColdReason; readonly sinceMs: number } | undefined;
@@ -120,7 +120,7 @@
   }
 
   /**
-   * Applies the first announcement that a process reads after its start. It describes the back end
+   * Applies the first announcement that a process reads after its start. It describes the backend
    * as of its last change, so one without remaining cold time is warm. If it were assumed cold, a
    * whole fleet whose agents restarted would grant nothing for a second and a half, and little for
    * three.
@@ -147,7 +147,7 @@
     this.assumeCold('new-incarnation', nowMs);
   }
 
-  /** Assumes that the back end started at `nowMs`. */
+  /** Assumes that the backend started at `nowMs`. */
   assumeCold(reason: ColdReason, nowMs: number): void {
     if (this.announced !== undefined && this.announced.untilMs <= nowMs) {
       this.announced = undefined;
@@ -156,7 +156,7 @@
   }
 
   /**
-   * Returns the cold period that ends last; undefined while the back end is warm.
+   * Returns the cold period that ends last; undefined while the backend is warm.
    *
    * @param zoneReturnedAtMs - when this process learned that the zone was returned to use;
    * undefined if it was not
@@ -197,8 +197,8 @@
 
 /**
  * Returns one gateway's share of a limit that gateways divide without coordination: they get one
- * each in rank order, round robin. A view with more gateways than there are only makes the share
- * smaller, so the shares sum to at most `total` whenever each gateway's view contains all others.
+ * each in rank order, round robin. A list with more gateways than there are only makes the share
+ * smaller, so the shares sum to at most `total` whenever each gateway's list contains all others.
  */
 export function shareByRank(total: number, rank: number, gateways: number): number {
   return Math.max(0, Math.ceil((total - rank) / Math.max(1, gateways)));
--- a/src/routing/configuration.ts
+++ b/src/routing/configuration.ts
@@ -1,12 +1,12 @@
 /** Routing configuration of a gateway: routes, services, tenants and limits, under one version. */
 
-/** Whether a request may run more than once. */
+/** Whether a request may run more than once, and whether its response is a stream. */
 export type RouteKind =
   /** May run any number of times. */
   | 'safe'
   /** Runs at most once. */
   | 'unsafe'
-  /** Answered by an event stream. */
+  /** The response is an event stream. */
   | 'stream';
 
 /** A service that a route sends requests to, with its traffic weight. */
@@ -22,7 +22,7 @@
   /** Begins and ends with a slash; the longest matching prefix wins. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
-  /** Whether an interrupted stream may be resumed at another back end. */
+  /** Whether an interrupted stream may be resumed at another backend. */
   readonly isResumable: boolean;
   /** Maximum total time of a request, in milliseconds. */
   readonly timeoutMs: number;
@@ -43,23 +43,23 @@
   readonly services: readonly WeightedService[];
 }
 
-/** Whether a request of the route may be retried at another back end after a failure. */
+/** Whether a request of the route may be retried at another backend after a failure. */
 export function isRepeatable({ kind, isResumable, maxAttempts }: Route): boolean {
   return maxAttempts > 1 && (kind === 'safe' || (kind === 'stream' && isResumable));
 }
 
-/** A group of back ends that serve the same requests. */
+/** A group of backends that serve the same requests. */
 export interface Service {
   readonly name: string;
-  /** Maximum connections that one back end accepts from all callers. */
+  /** Maximum connections that one backend accepts from all callers. */
   readonly maxConnections: number;
-  /** Whether its back ends are model engines, which serve requests in batches. */
+  /** Whether its backends are model engines, which serve requests in batches. */
   readonly isEngine: boolean;
   /** Tokens that an engine batches into one event of a stream; 0 for services without engines. */
   readonly tokensPerEvent: number;
-  /** Duration of a back end's slow start, in milliseconds; 0 for a service without slow starts. */
+  /** Time for which a backend is cold after its start, in milliseconds; 0 for no cold starts. */
   readonly coldStartMs: number;
-  /** Requests a second that a cold back end can handle; 0 for no limit. */
+  /** Requests a second that a cold backend can handle; 0 for no limit. */
   readonly coldRequestsPerS: number;
 }
 
--- a/src/routing/decoded-record.ts
+++ b/src/routing/decoded-record.ts
@@ -8,7 +8,7 @@
 import type { RoutingConfiguration } from './configuration.js';
 import type { EvacuationChange } from './zone-evacuations.js';
 
-/** A back end's record. */
+/** A backend's record. */
 export interface DecodedBackend {
   readonly kind: 'backend';
   readonly name: string;
--- a/src/routing/label-matching.ts
+++ b/src/routing/label-matching.ts
@@ -1,8 +1,8 @@
 /**
- * Query: whether labels satisfy a set of conditions.
+ * Decides whether labels satisfy a set of conditions.
  *
- * A region is a label like any other: policy selectors and the allowed regions of requests are
- * evaluated here, by one rule. A label that is missing or unknown satisfies no condition.
+ * A region is a label like any other: policy selectors and the allowed regions of requests are both
+ * evaluated here. A label that is missing or unknown satisfies no condition.
  */
 
 /** Values of a label that a condition accepts. */
--- a/src/routing/owner-counters.ts
+++ b/src/routing/owner-counters.ts
@@ -1,7 +1,7 @@
 /**
  * Counters that the owners of records maintain in the records themselves. They determine the older
- * of two writes of a key where the store's own order does not, because the store was restored from
- * a copy.
+ * of two writes of a key if the store's own order does not, because the store was restored from a
+ * backup.
  */
 import type { CompareOwnerVersions } from '../cluster/replicated-records.js';
 import type { DecodedRecord, DecodeRecord } from './decoded-record.js';
@@ -31,7 +31,8 @@
     return [bornAtMs ?? 0, sequence];
   }
   if (decoded.kind === 'evacuation') {
-    // Where it is unknown which write is newer, the order wins and nothing is sent to the zone.
+    // Where it is unknown which write is newer, the evacuation order wins over its removal, so that
+    // nothing is sent to the zone.
     return [decoded.change.isOrdered ? 1 : 0];
   }
   if (decoded.kind === 'quota-members' && decoded.record.members !== undefined) {
--- a/src/routing/region-lists.ts
+++ b/src/routing/region-lists.ts
@@ -26,7 +26,7 @@
 /**
  * Parses a list of region names and removes duplicates.
  *
- * An empty list allows any region, like a missing one: platforms write either where there is no
+ * An empty list allows any region, like a missing one: platforms write either one for no
  * restriction.
  *
  * @throws {InvalidRegionsError} if the value is not a list of names
@@ -48,9 +48,9 @@
  */
 export function findUnknownRegion(
   { routes, tenants }: RoutingConfiguration,
-  places: ZoneTopology,
+  topology: ZoneTopology,
 ): InvalidRegionsError | undefined {
-  const known = new Set(places.zones.map((zone) => places.regionOf(zone)));
+  const known = new Set(topology.zones.map((zone) => topology.regionOf(zone)));
   const lists = [
     ...routes.map((route) => [`routes.${route.name}`, route.allowedRegions] as const),
     ...tenants.map((tenant) => [`tenants.${tenant.name}`, tenant.allowedRegions] as const),
--- a/src/routing/region-restrictions.ts
+++ b/src/routing/region-restrictions.ts
@@ -1,4 +1,4 @@
-/** Query: the region restrictions that a configuration sets for routes and tenants. */
+/** Region restrictions that a configuration sets for routes and tenants. */
 import type { AllowedRegions } from './backend-restriction.js';
 import type { RoutingConfiguration } from './configuration.js';
 
--- a/src/routing/routing-table.ts
+++ b/src/routing/routing-table.ts
@@ -1,4 +1,4 @@
-/** Query: the route, tenant and service of a request under one configuration. */
+/** Looks up the route, tenant and service of a request in one configuration. */
 import { RegionRestrictions } from './region-restrictions.js';
 import type {
   Route,
--- a/src/routing/zone-evacuations.ts
+++ b/src/routing/zone-evacuations.ts
@@ -1,5 +1,5 @@
 /**
- * Operator orders to send nothing to the back ends of a zone.
+ * Operator orders to send nothing to the backends of a zone.
  *
  * An order is in force until its record is removed. The store position decides which update is the
  * newest, so updates may arrive in any order and more than once.
@@ -51,7 +51,10 @@
     return this.list().filter(({ isOrdered }) => isOrdered).length;
   }
 
-  /** Returns when this process learned that the zone returned to use; undefined if it has not. */
+  /**
+   * Returns when this process learned that the evacuation of a zone ended; undefined while it is in
+   * force, or if there was none.
+   */
   returnedAtMs(zone: string): number | undefined {
     const known = this.byZone.get(zone);
     return known === undefined || known.isOrdered ? undefined : known.learnedAtMs;
--- a/src/slot-agent/engine-cold-start.ts
+++ b/src/slot-agent/engine-cold-start.ts
@@ -16,8 +16,8 @@
   readonly service: Service | undefined;
   readonly backend: Backend | undefined;
   /**
-   * When this process learned that the evacuation of the engine's zone ended; undefined if it never
-   * was evacuated.
+   * When this process learned that the evacuation of the engine's zone ended; undefined while the
+   * zone is evacuated and if it never was.
    */
   readonly zoneReturnedAtMs: number | undefined;
 }
@@ -38,7 +38,7 @@
     this.coldPeriod.assumeCold('not-known', startedAtMs);
   }
 
-  /** Applies the engine's current announcement in the replica if it changed. */
+  /** Applies the engine's current announcement in the replica if it has changed. */
   updateFromRecords(nowMs: number): void {
     const { backend } = this.records();
     if (backend === undefined || this.isLatestAnnouncement(backend)) {
--- a/src/slot-agent/engine-health.ts
+++ b/src/slot-agent/engine-health.ts
@@ -5,8 +5,8 @@
  * The requests of an engine that crashes or aborts every request fail and free their slots
  * immediately, so such an engine would attract more requests than any healthy one. A failed request
  * therefore suspends grants until a probe succeeds. Several consecutive failures eject the engine
- * for a back-off period, whatever its status report says; after that a single trial request
- * decides, as in a half-open circuit breaker.
+ * for a backoff period, regardless of its status report; after that a single trial request decides,
+ * as with a half-open circuit breaker.
  */
 
 /** Result of one probe of an engine. */
@@ -37,14 +37,14 @@
   | 'serving'
   /** A request failed since the last successful probe. */
   | 'suspect'
-  /** Ejected after consecutive failures, until the back-off ends. */
+  /** Ejected after consecutive failures, until the backoff ends. */
   | 'resting'
-  /** The back-off ended; a single trial request decides. */
+  /** The backoff ended; a single trial request decides. */
   | 'trial'
   /** Exited or unresponsive. */
   | 'gone';
 
-/** Thresholds and back-off times of the health state machine. */
+/** Thresholds and backoff times of the health state machine. */
 export interface EngineHealthOptions {
   /**
    * Consecutive failures that eject an engine. Default 8: an engine that fails 45 in 100 of its
@@ -53,8 +53,8 @@
    */
   readonly maxConsecutiveFailures: number;
   /**
-   * Initial and maximum back-off, in milliseconds; it doubles with each failed trial. Defaults 300
-   * and 1,000: a trial may fail a caller's request, while back-off wastes the slots of an engine
+   * Initial and maximum backoff, in milliseconds; it doubles with each failed trial. Defaults 300
+   * and 1,000: a trial may fail a caller's request, while backoff wastes the slots of an engine
    * that has recovered.
    */
   readonly backoffMinMs: number;
@@ -66,7 +66,7 @@
   readonly maxUnansweredProbes: number;
 }
 
-/** Default thresholds and back-off times. */
+/** Default thresholds and backoff times. */
 export const DEFAULT_ENGINE_HEALTH_OPTIONS: EngineHealthOptions = {
   maxConsecutiveFailures: 8,
   backoffMinMs: 300,
@@ -148,10 +148,10 @@
   }
 
   /** Applies the result of a probe. */
-  applyProbeResult(reading: EngineProbeResult, nowMs: number): void {
-    this.isPortClosed = reading.kind === 'closed';
-    if (reading.kind !== 'load') {
-      this.noteFailedProbe(reading.kind === 'closed');
+  applyProbeResult(result: EngineProbeResult, nowMs: number): void {
+    this.isPortClosed = result.kind === 'closed';
+    if (result.kind !== 'load') {
+      this.noteFailedProbe(result.kind === 'closed');
       return;
     }
     this.unansweredProbes = 0;
@@ -182,8 +182,8 @@
   }
 
   /**
-   * Returns to service. Resets failure count and back-off except after `suspect`: an engine that
-   * was gone is a new process, and failures of its predecessor do not predict its own.
+   * Returns to service. Resets failure count and backoff except after `suspect`: an engine that was
+   * gone may be a new process, and failures of the previous one do not predict its own.
    */
   private markServing(): void {
     if (this.state !== 'suspect') {
--- a/src/slot-agent/engine-replica-view.ts
+++ b/src/slot-agent/engine-replica-view.ts
@@ -30,11 +30,11 @@
   private readonly incarnations = new BackendIncarnations();
   private readonly announcedBackends = new Map<string, Backend>();
   private configuration: RoutingConfiguration | undefined;
-  private homes: RegionRestrictions | undefined;
+  private regionRestrictions: RegionRestrictions | undefined;
 
   constructor(
     private readonly location: EngineLocation,
-    private readonly places: ZoneTopology,
+    private readonly topology: ZoneTopology,
   ) {}
 
   /** Applies a decoded record of the store. */
@@ -52,16 +52,16 @@
   }
 
   /**
-   * Installs a newer configuration. Like gateways, rejects one that names an unknown home region
-   * while another is in force.
+   * Installs a newer configuration. Like gateways, rejects one that allows an unknown region while
+   * another configuration is in force.
    */
   private applyConfiguration(configuration: RoutingConfiguration): void {
     const { configuration: inForce } = this;
     const isNewer = inForce === undefined || configuration.version > inForce.version;
-    const isRefused = inForce !== undefined && findUnknownRegion(configuration, this.places);
+    const isRefused = inForce !== undefined && findUnknownRegion(configuration, this.topology);
     if (isNewer && !isRefused) {
       this.configuration = configuration;
-      this.homes = new RegionRestrictions(configuration);
+      this.regionRestrictions = new RegionRestrictions(configuration);
     }
   }
 
@@ -96,15 +96,15 @@
   ): RestrictionReason | undefined {
     const { address, zone } = this.location;
     const configuredRegions =
-      homeOwner === undefined ? undefined : this.homes?.allowedRegionsOf(homeOwner);
+      homeOwner === undefined ? undefined : this.regionRestrictions?.allowedRegionsOf(homeOwner);
     const backend = this.backend ?? placeholderBackend(address, zone);
     return restrictionOf(
       { ...backend, zone },
       intersectRegions(allowedRegions, configuredRegions),
       {
         isEvacuated: (zoneName) => this.evacuations.isEvacuated(zoneName),
-        regionOf: (zoneName) => this.places.regionOf(zoneName),
-        // Version weights of a roll-out are enforced by gateways only.
+        regionOf: (zoneName) => this.topology.regionOf(zoneName),
+        // The traffic shares of a rollout are enforced by gateways only.
         versionUse: () => 'open',
       },
     );
@@ -115,11 +115,11 @@
    * regions.
    */
   get regionInfo(): AgentRegionInfo | undefined {
-    const { configuration, homes } = this;
-    if (configuration === undefined || !homes?.hasRestrictions) {
+    const { configuration, regionRestrictions } = this;
+    if (configuration === undefined || !regionRestrictions?.hasRestrictions) {
       return undefined;
     }
-    const region = this.places.regionOf(this.location.zone);
+    const region = this.topology.regionOf(this.location.zone);
     return { region, configuration: configuration.version };
   }
 
--- a/src/slot-agent/failure-estimate.ts
+++ b/src/slot-agent/failure-estimate.ts
@@ -1,4 +1,4 @@
-/** Estimates the share of a back end's recent requests that failed. */
+/** Estimates the share of a backend's recent requests that failed. */
 import { DecayedSum } from '../decayed-sum.js';
 
 /**
@@ -12,7 +12,7 @@
  */
 const PRIOR_SUCCESSES = 4;
 
-/** Failure share of one back end; decays while it gets no requests. */
+/** Failure share of one backend; decays while it gets no requests. */
 export class FailureEstimate {
   private readonly failed = new DecayedSum(DECAY_TIME_CONSTANT_MS);
   private readonly all = new DecayedSum(DECAY_TIME_CONSTANT_MS);
--- a/src/slot-agent/gateway-session.ts
+++ b/src/slot-agent/gateway-session.ts
@@ -18,7 +18,7 @@
   readonly grantAnswerMs: number;
   /**
    * Keepalive timeout of a gateway that holds slots or has requests waiting; it then sends a
-   * message at least every 200 ms. Default 700.
+   * message at least every 250 ms, every 200 if only keepalives. Default 700.
    */
   readonly silenceMs: number;
 }
--- a/src/slot-agent/no-response-reports.ts
+++ b/src/slot-agent/no-response-reports.ts
@@ -2,9 +2,9 @@
  * Evaluates gateways' reports that an engine did not respond to a request, without I/O.
  *
  * A gateway without a response cannot distinguish a hung engine from a broken network path. The
- * agent can: while the engine responds to any gateway, the path of the other one is at fault.
- * Reports count as a failure of the engine only if they come from several gateways with no response
- * to any of them in between.
+ * agent can: while the engine responds to another gateway, the path of the reporting one is at
+ * fault. Reports count as a failure of the engine only if they come from several gateways with no
+ * response to any of them in between.
  */
 
 /** Thresholds for reports of missing responses. */
--- a/src/slot-agent/slot-agent-role.ts
+++ b/src/slot-agent/slot-agent-role.ts
@@ -127,7 +127,7 @@
   private readonly clock: Clock;
   private readonly server: Server;
   private readonly channels = new Map<number, MessageChannel<AgentToGateway, GatewayToAgent>>();
-  private readonly ledger: SlotAllocator;
+  private readonly allocator: SlotAllocator;
   private readonly engineView: EngineReplicaView;
   private readonly coldStart: EngineColdStart;
   private wasCold = false;
@@ -154,13 +154,13 @@
       dependencies.limits,
       clock.now(),
     );
-    this.ledger = new SlotAllocator(
+    this.allocator = new SlotAllocator(
       {
         send: (connection, message) => this.channels.get(connection)?.send(message),
         onGranted: () => metrics.record(({ grants }) => grants.inc()),
         onChangesPending: () =>
           clock.setTimeout(
-            () => this.ledger.sendChanges(clock.now()),
+            () => this.allocator.sendChanges(clock.now()),
             this.options.stateBatchDelayMs,
           ),
         onReconciled: (slots) => this.noteReconciled(slots),
@@ -205,7 +205,7 @@
     );
   }
 
-  /** Listens for gateways. */
+  /** Starts the listener for gateways, the replica mesh, the heartbeats and the metrics endpoint. */
   start({ host, port, metricsPort }: SlotAgentListen): void {
     const { metrics, log } = this.dependencies;
     this.server.listen(port, host);
@@ -214,14 +214,14 @@
     if (metricsPort > 0) {
       metrics.serve(host, metricsPort);
       this.clock.setTimeout(
-        () => void metrics.load(() => this.ledger.snapshot),
+        () => void metrics.load(() => this.allocator.snapshot),
         METRICS_LOAD_DELAY_MS,
       );
     }
     log.write('started', 'state', { port, metricsPort });
   }
 
-  /** Ends every connection. */
+  /** Stops listening and closes every connection. */
   stop(): void {
     this.isStopped = true;
     this.server.close();
@@ -243,17 +243,17 @@
       this.engineView.apply(decoded, this.clock.now());
       if (decoded.kind === 'evacuation' && decoded.change.zone === identity.engine.zone) {
         const { zone: evacuatedZone, isOrdered, epoch, revision } = decoded.change;
-        const { snapshot } = this.ledger;
+        const { snapshot } = this.allocator;
         const order = { evacuatedZone, isOrdered, epoch, revision };
         log.write('zone-evacuation', 'state', { ...order, ...snapshot });
       }
     }
     if (this.engineView.regionInfo?.configuration !== previousVersion) {
-      this.ledger.onRestrictionsChanged(this.clock.now());
+      this.allocator.onRestrictionsChanged(this.clock.now());
     }
     this.coldStart.updateFromRecords(this.clock.now());
     this.logColdStateChange();
-    this.ledger.resumeGrants(this.clock.now());
+    this.allocator.resumeGrants(this.clock.now());
   }
 
   private accept(socket: Socket): void {
@@ -267,12 +267,12 @@
   }
 
   private removeConnection(connection: number): void {
-    const gateway = this.ledger.describe(connection);
+    const gateway = this.allocator.describe(connection);
     if (gateway !== undefined) {
       this.dependencies.log.write('gateway-lost', 'state', gateway);
     }
     this.channels.delete(connection);
-    this.ledger.disconnect(connection, this.clock.now());
+    this.allocator.disconnect(connection, this.clock.now());
     this.scheduleNextProbe();
   }
 
@@ -280,7 +280,7 @@
     this.dependencies.metrics.record(({ slotsReconciled }) => slotsReconciled.inc(slots));
     this.dependencies.log.write('slots-reconciled', 'state', {
       freed: slots,
-      ...this.ledger.snapshot,
+      ...this.allocator.snapshot,
     });
   }
 
@@ -308,7 +308,7 @@
     this.dependencies.metrics.record(({ grantsHeldBack }) => grantsHeldBack.inc());
     this.resumeTimer = this.clock.setTimeout(() => {
       this.resumeTimer = undefined;
-      this.ledger.resumeGrants(this.clock.now());
+      this.allocator.resumeGrants(this.clock.now());
     }, delayMs);
   }
 
@@ -339,7 +339,7 @@
     this.dependencies.log.write('engine-availability', 'state', {
       availability,
       cause,
-      ...this.ledger.snapshot,
+      ...this.allocator.snapshot,
     });
   }
 
@@ -359,26 +359,30 @@
     if (message.kind === 'hello') {
       this.mesh.addAddresses([message.peersAddress]);
       this.coldStart.applyHello(message.coldStart);
-    } else if (!this.ledger.isAdmitted(connection)) {
+    } else if (!this.allocator.isAdmitted(connection)) {
       this.refuse(connection, 'hello-missing');
       return;
     }
     if (message.kind === 'demand') {
       this.coldStart.extendColdPeriod(message.coldMs, this.clock.now());
     }
-    this.ledger.receive(connection, message, this.clock.now());
+    this.allocator.receive(connection, message, this.clock.now());
     if (message.kind === 'hello') {
-      this.dependencies.log.write('gateway-connected', 'state', this.ledger.describe(connection));
+      this.dependencies.log.write(
+        'gateway-connected',
+        'state',
+        this.allocator.describe(connection),
+      );
     }
     this.scheduleKeepaliveCheck();
     this.scheduleNextProbe();
   }
 
-  /** Sends the reason to the gateway, if it is still there, and closes the connection. */
+  /** Sends the reason to the gateway, if it is still connected, and closes the connection. */
   private refuse(connection: number, reason: AgentRefusal['reason']): void {
     const channel = this.channels.get(connection);
     const { log, metrics } = this.dependencies;
-    log.write('gateway-refused', 'state', { reason, ...this.ledger.describe(connection) });
+    log.write('gateway-refused', 'state', { reason, ...this.allocator.describe(connection) });
     metrics.record(({ gatewaysEnded }) => gatewaysEnded.inc({ reason }));
     channel?.send({ kind: 'refused', reason });
     channel?.flush();
@@ -386,13 +390,17 @@
   }
 
   private scheduleKeepaliveCheck(): void {
-    if (this.isStopped || this.isKeepaliveCheckScheduled || !this.ledger.isAnyKeepaliveExpected) {
+    if (
+      this.isStopped ||
+      this.isKeepaliveCheckScheduled ||
+      !this.allocator.isAnyKeepaliveExpected
+    ) {
       return;
     }
     this.isKeepaliveCheckScheduled = true;
     this.clock.setTimeout(() => {
       this.isKeepaliveCheckScheduled = false;
-      for (const connection of this.ledger.findTimedOut(this.clock.now())) {
+      for (const connection of this.allocator.findTimedOut(this.clock.now())) {
         this.refuse(connection, 'silent');
       }
       this.scheduleKeepaliveCheck();
@@ -404,7 +412,7 @@
       return;
     }
     this.logColdStateChange();
-    this.ledger.sendHeartbeat(this.options.heartbeatIntervalMs, this.clock.now());
+    this.allocator.sendHeartbeat(this.options.heartbeatIntervalMs, this.clock.now());
     this.clock.setTimeout(() => this.sendHeartbeats(), this.options.heartbeatIntervalMs);
   }
 
@@ -413,9 +421,9 @@
    * while requests run.
    */
   private scheduleNextProbe(): void {
-    if (this.ledger.needsProbe(this.clock.now())) {
+    if (this.allocator.needsProbe(this.clock.now())) {
       this.scheduleProbe(this.options.fastProbeIntervalMs);
-    } else if (this.ledger.isAnyKeepaliveExpected) {
+    } else if (this.allocator.isAnyKeepaliveExpected) {
       this.scheduleProbe(this.options.probeIntervalMs);
     }
   }
@@ -439,7 +447,7 @@
     if (result.kind !== 'load') {
       this.dependencies.metrics.record(({ reportsFailed }) => reportsFailed.inc());
     }
-    this.ledger.applyProbeResult(result, this.clock.now());
+    this.allocator.applyProbeResult(result, this.clock.now());
     this.scheduleKeepaliveCheck();
     this.scheduleNextProbe();
   }
--- a/src/slot-agent/slot-allocator.ts
+++ b/src/slot-agent/slot-allocator.ts
@@ -1,11 +1,11 @@
 /**
- * Allocates the slots of one back end among gateways, without I/O.
+ * Allocates the slots of one backend among gateways, without I/O.
  *
  * It counts the slots that each connected gateway holds, and grants a free one to the gateway whose
  * waiting request has the highest priority. A grant is a short lease: a gateway that leaves one
  * unanswered gets no more until it answers. A gateway whose keepalives are overdue is considered
- * lost until it reconnects; its slots stay occupied only as long as the back end's own status
- * report shows requests that no connected gateway accounts for.
+ * lost until it reconnects; its slots stay occupied only as long as the backend's own status report
+ * shows requests that no connected gateway accounts for.
  */
 import type { AllowedRegions, RestrictionReason } from '../routing/backend-restriction.js';
 import type { RouteAndTenant } from '../routing/region-restrictions.js';
@@ -32,8 +32,8 @@
 import { compareWaitingPriority } from './waiting-priority.js';
 
 /**
- * Report that a gateway took a slot for a request that operators' restrictions forbid at the back
- * end.
+ * Report that a gateway took a slot for a request that operators' restrictions forbid at the
+ * backend.
  */
 export interface ForbiddenTake extends RegionConstraints {
   readonly gateway: string;
@@ -50,36 +50,36 @@
    * Called when state changes are pending; the callee invokes `sendChanges` after a short delay.
    */
   onChangesPending(): void;
-  /** Called when the back end's status report showed that slots counted as occupied are free. */
+  /** Called when the backend's status report showed that slots counted as occupied are free. */
   onReconciled(slots: number): void;
   /**
-   * Called when the back end must be probed now, after a failed request or one without a response.
+   * Called when the backend must be probed now, after a failed request or one without a response.
    */
   onProbeNeeded(): void;
-  /** Called when the availability of the back end or the cause of its closure changed. */
+  /** Called when the availability of the backend or the cause of its closure changed. */
   onAvailability(availability: EngineAvailability, closedCause: ClosedCause | undefined): void;
-  /** Network distance from a zone to the back end; omitted if distances are unknown. */
+  /** Network distance from a zone to the backend; omitted if distances are unknown. */
   distanceTo?(zone: string): Distance;
-  /** Why operators' restrictions forbid a request at the back end; undefined if it is permitted. */
+  /** Why operators' restrictions forbid a request at the backend; undefined if it is permitted. */
   restriction(
     allowedRegions: AllowedRegions,
     homeOwner?: RouteAndTenant,
   ): RestrictionReason | undefined;
   /** Region information for gateways; undefined while no request is restricted to regions. */
   regionInfo(): AgentRegionInfo | undefined;
-  /** Called when a gateway took a free slot for a request that is not permitted at the back end. */
+  /** Called when a gateway took a free slot for a request that is not permitted at the backend. */
   onForbiddenTake(take: ForbiddenTake): void;
-  /** Limits on starting requests at the back end; undefined if the rate is unlimited. */
+  /** Limits on starting requests at the backend; undefined if the rate is unlimited. */
   startRules(nowMs: number): StartRules | undefined;
   /**
-   * Called when the start rate limit delays a waiting request beside a free slot; the callee
+   * Called when the start rate limit delays a waiting request although a slot is free; the callee
    * invokes `resumeGrants` after `resumeInMs`.
    */
   onStartsDelayed(resumeInMs: number): void;
 }
 
 /**
- * How long the back end is probed for requests of a disconnected gateway, in milliseconds: the
+ * How long the backend is probed for requests of a disconnected gateway, in milliseconds: the
  * gateway may be cut off from this process only and still send requests.
  */
 const DISCONNECTED_GATEWAY_PROBE_MS = 10_000;
@@ -93,11 +93,11 @@
   readonly waiting: WaitingRequest;
 }
 
-/** Slot allocator of one back end. */
+/** Slot allocator of one backend. */
 export class SlotAllocator {
   private readonly sessions = new Map<number, GatewaySession>();
   /**
-   * Until when the back end is probed for requests of each disconnected gateway, by gateway name.
+   * Until when the backend is probed for requests of each disconnected gateway, by gateway name.
    */
   private readonly probeDisconnectedUntilMs = new Map<string, number>();
   private slots = 0;
@@ -134,7 +134,7 @@
     return this.engineHealth.needsProbe || this.needsReconciliation(nowMs);
   }
 
-  /** Whether requests may run there that no connected gateway accounts for. */
+  /** Whether the backend may run requests that no connected gateway accounts for. */
   private needsReconciliation(nowMs: number): boolean {
     for (const [name, untilMs] of this.probeDisconnectedUntilMs) {
       if (nowMs > untilMs) {
@@ -175,12 +175,12 @@
     return this.sessions.has(connection);
   }
 
-  /** Slots held by connected gateways or unaccounted for. */
+  /** Slots that connected gateways hold, plus those unaccounted for. */
   get occupied(): number {
     return this.held + this.unaccounted;
   }
 
-  /** Slots of the back end; 0 until the first hello states them. */
+  /** Slots of the backend; 0 until the first hello states them. */
   get capacity(): number {
     return this.slots;
   }
@@ -261,7 +261,7 @@
   }
 
   /**
-   * Recomputes unaccounted slots from the back end's own count of requests that run or wait there.
+   * Recomputes unaccounted slots from the backend's own count of requests that run or wait there.
    */
   private reconcile(requestsAtBackend: number): void {
     const before = this.unaccounted;
@@ -364,7 +364,7 @@
 
   private noteNoResponse(gateway: string, nowMs: number): void {
     const isEngineFailure = this.noResponseReports.noteNoResponse(gateway, nowMs);
-    // A trial request without a response counts as a failure, so that the back-off continues.
+    // A trial request without a response counts as a failure, so that the backoff continues.
     if (isEngineFailure || this.engineHealth.availability === 'trial') {
       this.noteOutcome(true, nowMs);
       return;
@@ -380,7 +380,7 @@
     this.publishAvailabilityChange(before, nowMs);
   }
 
-  /** Publishes a changed availability immediately, and that the engine has exited. */
+  /** Publishes a changed availability or cause of closure immediately. */
   private publishAvailabilityChange(before: AvailabilityAndCause, nowMs: number): void {
     const { availability, closedCause } = this.engineHealth;
     if (availability !== before.availability || closedCause !== before.closedCause) {
--- a/src/slot-agent/slot-messages.ts
+++ b/src/slot-agent/slot-messages.ts
@@ -15,7 +15,7 @@
   readonly allowedRegions?: readonly string[];
   /**
    * Route and tenant of the request, whose regions the agent looks up in its own configuration;
-   * omitted while the gateway has none.
+   * omitted while the agent reports no `homes`.
    */
   readonly homeOwner?: RouteAndTenant;
 }
@@ -33,7 +33,7 @@
   readonly startInMs: number;
 }
 
-/** Cold-start settings of the back end's service. */
+/** Cold-start settings of the backend's service. */
 export type ColdStartSettings = Pick<Service, 'coldStartMs' | 'coldRequestsPerS'>;
 
 /** First message of a gateway on a connection. */
@@ -42,13 +42,13 @@
   readonly gateway: string;
   /** Zone of the gateway; if omitted, the engine's zone is assumed. */
   readonly zone?: string;
-  /** Slots that the gateway's requests occupy at this back end. */
+  /** Slots that the gateway's requests occupy at this backend. */
   readonly held: number;
   /** Address on which the gateway accepts peer connections, IP:PORT; may be empty. */
   readonly peersAddress: string;
-  /** Slots of the back end according to its announcement. */
+  /** Slots of the backend according to its announcement. */
   readonly slots: number;
-  /** Omitted if back ends of the service accept any request rate from their start. */
+  /** Omitted if backends of the service accept any request rate from their start. */
   readonly coldStart?: ColdStartSettings;
 }
 
@@ -62,8 +62,7 @@
   /** The gateway's clock, in milliseconds; omitted if the start rate is unlimited. */
   readonly atMs?: number;
   /**
-   * How much longer the gateway considers the back end cold, in milliseconds; omitted if it is
-   * warm.
+   * How much longer the gateway considers the backend cold, in milliseconds; omitted if it is warm.
    */
   readonly coldMs?: number;
 }
@@ -77,13 +76,13 @@
 export interface SlotReleased {
   readonly kind: 'released';
   /**
-   * Whether the back end failed the request (true) or responded to it (false); undefined if neither
+   * Whether the backend failed the request (true) or responded to it (false); undefined if neither
    * is known.
    */
   readonly hasFailed?: boolean;
   /**
-   * Whether there was no response at all: the back end may hang, or the gateway's network path to
-   * it be broken.
+   * Whether there was no response at all: the backend may hang, or the gateway's network path to it
+   * be broken.
    */
   readonly isSilent?: boolean;
 }
--- a/src/slot-agent/start-limiter.ts
+++ b/src/slot-agent/start-limiter.ts
@@ -21,7 +21,10 @@
 export type GrantsOnlyReason =
   /** The engine is cold, or may be. */
   | 'cold'
-  /** More requests started in the last second than the engine could handle if it turned cold. */
+  /**
+   * At least `ColdStartBound.taken` requests started in the last second; further takes could exceed
+   * the limit of a cold engine if it has restarted unnoticed.
+   */
   | 'busy';
 
 /**
--- a/src/slot-agent/start-window.ts
+++ b/src/slot-agent/start-window.ts
@@ -1,5 +1,5 @@
 /**
- * Sliding window that counts request starts at a back end within any one second, exactly, without
+ * Sliding window that counts request starts at a backend within any one second, exactly, without
  * I/O.
  *
  * The time of a start may be known only as an interval: a granted slot is used at some time between
--- a/src/slot-agent/waiting-priority.ts
+++ b/src/slot-agent/waiting-priority.ts
@@ -1,5 +1,5 @@
 /**
- * Priority order in which waiting requests get slots, shared by gateways and agents.
+ * Order in which waiting requests get slots; gateways and agents both apply it.
  *
  * Requests are ordered by tier, lower first, then by rank, then by arrival. Within a tier, a
  * request that can no longer meet its deadline is ordered behind the next rank, since a late
@@ -37,11 +37,11 @@
 }
 
 /** Effective rank within a tier, with the penalty for a late request; lower numbers go first. */
-export function effectiveRank({ rankInTier }: WaitingPriority, isPlaceLate: boolean): number {
-  return isPlaceLate ? rankInTier + LATE_RANK_PENALTY : rankInTier;
+export function effectiveRank({ rankInTier }: WaitingPriority, isRequestLate: boolean): number {
+  return isRequestLate ? rankInTier + LATE_RANK_PENALTY : rankInTier;
 }
 
 /** Whether the request can no longer meet its deadline. */
-export function isLate(place: WaitingPriority, nowMs: number): boolean {
-  return nowMs > place.startByMs;
+export function isLate(request: WaitingPriority, nowMs: number): boolean {
+  return nowMs > request.startByMs;
 }
--- a/src/slot-agent/warm-start-limit.ts
+++ b/src/slot-agent/warm-start-limit.ts
@@ -1,10 +1,10 @@
 /**
- * Start rate limit of a warm engine, which may turn cold before its agent learns of it, without
- * I/O.
+ * Start rate limit of a warm engine, which may restart and be cold before its agent detects it,
+ * without I/O.
  *
- * The limit has no effect while demand is below it. If requests keep waiting beside free slots,
- * demand exceeds what a cold engine can handle, and the limit is suspended: delaying requests that
- * a warm engine could serve is a certain loss, while an unnoticed cold start is rare.
+ * The limit has no effect while demand is below it. If requests keep waiting although slots are
+ * free, demand exceeds what a cold engine can handle, and the limit is suspended: delaying requests
+ * that a warm engine could serve is a certain loss, while an unnoticed cold start is rare.
  */
 
 /** How long the limit may delay requests before it is suspended, in milliseconds. */
--- a/test/backend-incarnations-random.test.ts
+++ b/test/backend-incarnations-random.test.ts
@@ -1,5 +1,5 @@
 /**
- * Random restarts of back ends under one name, with delayed or lost announcements of earlier
+ * Random restarts of backends under one name, with delayed or lost announcements of earlier
  * incarnations.
  */
 import test from 'ava';
@@ -22,7 +22,7 @@
   readonly index: number;
 }
 
-/** A gateway, and the actual state of the back ends that it receives announcements of. */
+/** A gateway, and the actual state of the backends that it receives announcements of. */
 class IncarnationHarness {
   private readonly random: SeededRandom;
   private readonly gateway = new GatewayHarness();
--- a/test/backend-incarnations.test.ts
+++ b/test/backend-incarnations.test.ts
@@ -28,7 +28,7 @@
   return rest as Omit<Value, Field>;
 }
 
-function announced(bornAtMs: number | undefined, changes: Partial<Announcement> = {}) {
+function announcementOf(bornAtMs: number | undefined, changes: Partial<Announcement> = {}) {
   return without(backendOf('w', { bornAtMs, ...changes }), 'id');
 }
 
@@ -48,15 +48,18 @@
   return changes.map(({ id }) => id);
 }
 
-test('a back end that restarts under its name gets a new id without the previous statistics', (t) => {
+test('a backend that restarts under its name gets a new id without the previous statistics', (t) => {
   const world = new GatewayHarness();
   const incarnations = new BackendIncarnations();
-  update(world, incarnations, announced(1_000, { revision: 1 }));
+  update(world, incarnations, announcementOf(1_000, { revision: 1 }));
   world.request({ route: routeOf({ kind: 'unsafe' }) });
   world.attempts[0]!.handlers.onFailure({ ...RESET, mayHaveRun: false, isPortClosed: true });
   world.dispatcher.learnSpeed('w@1000', 1, 50);
   t.true(world.directory.find('w@1000')!.health.isEjected(0));
-  t.deepEqual(update(world, incarnations, announced(2_000, { revision: 2 })), ['w@2000', 'w@1000']);
+  t.deepEqual(update(world, incarnations, announcementOf(2_000, { revision: 2 })), [
+    'w@2000',
+    'w@1000',
+  ]);
   const next = world.directory.find('w@2000')!;
   t.deepEqual([next.health.isEjected(0), next.msPerUnit], [false, undefined]);
   t.false(world.directory.find('w@1000')!.isCurrent);
@@ -67,28 +70,28 @@
 test('a request of the previous incarnation that ends late frees no slot of the next one', (t) => {
   const world = new GatewayHarness();
   const incarnations = new BackendIncarnations();
-  update(world, incarnations, announced(1_000, { revision: 1, slots: 1 }));
+  update(world, incarnations, announcementOf(1_000, { revision: 1, slots: 1 }));
   world.request({ route: routeOf({ kind: 'unsafe' }) });
-  update(world, incarnations, announced(2_000, { revision: 2, slots: 1 }));
+  update(world, incarnations, announcementOf(2_000, { revision: 2, slots: 1 }));
   world.request({ route: routeOf({ kind: 'unsafe' }) });
   t.is(world.attempts[1]!.backend.id, 'w@2000');
   world.attempts[0]!.handlers.onFailure(RESET);
   t.is(world.directory.find('w@2000')!.outstanding, 1);
-  t.is(world.crashes.length, 1, 'the back end of the first request had ended');
+  t.is(world.crashes.length, 1, 'the backend of the first request had ended');
 });
 
-test('a repeatable request that was lost with its back end is retried at the next incarnation', (t) => {
+test('a retryable request that was lost with its backend is retried at the next incarnation', (t) => {
   const world = new GatewayHarness();
   const incarnations = new BackendIncarnations();
-  update(world, incarnations, announced(1_000, { revision: 1 }));
+  update(world, incarnations, announcementOf(1_000, { revision: 1 }));
   const { reply } = world.request({ route: routeOf({ kind: 'safe', maxAttempts: 3 }) });
-  update(world, incarnations, announced(2_000, { revision: 2 }));
+  update(world, incarnations, announcementOf(2_000, { revision: 2 }));
   world.attempts[0]!.handlers.onFailure(RESET);
   world.answer(1, 200, 'good');
   t.is(reply.body, 'good');
 });
 
-test('a request fails soon after its back end ended, but a response already in flight is delivered', async (t) => {
+test('a request fails soon after its backend ended, but a response already in flight is delivered', async (t) => {
   const world = new GatewayHarness(backendOf('a'));
   const lost = world.request({ route: routeOf({ kind: 'unsafe' }) });
   const ready = world.request({ route: routeOf({ kind: 'unsafe' }) });
@@ -103,7 +106,7 @@
   t.true(world.attempts[0]!.isCancelled);
 });
 
-test('a request that was still connecting when its back end ended is sent to another back end', async (t) => {
+test('a request that was still connecting when its backend ended is sent to another backend', async (t) => {
   const world = new GatewayHarness(backendOf('a'), backendOf('b'));
   const { request, reply } = world.request({ route: routeOf({ kind: 'unsafe' }) });
   const { backend } = world.attempts[0]!;
@@ -116,65 +119,65 @@
   t.is(world.crashes.length, 0);
 });
 
-test('an agent reports that its engine ended if it restarted between two polls', (t) => {
+test('an agent reports that its engine ended if it restarted between two probes', (t) => {
   const agent = new SlotAllocatorHarness();
   const hasEndedFlags = () =>
     agent.sent.flatMap(([, message]) => (message.kind === 'state' ? [message.hasEnded] : []));
   agent.admit(1);
-  agent.ledger.applyProbeResult({ kind: 'load', requests: 0, bornAtMs: 1 }, 10);
-  agent.ledger.applyProbeResult({ kind: 'load', requests: 0, bornAtMs: 1 }, 20);
+  agent.allocator.applyProbeResult({ kind: 'load', requests: 0, bornAtMs: 1 }, 10);
+  agent.allocator.applyProbeResult({ kind: 'load', requests: 0, bornAtMs: 1 }, 20);
   t.false(hasEndedFlags().includes(true));
-  agent.ledger.applyProbeResult({ kind: 'load', requests: 0, bornAtMs: 2 }, 30);
+  agent.allocator.applyProbeResult({ kind: 'load', requests: 0, bornAtMs: 2 }, 30);
   t.deepEqual(hasEndedFlags().slice(-2), [true, undefined]);
 });
 
 test('a late announcement of an earlier incarnation is ignored, even with a newer revision', (t) => {
   const world = new GatewayHarness();
   const incarnations = new BackendIncarnations();
-  update(world, incarnations, announced(2_000, { revision: 2 }));
+  update(world, incarnations, announcementOf(2_000, { revision: 2 }));
   t.deepEqual(
-    update(world, incarnations, announced(1_000, { revision: 3, state: 'draining' })),
+    update(world, incarnations, announcementOf(1_000, { revision: 3, state: 'draining' })),
     [],
   );
   t.true(world.directory.find('w@2000')!.isReady);
-  t.regex(incarnations.apply('w', announced(1_000)).problem!, /earlier start/);
+  t.regex(incarnations.apply('w', announcementOf(1_000)).problem!, /earlier start/);
 });
 
 test('an incarnation that is announced again after its record expired retains its statistics', (t) => {
   const world = new GatewayHarness();
   const incarnations = new BackendIncarnations();
-  update(world, incarnations, announced(1_000, { revision: 1 }));
+  update(world, incarnations, announcementOf(1_000, { revision: 1 }));
   world.dispatcher.learnSpeed('w@1000', 1, 50);
   update(world, incarnations, undefined);
   t.false(world.directory.find('w@1000')!.isReady);
-  update(world, incarnations, announced(1_000, { revision: 3 }));
+  update(world, incarnations, announcementOf(1_000, { revision: 3 }));
   t.true(world.directory.find('w@1000')!.isReady);
   t.not(world.directory.find('w@1000')!.msPerUnit, undefined);
 });
 
 test('an agent identifies its engine by the latest incarnation at its address', (t) => {
-  const knowledge = new EngineReplicaView(
+  const engineView = new EngineReplicaView(
     { address: '10.0.0.1:80', zone: 'z' },
     new ZoneTopology(new Map()),
   );
-  const take = (entry: unknown, revision: number) =>
-    knowledge.apply(
+  const apply = (entry: unknown, revision: number) =>
+    engineView.apply(
       decodeRecord({ key: 'servers/w', ...positionAt(revision), value: JSON.stringify(entry) }),
       revision,
     );
-  take(RECORD, 1);
-  t.is(knowledge.backend!.id, 'w@1000');
-  take({ ...RECORD, born: 2_000 }, 2);
-  t.is(knowledge.backend!.id, 'w@2000');
-  take({ ...RECORD, born: 1_000 }, 3);
-  t.is(knowledge.backend!.id, 'w@2000');
-  take({ ...RECORD, slots: 'many' }, 4);
-  t.is(knowledge.backend, undefined);
-  take({ ...RECORD, born: 2_000 }, 5);
-  t.is(knowledge.backend!.id, 'w@2000');
+  apply(RECORD, 1);
+  t.is(engineView.backend!.id, 'w@1000');
+  apply({ ...RECORD, born: 2_000 }, 2);
+  t.is(engineView.backend!.id, 'w@2000');
+  apply({ ...RECORD, born: 1_000 }, 3);
+  t.is(engineView.backend!.id, 'w@2000');
+  apply({ ...RECORD, slots: 'many' }, 4);
+  t.is(engineView.backend, undefined);
+  apply({ ...RECORD, born: 2_000 }, 5);
+  t.is(engineView.backend!.id, 'w@2000');
 });
 
-test('an invalid back-end record yields no announcement and a problem that names the fields', (t) => {
+test('an invalid backend record yields no announcement and a problem that names the fields', (t) => {
   const good = decode(RECORD);
   t.like(good, { kind: 'backend', name: 'w', announcement: { bornAtMs: 1_000, slots: 4 } });
   t.like(decode({ ...RECORD, unknown: 'field' }), { announcement: { slots: 4 } });
@@ -194,14 +197,14 @@
   }
   bad.push({ ...RECORD, state: 'resting' }, { ...RECORD, born: -1 }, { ...RECORD, born: 0.5 });
   for (const value of bad) {
-    const read = decode(value);
-    t.like(read, { kind: 'backend', announcement: undefined }, JSON.stringify(value));
-    t.truthy(read.kind === 'backend' && read.problem, JSON.stringify(value));
+    const decoded = decode(value);
+    t.like(decoded, { kind: 'backend', announcement: undefined }, JSON.stringify(value));
+    t.truthy(decoded.kind === 'backend' && decoded.problem, JSON.stringify(value));
   }
   t.like(decode({ ...RECORD, slots: 0, zone: '' }), { problem: 'not as expected: zone, slots' });
 });
 
-test('decoding any value under a back end’s key throws nothing and yields no field out of range', (t) => {
+test('decoding any value under a backend’s key throws nothing and yields no field out of range', (t) => {
   const values = fc.oneof(
     fc.string(),
     fc.json(),
@@ -233,8 +236,8 @@
       } catch {
         return;
       }
-      const read = decodeRecord({ key: 'servers/w', ...positionAt(1), value: text ?? '' });
-      const announcement = read.kind === 'backend' ? read.announcement : undefined;
+      const decoded = decodeRecord({ key: 'servers/w', ...positionAt(1), value: text ?? '' });
+      const announcement = decoded.kind === 'backend' ? decoded.announcement : undefined;
       update(world, incarnations, announcement);
       if (announcement !== undefined) {
         t.true(announcement.slots >= 1 && Number.isInteger(announcement.slots));
@@ -246,7 +249,7 @@
   );
 });
 
-test('an announcement of an unconfigured service replaces no other back end at its address', (t) => {
+test('an announcement of an unconfigured service replaces no other backend at its address', (t) => {
   const world = new GatewayHarness();
   world.configuredServices = new Set(['s']);
   world.dispatcher.updateBackend('w', backendOf('w', { address: 'a:1' }), 0);
--- a/test/backend-restriction.test.ts
+++ b/test/backend-restriction.test.ts
@@ -25,7 +25,7 @@
   t.false(PLACES.isKnown('x'));
 });
 
-test('each restriction excludes a back end, and an unknown region is never an allowed one', (t) => {
+test('each restriction excludes a backend, and an unknown region is never an allowed one', (t) => {
   const rules = {
     isEvacuated: (zone: string) => zone === 'a2',
     regionOf: (zone: string) => PLACES.regionOf(zone),
--- a/test/engine-cold-start.test.ts
+++ b/test/engine-cold-start.test.ts
@@ -20,79 +20,79 @@
   zoneReturnedAtMs: number | undefined;
 }
 
-function coldStartAt(startedAtMs: number): { records: FakeRecords; coldness: EngineColdStart } {
+function coldStartAt(startedAtMs: number): { records: FakeRecords; coldStart: EngineColdStart } {
   const records = new FakeRecords();
   const limits = { coldOver: 1.5, coldSlack: 5 };
-  return { records, coldness: new EngineColdStart(() => records, limits, startedAtMs) };
+  return { records, coldStart: new EngineColdStart(() => records, limits, startedAtMs) };
 }
 
 test('an agent considers its engine cold for coldStartMs after its own start', (t) => {
-  const { coldness } = coldStartAt(100);
-  t.is(coldness.coldState(3_099)?.reason, 'not-known');
-  t.true(coldness.startRules(3_099)?.isCold);
-  t.false(coldness.startRules(3_100)?.isCold);
+  const { coldStart } = coldStartAt(100);
+  t.is(coldStart.coldState(3_099)?.reason, 'not-known');
+  t.true(coldStart.startRules(3_099)?.isCold);
+  t.false(coldStart.startRules(3_100)?.isCold);
 });
 
 test('an engine is considered cold after it was unreachable and after the evacuation of its zone ended', (t) => {
-  const { records, coldness } = coldStartAt(0);
-  coldness.setUnreachable(false, 9_000);
-  coldness.setUnreachable(true, 10_000);
-  t.is(coldness.coldState(10_000), undefined);
-  coldness.setUnreachable(false, 11_000);
-  t.is(coldness.coldState(13_999)?.reason, 'was-gone');
-  t.is(coldness.coldState(14_000), undefined);
+  const { records, coldStart } = coldStartAt(0);
+  coldStart.setUnreachable(false, 9_000);
+  coldStart.setUnreachable(true, 10_000);
+  t.is(coldStart.coldState(10_000), undefined);
+  coldStart.setUnreachable(false, 11_000);
+  t.is(coldStart.coldState(13_999)?.reason, 'was-gone');
+  t.is(coldStart.coldState(14_000), undefined);
   records.zoneReturnedAtMs = 20_000;
-  t.is(coldness.coldState(22_999)?.reason, 'zone-returned');
-  t.is(coldness.coldState(23_000), undefined);
+  t.is(coldStart.coldState(22_999)?.reason, 'zone-returned');
+  t.is(coldStart.coldState(23_000), undefined);
 });
 
 test('a new incarnation is cold until an announcement without remaining cold time', (t) => {
-  const { records, coldness } = coldStartAt(0);
+  const { records, coldStart } = coldStartAt(0);
   records.backend = backendOf('first', { revision: 5 });
-  coldness.updateFromRecords(10_000);
+  coldStart.updateFromRecords(10_000);
   records.backend = backendOf('second', { revision: 6, remainingColdMs: 2_500 });
-  coldness.updateFromRecords(20_000);
-  coldness.updateFromRecords(20_500);
-  t.is(coldness.coldState(22_999)?.reason, 'new-incarnation');
-  t.is(coldness.announcementPosition?.revision, 6);
+  coldStart.updateFromRecords(20_000);
+  coldStart.updateFromRecords(20_500);
+  t.is(coldStart.coldState(22_999)?.reason, 'new-incarnation');
+  t.is(coldStart.announcementPosition?.revision, 6);
   records.backend = backendOf('second', { revision: 7 });
-  coldness.updateFromRecords(21_000);
-  t.is(coldness.coldState(21_000), undefined);
+  coldStart.updateFromRecords(21_000);
+  t.is(coldStart.coldState(21_000), undefined);
 });
 
 test('without own records, an agent uses the bound from a hello and the cold time from a demand', (t) => {
-  const { records, coldness } = coldStartAt(0);
+  const { records, coldStart } = coldStartAt(0);
   records.service = undefined;
-  t.is(coldness.startRules(0), undefined);
-  coldness.applyHello({ coldStartMs: COLD_MS, coldRequestsPerS: 14 });
-  t.is(coldness.startRules(10_000)?.bound.total, 26);
-  coldness.extendColdPeriod(undefined, 10_000);
-  t.false(coldness.startRules(10_000)?.isCold);
-  coldness.extendColdPeriod(700, 10_000);
-  t.true(coldness.startRules(10_699)?.isCold);
-  t.false(coldness.startRules(10_700)?.isCold);
+  t.is(coldStart.startRules(0), undefined);
+  coldStart.applyHello({ coldStartMs: COLD_MS, coldRequestsPerS: 14 });
+  t.is(coldStart.startRules(10_000)?.bound.total, 26);
+  coldStart.extendColdPeriod(undefined, 10_000);
+  t.false(coldStart.startRules(10_000)?.isCold);
+  coldStart.extendColdPeriod(700, 10_000);
+  t.true(coldStart.startRules(10_699)?.isCold);
+  t.false(coldStart.startRules(10_700)?.isCold);
 });
 
 test('a service without a cold-start rate has no start rules', (t) => {
-  const { records, coldness } = coldStartAt(0);
+  const { records, coldStart } = coldStartAt(0);
   records.service = { ...SERVICE, coldRequestsPerS: 0 };
-  coldness.applyHello({ coldStartMs: COLD_MS, coldRequestsPerS: 14 });
-  t.is(coldness.startRules(0), undefined);
+  coldStart.applyHello({ coldStartMs: COLD_MS, coldRequestsPerS: 14 });
+  t.is(coldStart.startRules(0), undefined);
 });
 
 test('the first announcement ends the initial cold period, but not one after the engine was unreachable', (t) => {
-  const { records, coldness } = coldStartAt(0);
+  const { records, coldStart } = coldStartAt(0);
   records.backend = backendOf('a', { revision: 5 });
-  coldness.updateFromRecords(100);
-  t.is(coldness.coldState(100), undefined);
+  coldStart.updateFromRecords(100);
+  t.is(coldStart.coldState(100), undefined);
   const cold = coldStartAt(0);
   cold.records.backend = backendOf('a', { revision: 5, remainingColdMs: 2_500 });
-  cold.coldness.updateFromRecords(100);
-  t.is(cold.coldness.coldState(2_599)?.reason, 'announced');
+  cold.coldStart.updateFromRecords(100);
+  t.is(cold.coldStart.coldState(2_599)?.reason, 'announced');
   const gone = coldStartAt(0);
-  gone.coldness.setUnreachable(true, 50);
-  gone.coldness.setUnreachable(false, 80);
+  gone.coldStart.setUnreachable(true, 50);
+  gone.coldStart.setUnreachable(false, 80);
   gone.records.backend = backendOf('a', { revision: 5 });
-  gone.coldness.updateFromRecords(100);
-  t.is(gone.coldness.coldState(3_079)?.reason, 'was-gone');
+  gone.coldStart.updateFromRecords(100);
+  t.is(gone.coldStart.coldState(3_079)?.reason, 'was-gone');
 });
--- a/test/homes-agent-socket.test.ts
+++ b/test/homes-agent-socket.test.ts
@@ -33,7 +33,7 @@
   }
 }
 
-test('over a socket, an agent reports its region info, grants permitted requests only, names their owner and counts forbidden takes', async (t) => {
+test('over a socket, an agent reports its region, grants only permitted requests and counts forbidden takes', async (t) => {
   const metrics = new SlotAgentMetrics();
   const agent = new SlotAgentRole({
     identity: { name: 'agent', engine: { address: `${HOST}:1`, zone: 'b1' }, seeds: [] },
@@ -61,8 +61,8 @@
         const record = { key: 'op/config', ...positionAt(1), value: CONFIGURATION };
         const { since } = message;
         const reach = { completeTo: positionAt(1), currentTo: positionAt(1) };
-        const answer = { isWhole: true, records: [record], epochStart: positionAt(0) };
-        gateway.send({ kind: 'records', since, ...reach, ...answer });
+        const response = { isWhole: true, records: [record], epochStart: positionAt(0) };
+        gateway.send({ kind: 'records', since, ...reach, ...response });
       }
     },
     onClose: () => undefined,
--- a/test/homes-agent.test.ts
+++ b/test/homes-agent.test.ts
@@ -51,12 +51,12 @@
   readonly world = new GatewayHarness();
   readonly agentView = new EngineReplicaView({ address: 'far:1', zone: 'b1' }, PLACES);
   readonly forbiddenTakes: ForbiddenTake[] = [];
-  private readonly ledger: SlotAllocator;
+  private readonly allocator: SlotAllocator;
   grants = 0;
   private deliveredCount = 0;
 
   constructor(gateway: RoutingConfiguration, agent: RoutingConfiguration) {
-    this.ledger = new SlotAllocator({
+    this.allocator = new SlotAllocator({
       send: (_connection, message) => {
         if (message.kind === 'granted' || message.kind === 'state') {
           this.world.dispatcher.receiveFromAgent('far', message, this.world.clock.now());
@@ -82,12 +82,12 @@
     this.world.dispatcher.updateBackend('far', far, 0);
     const hello = { kind: 'hello', gateway: 'g', held: 0, peersAddress: '', slots: 1 } as const;
     this.world.dispatcher.connectAgent('far', 0);
-    this.ledger.receive(1, hello, 0);
+    this.allocator.receive(1, hello, 0);
   }
 
   /** Sends the agent a message that the gateway itself would not send. */
   sendToAgent(message: GatewaySlotMessage): void {
-    this.ledger.receive(1, message, this.world.clock.now());
+    this.allocator.receive(1, message, this.world.clock.now());
   }
 
   /**
@@ -107,14 +107,14 @@
       this.world.dispatcher.tick(this.world.clock.now());
     } else {
       this.agentView.apply({ kind: 'configuration', configuration }, 0);
-      this.ledger.onRestrictionsChanged(this.world.clock.now());
+      this.allocator.onRestrictionsChanged(this.world.clock.now());
     }
   }
 
   /** Delivers the messages that the gateway sent since the last call. */
   deliver(): void {
     for (; this.deliveredCount < this.world.agentMessages.length; this.deliveredCount += 1) {
-      this.ledger.receive(
+      this.allocator.receive(
         1,
         this.world.agentMessages[this.deliveredCount]![1],
         this.world.clock.now(),
@@ -132,7 +132,7 @@
   pair.world.request();
   pair.deliver();
   t.deepEqual(pair.world.attempts, []);
-  // The same agent grants a request without home regions.
+  // The same agent grants a request without a region restriction.
   pair.world.request({ route: routeOf({ name: 'r1' }), path: '/other' });
   pair.deliver();
   t.deepEqual(
@@ -142,7 +142,7 @@
   t.deepEqual(pair.forbiddenTakes, []);
 });
 
-test('an agent enforces home regions for a gateway whose configuration names none', (t) => {
+test('an agent enforces allowed regions that the older configuration of a gateway does not name', (t) => {
   const pair = new GatewayAgentPair(configurationOf(1, [], []), configurationOf(2, ['a'], []));
   pair.deliver();
   pair.world.request();
@@ -157,7 +157,7 @@
   t.deepEqual(pair.forbiddenTakes, []);
 });
 
-test('a request is sent if gateway and agent have the same configuration that permits it', (t) => {
+test('a request is sent if the configuration that gateway and agent share permits it', (t) => {
   const same = configurationOf(1, ['a', 'b'], []);
   const pair = new GatewayAgentPair(same, same);
   pair.deliver();
@@ -167,7 +167,7 @@
   t.deepEqual(pair.forbiddenTakes, []);
 });
 
-test('a gateway with a wrong region for a zone sends no request outside its home regions', (t) => {
+test('a gateway with a wrong region for a zone sends no request outside its allowed regions', (t) => {
   const both = configurationOf(1, ['a']);
   const pair = new GatewayAgentPair(both, both);
   pair.world.regions.set('b1', 'a');
@@ -192,7 +192,7 @@
   t.is(pair.grants, 1);
 });
 
-test('a slot taken for a request outside its home regions is reported with route and tenant', (t) => {
+test('a slot taken for a request outside its allowed regions is reported with route and tenant', (t) => {
   const both = configurationOf(1, ['a'], []);
   const pair = new GatewayAgentPair(both, both);
   const homeOwner = { route: 'r', tenant: undefined };
@@ -213,7 +213,7 @@
   fc.record({ kind: fc.constant('install' as const), at: fc.constantFrom('gateway', 'agent') }),
 );
 
-test('no request is sent that the newer configuration of gateway and agent forbids, for any versions and region tables', (t) => {
+test('no request is sent that the newer of both configurations forbids, for any versions and region tables', (t) => {
   const runs = fc.record({
     versions: fc.array(version, { minLength: 3, maxLength: 3 }),
     gatewayAt: fc.nat(2),
@@ -237,8 +237,7 @@
           const isFirst = pair.world.attempts[checked]!.path === '/first';
           const newest = versions[Math.max(installed.gateway, installed.agent)]!;
           const regions = newest[isFirst ? 0 : 1];
-          // If the agent's configuration names no home regions, only the gateway's own table
-          // applies.
+          // If the agent's configuration restricts no regions, only the gateway's own table applies.
           const isTableRight = table === 'b' || pair.agentView.regionInfo !== undefined;
           if (isTableRight && regions.length > 0 && !regions.includes('b')) {
             throw new Error(`sent to b, allowed are ${regions.join()}`);
@@ -269,7 +268,7 @@
   t.pass();
 });
 
-test('messages have no additional fields if the configuration names no home regions', (t) => {
+test('messages have no additional fields if the configuration restricts no regions', (t) => {
   const none = configurationOf(1, []);
   const pair = new GatewayAgentPair(none, none);
   pair.deliver();
@@ -298,7 +297,7 @@
   t.regex(JSON.stringify(decoded), /routes\.r\.allowedRegions is .*eu.*; allowed is a list/);
 });
 
-test('a home region without any zone is reported with its key and the existing regions', (t) => {
+test('an allowed region without any zone is reported with its key and the existing regions', (t) => {
   t.is(findUnknownRegion(configurationOf(1, ['a'], ['a', 'b'], []), PLACES), undefined);
   const error = findUnknownRegion(configurationOf(1, ['a'], ['a', 'c']), PLACES);
   t.is(error?.key, 'routes.r1.allowedRegions');
@@ -310,7 +309,7 @@
   );
 });
 
-test('an agent rejects a newer configuration that names an unknown home region', (t) => {
+test('an agent rejects a newer configuration that allows an unknown region', (t) => {
   const engine = new EngineReplicaView({ address: 'far:1', zone: 'b1' }, PLACES);
   engine.apply({ kind: 'configuration', configuration: configurationOf(1, ['a']) }, 0);
   engine.apply({ kind: 'configuration', configuration: configurationOf(2, ['b', 'c']) }, 0);
--- a/test/regions.test.ts
+++ b/test/regions.test.ts
@@ -5,7 +5,9 @@
 import type { EngineAvailability } from '../src/slot-agent/engine-health.js';
 import { backendOf, GatewayHarness, routeOf } from './support/gateway-harness.js';
 
-/** Extra cost of another region over the own zone: 16 - 0.5 for round trips, and 10 for bytes. */
+/**
+ * Cost of another region beyond that of the own zone: 16 - 0.5 for the round trip, 10 for traffic.
+ */
 const REMOTE_EXTRA_COST_MS = 25.5;
 /** Wait after which engines in other regions are used. */
 const REMOTE_DELAY_MS = 26;
@@ -198,7 +200,7 @@
   t.false(world.directory.find('far')!.isAgentAwaited(183));
 });
 
-test('the round trip to a back end without an agent is measured from connections to it', (t) => {
+test('the round trip to a backend without an agent is measured from connections to it', (t) => {
   const world = worldOf([], ['far']);
   world.request({ route: UNSAFE_ROUTE });
   t.is(world.attempts[0]!.roundTripMs, 16);
@@ -207,18 +209,18 @@
 });
 
 test('a round-trip estimate follows shorter samples at once and longer ones gradually', (t) => {
-  const way = new RoundTripEstimate('same-region');
-  t.false(way.isMeasured);
-  way.addSample(1_000);
-  t.is(way.ms, 2.5);
-  way.addSample(1.5);
-  t.is(way.ms, 2);
+  const roundTrip = new RoundTripEstimate('same-region');
+  t.false(roundTrip.isMeasured);
+  roundTrip.addSample(1_000);
+  t.is(roundTrip.ms, 2.5);
+  roundTrip.addSample(1.5);
+  t.is(roundTrip.ms, 2);
   for (let count = 0; count < 200; count += 1) {
-    way.addSample(20);
+    roundTrip.addSample(20);
   }
-  t.true(way.ms > 19);
-  way.addSample(Number.NaN);
-  t.true(way.ms > 19);
+  t.true(roundTrip.ms > 19);
+  roundTrip.addSample(Number.NaN);
+  t.true(roundTrip.ms > 19);
 });
 
 test('an unknown zone is reported once, and never if the settings define no zones', (t) => {
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -22,17 +22,19 @@
 
 const GOOD: VersionBehaviour = { badShare: () => 0.02 };
 const BAD_AT_ONCE: VersionBehaviour = { badShare: () => 0.4 };
-const BAD_LATER: VersionBehaviour = { badShare: (part) => (part < 0.55 ? 0.02 : 0.5) };
-const BAD_BEFORE_CUTOVER: VersionBehaviour = { badShare: (part) => (part < 0.7 ? 0.02 : 0.5) };
+const BAD_LATER: VersionBehaviour = { badShare: (elapsed) => (elapsed < 0.55 ? 0.02 : 0.5) };
+const BAD_BEFORE_CUTOVER: VersionBehaviour = {
+  badShare: (elapsed) => (elapsed < 0.7 ? 0.02 : 0.5),
+};
 const BAD_ON_ONE_ROUTE: VersionBehaviour = {
-  badShare: (_part, route) => (route === 'second' ? 0.5 : 0.02),
+  badShare: (_elapsed, route) => (route === 'second' ? 0.5 : 0.02),
 };
 const SLOW_VERSION: VersionBehaviour = { badShare: () => 0.95 };
 
-async function runAll(behaviour: VersionBehaviour, troubles: FleetFaults): Promise<RolloutRun[]> {
+async function runAll(behaviour: VersionBehaviour, faults: FleetFaults): Promise<RolloutRun[]> {
   const runs: RolloutRun[] = [];
   for (const seed of SEEDS) {
-    runs.push(await new RolloutFleet(seed, ORDER, behaviour, troubles).run());
+    runs.push(await new RolloutFleet(seed, ORDER, behaviour, faults).run());
   }
   return runs;
 }
@@ -41,9 +43,9 @@
   t: ExecutionContext,
   state: 'completed' | 'rolled-back',
   behaviour: VersionBehaviour,
-  troubles: FleetFaults = {},
+  faults: FleetFaults = {},
 ): Promise<void> {
-  for (const run of await runAll(behaviour, troubles)) {
+  for (const run of await runAll(behaviour, faults)) {
     t.is(run.state, state);
     t.true(run.endedAt < 1, `ended at ${run.endedAt}`);
     t.deepEqual(run.written.slice(0, -1), ['in-progress']);
@@ -58,7 +60,7 @@
   }
 }
 
-test('a good version gets all traffic before the deadline, and old requests drain first', async (t) => {
+test('a rollout of a good version completes before the deadline, after requests at old backends have ended', async (t) => {
   await assertAllEnd(t, 'completed', GOOD);
 });
 
@@ -82,12 +84,12 @@
   await assertAllEnd(t, 'rolled-back', SLOW_VERSION);
 });
 
-test('gateways whose writes the store rejects do not delay a roll-out', async (t) => {
+test('gateways whose writes the store rejects do not delay a rollout', async (t) => {
   await assertAllEnd(t, 'completed', GOOD, { rejectedGateways: 4 });
   await assertAllEnd(t, 'rolled-back', BAD_AT_ONCE, { rejectedGateways: 4 });
 });
 
-test('a roll-out completes if the store is unavailable for the first third of the time', async (t) => {
+test('a rollout completes if the store is unavailable for the first third of the time', async (t) => {
   await assertAllEnd(t, 'completed', GOOD, { storeUnavailableUntil: 0.33 });
 });
 
@@ -148,7 +150,7 @@
   t.true(rollout.peerReport(11_000).isBad);
 });
 
-/** Roll-outs of one gateway whose service has the given numbers of ready back ends. */
+/** Rollouts of one gateway whose service has the given numbers of ready backends. */
 function rolloutsWith(
   ready: { target: number; others: number },
   order = ORDER,
@@ -175,7 +177,7 @@
 const OLD_BACKEND = backendOf('old', { version: 'v1' });
 const NEW_BACKEND = backendOf('new', { version: 'v2' });
 
-test('removing an order ends its roll-out and closes the version while others are ready', (t) => {
+test('removing an order ends its rollout and closes the version while others are ready', (t) => {
   const ready = { target: 1, others: 1 };
   const rollouts = rolloutsWith(ready);
   for (let index = 0; index < 100; index += 1) {
@@ -195,7 +197,7 @@
   t.not(rollouts.tell(), undefined);
 });
 
-test('removing the order of a completed roll-out opens every version', (t) => {
+test('removing the order of a completed rollout opens every version', (t) => {
   const rollouts = rolloutsWith({ target: 1, others: 1 });
   rollouts.applyStatus({ ...ORDER, state: 'completed', ...positionAt(6) });
   t.deepEqual(
@@ -209,7 +211,7 @@
   );
 });
 
-test('the old version is used if all back ends of the new one are in evacuated zones', (t) => {
+test('the old version is used if all backends of the new one are in evacuated zones', (t) => {
   const ready = { target: 0, others: 1 };
   const rollouts = rolloutsWith(ready);
   rollouts.applyStatus({ ...ORDER, state: 'completed', ...positionAt(6) });
@@ -218,7 +220,7 @@
   t.is(rollouts.versionUse(OLD_BACKEND), 'closed');
 });
 
-test('back ends in evacuated zones do not count as ready back ends of a version', (t) => {
+test('backends in evacuated zones do not count as ready backends of a version', (t) => {
   const world = new GatewayHarness(
     backendOf('a', { zone: 'za', version: 'v2' }),
     backendOf('b', { zone: 'zb', version: 'v2' }),
@@ -243,7 +245,7 @@
   t.is(rollouts.versionUse(OLD_BACKEND), 'open');
 });
 
-test('roll-out orders and states are decoded and encoded in the platform’s format', (t) => {
+test('rollout orders and states are decoded and encoded in the platform’s format', (t) => {
   const value = JSON.stringify({ service: 's', targetVersion: 'v2', durationS: 12 });
   t.deepEqual(decodeRollout({ key: 'op/rollout/s', ...positionAt(7), value }), {
     kind: 'rollout-order',
@@ -265,7 +267,7 @@
   );
 });
 
-test('a roll-out continues if its order is rewritten after the store was restored from a copy', (t) => {
+test('a rollout continues if its order is rewritten after the store was restored from a backup', (t) => {
   const order = { ...ORDER, ...positionAt(5, 1) };
   const rollouts = rolloutsWith({ target: 1, others: 1 }, order);
   rollouts.applyStatus({ ...order, state: 'rolled-back', ...positionAt(7, 1) });
--- a/test/slot-agent-role.test.ts
+++ b/test/slot-agent-role.test.ts
@@ -157,7 +157,7 @@
   stop();
 });
 
-test('an agent applies an evacuation order from a gateway after the store was restored from a copy', async (t) => {
+test('an agent applies an evacuation order from a gateway after the store was restored from a backup', async (t) => {
   const { port, stop } = startAgent(() => 0);
   const recordsMessage = (position: StorePosition, value: string | undefined) => ({
     kind: 'records' as const,
--- a/test/slot-allocator-paths.test.ts
+++ b/test/slot-allocator-paths.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { SlotAllocatorHarness } from './support/slot-allocator-harness.js';
 
-test('missing responses at one gateway only request probes, without stopping grants or raising the failure share', (t) => {
+test('missing responses at one gateway only cause probes, and neither stop grants nor count as failures', (t) => {
   const agent = new SlotAllocatorHarness();
   agent.admit(1, 8, 8);
   agent.admit(2, 0, 8);
@@ -13,9 +13,9 @@
   t.is(agent.lastAvailability(), 'open');
   t.is(agent.lastFailureShare(), 0);
   t.is(agent.probesRequested, 8);
-  t.true(agent.ledger.needsProbe(0));
-  agent.ledger.applyProbeResult({ kind: 'load', requests: 0 }, 10);
-  t.false(agent.ledger.needsProbe(10));
+  t.true(agent.allocator.needsProbe(0));
+  agent.allocator.applyProbeResult({ kind: 'load', requests: 0 }, 10);
+  t.false(agent.allocator.needsProbe(10));
 });
 
 test('missing responses at two gateways with no response in between count as an engine failure', (t) => {
@@ -55,7 +55,7 @@
   for (let index = 0; index < 8; index += 1) {
     agent.receive(1, { kind: 'released', hasFailed: true }, 0);
   }
-  agent.ledger.applyProbeResult({ kind: 'load', requests: 0 }, 310);
+  agent.allocator.applyProbeResult({ kind: 'load', requests: 0 }, 310);
   agent.receive(1, { kind: 'released', isSilent: true }, 330);
   t.is(agent.lastAvailability(), 'closed');
 });
--- a/test/slot-allocator-regions.test.ts
+++ b/test/slot-allocator-regions.test.ts
@@ -88,7 +88,7 @@
   agent.admitFrom(1, 'far', 2);
   agent.demand(1, [1]);
   agent.receive(1, { kind: 'grant-used' }, 1_010);
-  agent.ledger.sendHeartbeat(0, 1_010);
+  agent.allocator.sendHeartbeat(0, 1_010);
   const reported = agent.sent.flatMap(([, message]) =>
     message.kind === 'state' && message.roundTripMs !== undefined ? [message.roundTripMs] : [],
   );
--- a/test/slot-allocator-starts.test.ts
+++ b/test/slot-allocator-starts.test.ts
@@ -26,7 +26,7 @@
   const agent = boundedAgent(true);
   sendDemand(agent, 5, 100);
   t.deepEqual(agent.grants(), []);
-  agent.ledger.resumeGrants(100 + agent.startDelayMs);
+  agent.allocator.resumeGrants(100 + agent.startDelayMs);
   t.is(agent.grants().length, BOUND.granted);
 });
 
@@ -40,14 +40,14 @@
   for (let index = 0; index < 2; index += 1) {
     agent.receive(1, { kind: 'grant-used' }, 2_500);
   }
-  agent.ledger.resumeGrants(3_025);
+  agent.allocator.resumeGrants(3_025);
   t.is(agent.grants().length, 4);
-  agent.ledger.resumeGrants(3_031);
+  agent.allocator.resumeGrants(3_031);
   t.is(agent.grants().length, 5, 'the first was used at 2,010');
   agent.receive(1, { kind: 'grant-used' }, 3_040);
-  agent.ledger.resumeGrants(3_515);
+  agent.allocator.resumeGrants(3_515);
   t.is(agent.grants().length, 5, 'two were granted at 2,000 and used at 2,500');
-  agent.ledger.resumeGrants(3_525);
+  agent.allocator.resumeGrants(3_525);
   t.is(agent.grants().length, 7);
 });
 
@@ -55,7 +55,7 @@
   const agent = boundedAgent(true);
   t.is(agent.lastGrantsOnly(), 'cold');
   agent.rules = { bound: BOUND, isCold: false };
-  agent.ledger.resumeGrants(2_000);
+  agent.allocator.resumeGrants(2_000);
   t.is(agent.lastGrantsOnly(), undefined);
   for (let index = 0; index < BOUND.taken; index += 1) {
     agent.receive(1, { kind: 'taken' }, 2_000);
@@ -63,7 +63,7 @@
   t.is(agent.lastGrantsOnly(), 'busy');
   sendDemand(agent, 8, 2_000);
   t.is(agent.grants().length, BOUND.warm - BOUND.taken);
-  agent.ledger.sendHeartbeat(300, 4_000);
+  agent.allocator.sendHeartbeat(300, 4_000);
   t.is(agent.lastGrantsOnly(), undefined);
 });
 
@@ -82,24 +82,24 @@
   const agent = boundedAgent(false);
   const serve = (count: number, nowMs: number) => {
     sendDemand(agent, count, nowMs);
-    while (agent.ledger.describe(1)!.held > 0) {
+    while (agent.allocator.describe(1)!.held > 0) {
       agent.receive(1, { kind: 'grant-used' }, nowMs);
       agent.receive(1, { kind: 'released' }, nowMs);
     }
   };
   serve(20, 2_000);
   t.is(agent.grants().length, BOUND.warm);
-  agent.ledger.resumeGrants(2_900);
+  agent.allocator.resumeGrants(2_900);
   t.is(agent.grants().length, BOUND.warm);
   serve(20, 3_010);
   t.is(agent.grants().length, BOUND.warm + 20, 'the limit delayed requests for a second');
-  agent.ledger.sendHeartbeat(300, 3_300);
+  agent.allocator.sendHeartbeat(300, 3_300);
   t.is(agent.lastGrantsOnly(), undefined);
   serve(20, 20_000);
   t.is(agent.grants().length, 2 * BOUND.warm + 20);
   t.is(agent.lastGrantsOnly(), 'busy');
   agent.rules = { bound: BOUND, isCold: true };
-  agent.ledger.resumeGrants(20_100);
+  agent.allocator.resumeGrants(20_100);
   t.is(agent.lastGrantsOnly(), 'cold');
 });
 
--- a/test/slot-allocator.test.ts
+++ b/test/slot-allocator.test.ts
@@ -6,7 +6,7 @@
   agent.admit(1);
   agent.demand(1, [0, 0, 0]);
   t.deepEqual(agent.grants(), [1, 1]);
-  t.is(agent.ledger.occupied, 2);
+  t.is(agent.allocator.occupied, 2);
 });
 
 test('a freed slot is granted to the lowest tier number, then to the longest wait', (t) => {
@@ -34,22 +34,22 @@
 test('slots of a disconnected gateway stay occupied until the engine reports fewer requests', (t) => {
   const agent = new SlotAllocatorHarness();
   agent.admit(1, 2);
-  agent.ledger.disconnect(1, 0);
+  agent.allocator.disconnect(1, 0);
   agent.admit(2);
   agent.demand(2, [0]);
-  t.true(agent.ledger.needsProbe(0));
+  t.true(agent.allocator.needsProbe(0));
   t.deepEqual(agent.grants(), []);
-  agent.ledger.applyProbeResult({ kind: 'load', requests: 1 }, 1_000);
+  agent.allocator.applyProbeResult({ kind: 'load', requests: 1 }, 1_000);
   t.deepEqual(agent.grants(), [2]);
 });
 
 test('a gateway that reconnects reclaims its slots', (t) => {
   const agent = new SlotAllocatorHarness();
   agent.admit(1, 2);
-  agent.ledger.disconnect(1, 0);
+  agent.allocator.disconnect(1, 0);
   agent.admit(1, 2);
-  t.is(agent.ledger.occupied, 2);
-  t.false(agent.ledger.needsProbe(0));
+  t.is(agent.allocator.occupied, 2);
+  t.false(agent.allocator.needsProbe(0));
 });
 
 test('a state message reports how many messages of the gateway its count includes', (t) => {
@@ -102,8 +102,8 @@
   const agent = new SlotAllocatorHarness();
   agent.admit(1, 0, 1);
   agent.demand(1, [0]);
-  t.deepEqual(agent.ledger.findTimedOut(1_690), []);
-  t.deepEqual(agent.ledger.findTimedOut(1_710), [1]);
+  t.deepEqual(agent.allocator.findTimedOut(1_690), []);
+  t.deepEqual(agent.allocator.findTimedOut(1_710), [1]);
 });
 
 test('a gateway that answers its grants and sends keepalives is not considered lost', (t) => {
@@ -113,15 +113,15 @@
   agent.receive(1, { kind: 'grant-used' }, 1_010);
   for (const nowMs of [1_500, 2_000, 2_500]) {
     agent.receive(1, { kind: 'alive' }, nowMs);
-    t.deepEqual(agent.ledger.findTimedOut(nowMs + 400), []);
+    t.deepEqual(agent.allocator.findTimedOut(nowMs + 400), []);
   }
-  t.deepEqual(agent.ledger.findTimedOut(3_300), [1]);
+  t.deepEqual(agent.allocator.findTimedOut(3_300), [1]);
 });
 
 test('a gateway without slots and waiting requests needs no keepalives', (t) => {
   const agent = new SlotAllocatorHarness();
   agent.admit(1);
-  t.deepEqual(agent.ledger.findTimedOut(60_000), []);
+  t.deepEqual(agent.allocator.findTimedOut(60_000), []);
 });
 
 test('a returned grant frees its slot for another gateway', (t) => {
@@ -138,14 +138,14 @@
   const agent = new SlotAllocatorHarness();
   agent.admit(1, 1, 4);
   agent.admit(2, 1, 4);
-  agent.ledger.disconnect(1, 0);
-  agent.ledger.applyProbeResult({ kind: 'load', requests: 3 }, 100);
-  t.is(agent.ledger.occupied, 3);
-  agent.ledger.applyProbeResult({ kind: 'load', requests: 1 }, 200);
-  t.is(agent.ledger.occupied, 1);
+  agent.allocator.disconnect(1, 0);
+  agent.allocator.applyProbeResult({ kind: 'load', requests: 3 }, 100);
+  t.is(agent.allocator.occupied, 3);
+  agent.allocator.applyProbeResult({ kind: 'load', requests: 1 }, 200);
+  t.is(agent.allocator.occupied, 1);
   t.is(agent.reconciled, 2);
-  t.true(agent.ledger.needsProbe(5_000));
-  t.false(agent.ledger.needsProbe(11_000));
+  t.true(agent.allocator.needsProbe(5_000));
+  t.false(agent.allocator.needsProbe(11_000));
 });
 
 function grantOrderOf(ranks: ReadonlyArray<[rankInTier: number, startInMs: number]>): number[] {
@@ -199,7 +199,7 @@
   agent.receive(2, { kind: 'taken' });
   t.deepEqual(agent.sentCounts(), []);
   t.is(agent.scheduledUpdates, 1);
-  agent.ledger.sendChanges(0);
+  agent.allocator.sendChanges(0);
   t.deepEqual(agent.sentCounts(), [
     [1, 3],
     [2, 3],
@@ -224,7 +224,7 @@
   agent.sent.length = 0;
   agent.receive(1, { kind: 'taken' });
   agent.receive(1, { kind: 'released' });
-  agent.ledger.sendChanges(0);
+  agent.allocator.sendChanges(0);
   t.deepEqual(agent.sentCounts(), [[1, 0]]);
 });
 
@@ -236,7 +236,7 @@
   agent.receive(1, { kind: 'released', hasFailed: true });
   agent.receive(1, { kind: 'released', hasFailed: false });
   agent.receive(1, { kind: 'released' });
-  agent.ledger.sendChanges(0);
+  agent.allocator.sendChanges(0);
   const shares = agent.sent.flatMap(([to, message]) =>
     message.kind === 'state' && to === 2 ? [message.failureShare] : [],
   );
@@ -250,7 +250,7 @@
   agent.receive(1, { kind: 'released', hasFailed: true });
   t.is(agent.probesRequested, 1);
   t.deepEqual(agent.grants(), []);
-  agent.ledger.applyProbeResult({ kind: 'load', requests: 0 }, 10);
+  agent.allocator.applyProbeResult({ kind: 'load', requests: 0 }, 10);
   t.deepEqual(agent.grants(), [1]);
 });
 
@@ -259,11 +259,11 @@
   agent.admit(1, 1, 1);
   agent.demand(1, [0]);
   agent.receive(1, { kind: 'released', hasFailed: true });
-  agent.ledger.applyProbeResult({ kind: 'closed' }, 10);
+  agent.allocator.applyProbeResult({ kind: 'closed' }, 10);
   t.is(agent.lastAvailability(), 'closed');
-  t.true(agent.ledger.needsProbe(20));
+  t.true(agent.allocator.needsProbe(20));
   t.deepEqual(agent.grants(), []);
-  agent.ledger.applyProbeResult({ kind: 'load', requests: 0 }, 70);
+  agent.allocator.applyProbeResult({ kind: 'load', requests: 0 }, 70);
   t.is(agent.lastAvailability(), 'open');
   t.deepEqual(agent.grants(), [1]);
 });
@@ -271,31 +271,31 @@
 test('one probe without a response has no effect, two in succession close the engine', (t) => {
   const agent = new SlotAllocatorHarness();
   agent.admit(1, 1, 1);
-  agent.ledger.applyProbeResult({ kind: 'silent' }, 10);
+  agent.allocator.applyProbeResult({ kind: 'silent' }, 10);
   t.is(agent.lastAvailability(), 'open');
-  agent.ledger.applyProbeResult({ kind: 'silent' }, 70);
+  agent.allocator.applyProbeResult({ kind: 'silent' }, 70);
   t.is(agent.lastAvailability(), 'closed');
 });
 
-test('an engine that fails every request is closed despite its status report, then tested with one trial request', (t) => {
+test('an engine that fails every request is closed despite its status report, then gets one trial request', (t) => {
   const agent = new SlotAllocatorHarness();
   agent.admit(1, 8, 8);
   agent.demand(1, [0, 0, 0]);
   for (let index = 0; index < 8; index += 1) {
     agent.receive(1, { kind: 'released', hasFailed: true }, 0);
   }
-  agent.ledger.applyProbeResult({ kind: 'load', requests: 0 }, 10);
+  agent.allocator.applyProbeResult({ kind: 'load', requests: 0 }, 10);
   t.deepEqual(agent.grants(), []);
   t.is(agent.lastAvailability(), 'closed');
-  agent.ledger.applyProbeResult({ kind: 'load', requests: 0 }, 310);
+  agent.allocator.applyProbeResult({ kind: 'load', requests: 0 }, 310);
   t.is(agent.lastAvailability(), 'trial');
   t.deepEqual(agent.grants(), [1]);
   agent.receive(1, { kind: 'grant-used' }, 320);
   agent.receive(1, { kind: 'released', hasFailed: true }, 330);
   t.is(agent.lastAvailability(), 'closed');
-  agent.ledger.applyProbeResult({ kind: 'load', requests: 0 }, 900);
+  agent.allocator.applyProbeResult({ kind: 'load', requests: 0 }, 900);
   t.is(agent.lastAvailability(), 'closed');
-  agent.ledger.applyProbeResult({ kind: 'load', requests: 0 }, 940);
+  agent.allocator.applyProbeResult({ kind: 'load', requests: 0 }, 940);
   agent.receive(1, { kind: 'grant-used' }, 950);
   agent.receive(1, { kind: 'released', hasFailed: false }, 990);
   t.is(agent.lastAvailability(), 'open');
@@ -307,12 +307,12 @@
   for (let index = 0; index < 8; index += 1) {
     agent.receive(1, { kind: 'released', hasFailed: true }, 0);
   }
-  agent.ledger.applyProbeResult({ kind: 'load', requests: 0 }, 310);
+  agent.allocator.applyProbeResult({ kind: 'load', requests: 0 }, 310);
   agent.receive(1, { kind: 'proven' }, 330);
   t.is(agent.lastAvailability(), 'open');
 });
 
-test('a slot is granted to the first request that restrictions permit at the back end', (t) => {
+test('a slot is granted to the first request that restrictions permit at the backend', (t) => {
   const agent = new SlotAllocatorHarness();
   agent.restriction = (regions) =>
     regions === undefined || regions.has('here') ? undefined : 'outside-home';
--- a/test/support/rollout-fleet.ts
+++ b/test/support/rollout-fleet.ts
@@ -11,11 +11,11 @@
 
 /** Failure behaviour of the target version. */
 export interface VersionBehaviour {
-  /** Share of bad requests on a route, at `part`, a fraction of the order's time. */
-  badShare(part: number, route: string): number;
+  /** Share of bad requests on a route, at `elapsed`, a fraction of the order's time. */
+  badShare(elapsed: number, route: string): number;
 }
 
-/** Faults injected during the roll-out. */
+/** Faults injected during the rollout. */
 export interface FleetFaults {
   /** Number of gateways whose writes the store rejects. */
   readonly rejectedGateways?: number;
@@ -40,7 +40,7 @@
   readonly targetSent: number;
   /** Requests sent to the target version over five seconds after its fiftieth bad response. */
   readonly sentAfterRollbackLimit: number;
-  /** Requests in flight at old back ends when the roll-out was reported as completed. */
+  /** Requests in flight at old backends when the rollout was reported as completed. */
   readonly oldInFlightAtCompletion: number;
 }
 
@@ -58,7 +58,7 @@
 const OLD_BACKEND: Backend = backendOf('old', { version: 'v1' });
 const NEW_BACKEND: Backend = backendOf('new', { version: 'v2' });
 
-/** Simulates the gateways of a roll-out on the virtual clock. */
+/** Simulates the gateways of a rollout on the virtual clock. */
 export class RolloutFleet {
   private readonly clock = new VirtualClock();
   private readonly random: SeededRandom;
@@ -69,7 +69,7 @@
   private endedAtMs = 0;
   private sent = 0;
   private targetSent = 0;
-  private badAnswers = 0;
+  private badResponses = 0;
   private fiftiethBadAtMs = Infinity;
   private sentAfterRollbackLimit = 0;
   private oldInFlight = 0;
@@ -205,8 +205,8 @@
     this.clock.setTimeout(() => {
       this.oldInFlight -= isTarget ? 0 : 1;
       if (isTarget && isBad) {
-        this.badAnswers += 1;
-        this.fiftiethBadAtMs = this.badAnswers === 50 ? this.clock.now() : this.fiftiethBadAtMs;
+        this.badResponses += 1;
+        this.fiftiethBadAtMs = this.badResponses === 50 ? this.clock.now() : this.fiftiethBadAtMs;
       }
       gateway.noteEnded(backend, route, isBad);
     }, durationMs);
--- a/test/support/slot-allocator-harness.ts
+++ b/test/support/slot-allocator-harness.ts
@@ -17,7 +17,7 @@
   rules: StartRules | undefined;
   startDelayMs = 0;
   restriction: SlotAllocatorPorts['restriction'] = () => undefined;
-  readonly ledger = new SlotAllocator({
+  readonly allocator = new SlotAllocator({
     send: (connection, message) => this.sent.push([connection, message]),
     onGranted: () => undefined,
     onChangesPending: () => (this.scheduledUpdates += 1),
@@ -48,7 +48,7 @@
   }
 
   receive(connection: number, message: GatewaySlotMessage, nowMs = 0): void {
-    this.ledger.receive(connection, message, nowMs);
+    this.allocator.receive(connection, message, nowMs);
   }
 
   demand(connection: number, tiers: number[], waitedMs = 0, grantsSeen = 0): void {
--- a/test/zone-evacuation.test.ts
+++ b/test/zone-evacuation.test.ts
@@ -95,7 +95,7 @@
   t.deepEqual(usedBackends(world), ['a', 'b']);
 });
 
-test('an order does not withdraw a connecting request whose version’s roll-out share is used up', (t) => {
+test('an order does not withdraw a connecting request whose version’s rollout share is used up', (t) => {
   const world = new GatewayHarness(backendOf('a', { zone: 'za' }));
   world.unconnectableBackendIds.add('a');
   const { request } = world.request({ route: UNSAFE_ROUTE });
@@ -105,7 +105,7 @@
   t.false(world.attempts[0]!.isCancelled);
 });
 
-test('changes received together are applied with evacuations first and back ends last', (t) => {
+test('changes received together are applied with evacuations first and backends last', (t) => {
   const kinds = [
     'backend',
     'rollout-order',
@@ -177,7 +177,7 @@
   t.deepEqual(usedBackends(world), ['b', 'a']);
 });
 
-test('a recently removed back end in an evacuated zone is not used', (t) => {
+test('a recently removed backend in an evacuated zone is not used', (t) => {
   const world = new GatewayHarness(backendOf('a', { zone: 'za' }));
   world.order('za', true);
   world.dispatcher.updateBackend('a', undefined, 0);
@@ -195,9 +195,7 @@
     }
   }
   const subsetZones = () =>
-    world.directory
-      .list()
-      .flatMap(({ isInSubset: isAssigned, backend }) => (isAssigned ? backend.zone : []));
+    world.directory.list().flatMap(({ isInSubset, backend }) => (isInSubset ? backend.zone : []));
   const before = subsetZones();
   t.true(before.filter((zone) => zone === 'z').length >= 16);
   world.order('z', true);
@@ -220,7 +218,7 @@
   t.deepEqual(usedBackends(world), ['a']);
 });
 
-test('expected answer times count only permitted back ends', (t) => {
+test('expected response times count only permitted backends', (t) => {
   const world = new GatewayHarness(backendOf('a', { zone: 'za' }), backendOf('b', { zone: 'zb' }));
   world.dispatcher.learnSpeed('a', 1, 10);
   world.dispatcher.learnSpeed('b', 1, 50);
@@ -258,7 +256,7 @@
   t.is(world.requestEnds[0]?.reason, 'zone-evacuated');
 });
 
-test('a service without back ends does not count as evacuated', (t) => {
+test('a service without backends does not count as evacuated', (t) => {
   const world = new GatewayHarness();
   world.order('za', true);
   t.false(world.directory.isEvacuated('s', undefined));
@@ -298,8 +296,8 @@
   await world.clock.runUntil(60);
   world.answer(0, 200, '');
   world.answer(1, 200, '');
-  const place = { tier: 9, rankInTier: 0, arrivedAtMs: 60, startByMs: 9_999 };
-  const waitMs = () => world.dispatcher.forecastOf('s').expectedWaitMs(place, 60);
+  const priority = { tier: 9, rankInTier: 0, arrivedAtMs: 60, startByMs: 9_999 };
+  const waitMs = () => world.dispatcher.forecastOf('s').expectedWaitMs(priority, 60);
   const before = waitMs();
   world.order('za', true);
   t.true(waitMs() > before * 1.5, `${waitMs()} after ${before}`);
@@ -349,7 +347,7 @@
   t.pass();
 });
 
-test('a directory without evacuations permits every ready back end', (t) => {
+test('a directory without evacuations permits every ready backend', (t) => {
   const directory = new BackendDirectory(
     { name: 'g', zone: 'z' },
     {
@@ -363,7 +361,7 @@
   t.is(directory.permitted('s', undefined).length, 1);
 });
 
-/** Evacuations that act on the back ends of `world`, and the log lines that they write. */
+/** Evacuations that act on the backends of `world`, and the log lines that they write. */
 function evacuationsOf(world: GatewayHarness) {
   const lines: Array<Readonly<Record<string, unknown>>> = [];
   const evacuations = new GatewayEvacuations({
@@ -445,7 +443,7 @@
   t.is(world.attempts.length, 1);
 });
 
-test('a zone counts as known if its order is listed before its back ends', (t) => {
+test('a zone counts as known if its order is listed before its backends', (t) => {
   const world = new GatewayHarness();
   const { evacuations, lines } = evacuationsOf(world);
   evacuations.apply({ zone: 'zb', isOrdered: true, ...positionAt(5) });
