--- a/src/ini-sections.ts
+++ b/src/ini-sections.ts
@@ -12,6 +12,7 @@
 /** One section; pairs before the first header belong to a section with an empty name. */
 export interface IniSection {
   readonly name: string;
+  /** 1-based line number of the header. */
   readonly line: number;
   readonly pairs: readonly IniPair[];
 }
--- a/src/key-value/errors.ts
+++ b/src/key-value/errors.ts
@@ -1,12 +1,15 @@
 /** Errors of calls to the platform's services. */
 import { WeirvaleError } from '../request/errors.js';
 
-/** The service was unreachable or rejected the call; the call had no effect. */
+/**
+ * The service was unreachable or rejected the call. A failed key-value call had no effect; a failed
+ * update of the live list may have taken effect, and is safe to retry.
+ */
 export class PlatformUnavailableError extends WeirvaleError {
   readonly code = 'platform-unavailable';
 }
 
-/** The response was lost; the call may have taken effect. */
+/** No valid response was received; the call may have taken effect. */
 export class PlatformAnswerLostError extends WeirvaleError {
   readonly code = 'platform-answer-lost';
 }
--- a/src/key-value/http-key-value.ts
+++ b/src/key-value/http-key-value.ts
@@ -99,8 +99,8 @@
 }
 
 /**
- * Maps a transport error: only after a refused connection is it certain that the call had no
- * effect.
+ * Maps a transport error or malformed response: without a status code, only a refused connection
+ * shows that the call had no effect.
  */
 function classify(cause: unknown): PlatformError {
   const isRefused = (cause as { code?: string }).code === 'ECONNREFUSED';
--- a/src/key-value/key-value.ts
+++ b/src/key-value/key-value.ts
@@ -20,7 +20,7 @@
   readonly holder: string;
   /** Fencing token: increases with each new grant of the lease; unchanged when it is renewed. */
   readonly fencingNumber: number;
-  /** Lease duration from the response on, in milliseconds. */
+  /** Lease duration from the time of the grant or renewal at the service, in milliseconds. */
   readonly durationMs: number;
 }
 
--- a/src/options.ts
+++ b/src/options.ts
@@ -4,25 +4,29 @@
 export interface EntryOptions {
   /** Base number of agents that hold a bid for the same waiting request. Default 4. */
   readonly bidWidth: number;
-  /** Maximum number of waiting requests; above it, the lowest tier is shed. Default 5,000. */
+  /**
+   * Maximum number of waiting requests; above it, the lowest tier is shed. A small reserve above
+   * this limit and `maxWaitingBytes` is used while preemption may free a slot. Default 5,000.
+   */
   readonly maxWaitingRequests: number;
   /** Maximum total size of waiting requests, in bytes. Default 64 MiB. */
   readonly maxWaitingBytes: number;
   /**
-   * Remaining time to the deadline below which a request is urgent, in milliseconds. Default 1,000.
+   * Time before the latest start of a request (its deadline minus its shortest expected service
+   * time) from which it is urgent, in milliseconds. Default 1,000.
    */
   readonly urgentSlackMs: number;
   /**
-   * Minimum time that urgent bids are pending before their request may be shed, in milliseconds.
-   * Default 100.
+   * Minimum time that a request is urgent before it may be refused ahead of a deadline that can no
+   * longer be met, in milliseconds. Default 100.
    */
   readonly urgentGraceMs: number;
   /**
-   * Time to reconnect after a lost connection before its responses count as lost, in milliseconds.
-   * Default 10,000.
+   * Time to reconnect to an agent before its requests are refused as `engine-lost`, in
+   * milliseconds. Default 10,000.
    */
   readonly resumeTimeoutMs: number;
-  /** Idle time after which a connection is pinged, in milliseconds. Default 1,000. */
+  /** Time without sent data after which a ping is sent, in milliseconds. Default 1,000. */
   readonly pingIntervalMs: number;
   /**
    * Time without received data after which a connection is closed, in milliseconds. Default 4,000.
@@ -35,7 +39,7 @@
   readonly agentsPerPool: number;
   /** Maximum agents an entry connects to per model and place in another region. Default 2. */
   readonly agentsPerRemotePool: number;
-  /** Retry delay suggested in overload refusals, in milliseconds. Default 2,000. */
+  /** Retry delay suggested in refusals if a retry may succeed, in milliseconds. Default 2,000. */
   readonly retryAfterMs: number;
   /** Maximum wait while no permitted engine is reachable, in milliseconds. Default 2,000. */
   readonly noEngineGraceMs: number;
@@ -63,7 +67,10 @@
 export interface AgentOptions {
   /** Maximum number of requests that the engine runs concurrently. Default 8. */
   readonly capacity: number;
-  /** Maximum number of paused requests, in addition to the running ones. Default 8. */
+  /**
+   * Maximum number of paused requests, in addition to the running ones. At the limit, only urgent
+   * bids preempt, and the preempted request fails instead of being paused. Default 8.
+   */
   readonly maxPaused: number;
   /** Maximum number of queued bids; above it, the lowest tier is refused. Default 2,000. */
   readonly maxBids: number;
@@ -73,11 +80,14 @@
    */
   readonly callTimeoutMs: number;
   /**
-   * Wait of a higher-tier bid before it preempts a running lower-tier request, in milliseconds.
-   * Default 200.
+   * Wait of a higher-tier bid before it preempts a running lower-tier request, in milliseconds;
+   * urgent bids do not wait. Default 200.
    */
   readonly preemptAfterMs: number;
-  /** Validity of a permit, in milliseconds; 0 disables permits. Default 4,000. */
+  /**
+   * Validity of a permit (the right of an entry to bind one request without a bid), in
+   * milliseconds; 0 disables permits. Default 4,000.
+   */
   readonly permitLifetimeMs: number;
   /** Retention of completed, unacknowledged responses, in milliseconds. Default 60,000. */
   readonly answerRetentionMs: number;
@@ -91,7 +101,7 @@
    * 2,000.
    */
   readonly policyWaitMs: number;
-  /** Idle time after which a connection is pinged, in milliseconds. Default 1,000. */
+  /** Time without sent data after which a ping is sent, in milliseconds. Default 1,000. */
   readonly pingIntervalMs: number;
   /**
    * Time without received data after which a connection is closed, in milliseconds. Default 4,000.
--- a/src/placement/errors.ts
+++ b/src/placement/errors.ts
@@ -6,7 +6,7 @@
   readonly code = 'lease-held';
 }
 
-/** The lease was not acquired: the key-value service is unreachable or its response was lost. */
+/** The lease is not confirmed: the key-value service is unreachable or its response was lost. */
 export class LeaseUnavailableError extends WeirvaleError {
   readonly code = 'lease-unavailable';
 }
--- a/src/policy/document.ts
+++ b/src/policy/document.ts
@@ -32,7 +32,7 @@
 export const modelSchema = z.strictObject({
   kind: z.literal('model'),
   labels: LABELS,
-  /** False for a plain service whose calls must not be retried (at-most-once execution). */
+  /** False for a plain service whose requests must not be retried (at-most-once execution). */
   repeatable: z.boolean().default(true),
 });
 
@@ -44,7 +44,7 @@
   keys: z.array(z.string().regex(/^[0-9a-f]+:[0-9a-f]{64}$/)).default([]),
   /** Weight for fair queueing among the tenants of a tier. */
   weight: z.number().positive().default(1),
-  /** Maximum number of concurrent requests of the tenant at one entry. */
+  /** Maximum number of concurrent requests of the tenant at one entry process. */
   maxConcurrent: z.number().int().positive().max(MAX_CONCURRENT_LIMIT).default(10_000),
 });
 
@@ -90,7 +90,7 @@
 export type TenantEntry = z.infer<typeof tenantSchema>;
 /** A rule that allows or denies requests on engines. */
 export type SelectorEntry = z.infer<typeof selectorSchema>;
-/** Allowed values by label key; all keys must match. */
+/** Allowed values by label key, or by `name` for the entry name; all keys must match. */
 export type Conditions = SelectorEntry['tenant'];
 
 /** Key of an entry in the form `kind.name`, for example `engine.hall-a-1`. */
--- a/src/policy/eligibility.ts
+++ b/src/policy/eligibility.ts
@@ -27,6 +27,7 @@
   readonly engineSet: ReadonlySet<string>;
   /** Highest tier that a selector assigns for any of the permitted engines. */
   readonly tier: Tier;
+  /** Selector that assigned the tier; empty if no engine is permitted. */
   readonly selector: string;
 }
 
--- a/src/policy/errors.ts
+++ b/src/policy/errors.ts
@@ -6,7 +6,7 @@
 export interface PolicyProblem {
   readonly entry: EntryName;
   readonly problem: string;
-  /** Line number, if the document was read from a file. */
+  /** Line of the entry's section header, if the document was read from a file. */
   readonly line?: number;
 }
 
@@ -32,7 +32,7 @@
   }
 }
 
-/** The platform's key-value service is unreachable, or the outcome of a call is unknown. */
+/** The platform's key-value service is unreachable, or the outcome of a change is unknown. */
 export class PolicyStoreUnavailableError extends WeirvaleError {
   readonly code = 'policy-store-unavailable';
 }
--- a/src/policy/follower.ts
+++ b/src/policy/follower.ts
@@ -27,7 +27,10 @@
   readonly watchMs: number;
   /** Poll interval of processes that are not readers, in milliseconds. Default 30,000. */
   readonly pollMs: number;
-  /** Initial backoff after a failed call, in milliseconds; doubles up to `pollMs`. Default 500. */
+  /**
+   * Initial backoff after a failed call, in milliseconds; doubles up to `pollMs`. Also the poll
+   * interval while no policy is stored. Default 500.
+   */
   readonly retryMs: number;
 }
 
@@ -42,7 +45,7 @@
 const JITTER_FRACTION = 0.3;
 
 /** Dependencies of a policy follower. */
-export interface PolicyFollowerParts {
+export interface PolicyFollowerDependencies {
   readonly client: KeyValueClient;
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -50,7 +53,7 @@
   readonly options: PolicyFollowerOptions;
   /** Returns the policy generation in force in this process. */
   readonly currentGeneration: () => number;
-  /** Called with each newer policy that was read. */
+  /** Called with each update to a newer generation. */
   readonly onUpdate: (update: PolicyUpdate) => void;
 }
 
@@ -62,7 +65,7 @@
   private isStopped = false;
   private timer: TimerHandle;
 
-  constructor(private readonly parts: PolicyFollowerParts) {}
+  constructor(private readonly dependencies: PolicyFollowerDependencies) {}
 
   /** Reads the policy immediately and follows it until `stop` is called. */
   start(): void {
@@ -72,7 +75,7 @@
   /** Stops following; the result of a pending call is ignored. */
   stop(): void {
     this.isStopped = true;
-    this.parts.clock.clearTimeout(this.timer);
+    this.dependencies.clock.clearTimeout(this.timer);
   }
 
   /** Updates the machine list, from which each zone's readers are elected. */
@@ -86,7 +89,7 @@
 
   /** Whether this process watches the head key; without a machine list, every process polls. */
   isReader(): boolean {
-    const { identity, options } = this.parts;
+    const { identity, options } = this.dependencies;
     const names = this.machines
       .filter((machine) => machine.zone === identity.zone && machine.state === 'live')
       .map((machine) => machine.name);
@@ -103,7 +106,7 @@
   }
 
   private scheduleNext(): void {
-    const { clock, random, options } = this.parts;
+    const { clock, random, options } = this.dependencies;
     const delayMs = this.nextDelayMs();
     const jittered = withJitter(random, Math.min(options.pollMs, delayMs), JITTER_FRACTION);
     clock.clearTimeout(this.timer);
@@ -114,7 +117,7 @@
   }
 
   private nextDelayMs(): number {
-    const { options } = this.parts;
+    const { options } = this.dependencies;
     if (this.consecutiveFailures > 0) {
       return options.retryMs * 2 ** Math.min(this.consecutiveFailures - 1, 10);
     }
@@ -125,26 +128,27 @@
   }
 
   private async watchHead(): Promise<boolean> {
-    const { client, options } = this.parts;
+    const { client, options } = this.dependencies;
     const entry = await client.watch(POLICY_HEAD_KEY, this.headRevision, options.watchMs);
     return entry.ok ? this.applyHead(entry.val?.value, entry.val?.revision ?? 0) : false;
   }
 
   private async readHead(): Promise<boolean> {
-    const entry = await this.parts.client.get(POLICY_HEAD_KEY);
+    const entry = await this.dependencies.client.get(POLICY_HEAD_KEY);
     return entry.ok ? this.applyHead(entry.val?.value, entry.val?.revision ?? 0) : false;
   }
 
   private async applyHead(value: unknown, revision: number): Promise<boolean> {
     const head = parseHead(value);
-    if (head.generation > this.parts.currentGeneration()) {
+    if (head.generation > this.dependencies.currentGeneration()) {
       const update =
-        updateFromHead(head, this.parts.currentGeneration()) ?? (await this.readFullUpdate());
+        updateFromHead(head, this.dependencies.currentGeneration()) ??
+        (await this.readFullUpdate());
       if (update === undefined) {
         return false;
       }
       if (!this.isStopped) {
-        this.parts.onUpdate(update);
+        this.dependencies.onUpdate(update);
       }
     }
     this.headRevision = revision;
@@ -152,7 +156,7 @@
   }
 
   private async readFullUpdate(): Promise<PolicyUpdate | undefined> {
-    const stored = await readStoredPolicy(this.parts.client);
+    const stored = await readStoredPolicy(this.dependencies.client);
     return stored.ok && stored.val.head.generation > 0 ? fullUpdateOf(stored.val) : undefined;
   }
 }
--- a/src/policy/ini-policy.ts
+++ b/src/policy/ini-policy.ts
@@ -17,7 +17,8 @@
 /**
  * Parses a policy document with one `[kind.name]` section per entry.
  *
- * @returns the document, or InvalidPolicyError with all problems and their line numbers
+ * @returns the document, or InvalidPolicyError with the problems found, each with the line of its
+ *   section header
  */
 export function parsePolicyIni(text: string): Result<PolicyDocument, InvalidPolicyError> {
   const document: Record<string, PolicyEntry> = {};
--- a/src/policy/policy-synchronizer.ts
+++ b/src/policy/policy-synchronizer.ts
@@ -3,7 +3,10 @@
 import { policyUpdateSchema } from './replica.js';
 import type { InstallOutcome, PolicyReplica } from './replica.js';
 
-/** Minimum interval between two update requests, in milliseconds. */
+/**
+ * Minimum interval between two update requests, in milliseconds. A request for the full document
+ * after a delta that could not be applied is sent immediately.
+ */
 const REQUEST_INTERVAL_MS = 500;
 /**
  * Time after a request during which no second request is sent to a peer while another newer peer
@@ -27,7 +30,8 @@
   /**
    * Returns the update request to send to a peer that reported `peerGeneration`, if one is due.
    * Connectivity may be one-way, so that a peer whose reports arrive never receives the request;
-   * other peers with a newer generation are therefore tried before the same peer is tried again.
+   * other peers with a newer generation are therefore sent a request before the same peer is sent
+   * another one, for up to `SAME_PEER_INTERVAL_MS`.
    */
   onPeerGeneration(peer: string, peerGeneration: number, nowMs: number): Message | undefined {
     if (peerGeneration <= this.replica.generation) {
--- a/src/policy/replica.ts
+++ b/src/policy/replica.ts
@@ -79,7 +79,8 @@
       return undefined;
     }
     const missing = this.recent.filter((record) => record.generation > generation);
-    // A peer at generation 0 has no base document to which a delta could be applied.
+    // Generation 0 requests the full document: the peer has no document yet, or a delta could not
+    // be applied to the one that it has.
     const isContiguous = generation > 0 && missing.length === this.generation - generation;
     if (isContiguous && missing.every((record) => record.edits !== null)) {
       return { form: 'delta', records: missing };
--- a/src/policy/validate.ts
+++ b/src/policy/validate.ts
@@ -1,4 +1,4 @@
-/** Validates a policy document and reports all problems at once. */
+/** Validates a policy document: the schema of its entries, then the references between them. */
 import { entriesOfKind, policyEntrySchema } from './document.js';
 import type { Conditions, PolicyDocument, PolicyEntry } from './document.js';
 import type { PolicyProblem } from './errors.js';
@@ -6,10 +6,13 @@
 
 const CONDITION_GROUPS = ['tenant', 'model', 'data', 'engine', 'place'] as const;
 
-/** Condition key that matches the name of the entry instead of one of its labels. */
+/** Condition key that matches the name of a policy entry instead of one of its labels. */
 export const NAME_CONDITION = 'name';
 
-/** Returns all problems of `document`; an empty list means that it is valid. */
+/**
+ * Returns all schema problems of `document` or, if there are none, all references to undeclared
+ * entries and label values. An empty list means that the document is valid.
+ */
 export function findPolicyProblems(document: PolicyDocument): PolicyProblem[] {
   const schemaProblems = Object.entries(document).flatMap(([name, entry]) =>
     findSchemaProblems(name, entry),
--- a/src/settings-file.ts
+++ b/src/settings-file.ts
@@ -42,8 +42,10 @@
  * Parses settings.
  *
  * Unknown keys are reported as problems if the schema is strict, and ignored otherwise.
+ * Constraints across fields are checked only if the settings match the schema.
  *
- * @returns the settings with defaults applied, or InvalidSettingsError with all problems and lines
+ * @returns the settings with defaults applied, or InvalidSettingsError with the problems found and
+ *   their lines
  */
 export function readSettings<Schema extends $ZodType>(
   text: string,
--- a/src/standin/engine-model.ts
+++ b/src/standin/engine-model.ts
@@ -60,7 +60,9 @@
 
 /** Fractional increase of the step time per additional running request. */
 const SLOWDOWN_PER_REQUEST = 0.03;
+/** Prefill cost of a cached prompt token, relative to an uncached one. */
 const CACHED_PREFILL_SHARE = 0.1;
+/** Share of the prompt tokens that are cached if the prefix is cached. */
 const CACHED_PREFIX_SHARE = 0.8;
 
 /** Simulated engine without a transport. */
@@ -130,7 +132,7 @@
     }
   }
 
-  /** Cancels a job; its prefill counts as wasted. */
+  /** Cancels a job; if it has started, its prefill counts as wasted. */
   cancel(id: string): void {
     const jobState = this.jobs.get(id);
     if (jobState !== undefined) {
--- a/src/standin/service-server.ts
+++ b/src/standin/service-server.ts
@@ -1,4 +1,4 @@
-/** Fake plain service over HTTP: responds after a delay and records the calls it executed. */
+/** Fake plain service over HTTP: responds after a delay, records requests and idempotency keys. */
 import { createServer } from 'node:http';
 import type { Server } from 'node:http';
 import { serviceResponse } from './response-text.js';
--- a/test/policy-synchronizer.test.ts
+++ b/test/policy-synchronizer.test.ts
@@ -4,11 +4,11 @@
 
 /** Returns the targets of update requests while each peer reports generation 5 every 400 ms. */
 function requestedPeers(names: readonly string[], forMs: number): string[] {
-  const exchange = new PolicySynchronizer(new PolicyReplica());
+  const synchronizer = new PolicySynchronizer(new PolicyReplica());
   const requested: string[] = [];
   for (let nowMs = 0; nowMs < forMs; nowMs += 400) {
     for (const name of names) {
-      if (exchange.onPeerGeneration(name, 5, nowMs) !== undefined) {
+      if (synchronizer.onPeerGeneration(name, 5, nowMs) !== undefined) {
         requested.push(name);
       }
     }
@@ -25,9 +25,9 @@
 });
 
 test('a newer peer that stops reporting does not block retries to other peers', (t) => {
-  const exchange = new PolicySynchronizer(new PolicyReplica());
-  t.truthy(exchange.onPeerGeneration('a', 5, 0));
-  t.is(exchange.onPeerGeneration('gone', 5, 100), undefined);
-  t.is(exchange.onPeerGeneration('a', 5, 1_000), undefined);
-  t.truthy(exchange.onPeerGeneration('a', 5, 1_600));
+  const synchronizer = new PolicySynchronizer(new PolicyReplica());
+  t.truthy(synchronizer.onPeerGeneration('a', 5, 0));
+  t.is(synchronizer.onPeerGeneration('gone', 5, 100), undefined);
+  t.is(synchronizer.onPeerGeneration('a', 5, 1_000), undefined);
+  t.truthy(synchronizer.onPeerGeneration('a', 5, 1_600));
 });
--- a/test/policy.test.ts
+++ b/test/policy.test.ts
@@ -33,7 +33,7 @@
   t.deepEqual(decision, { allowed: false, reason: 'denied-by-selector', selector: 'drained' });
 });
 
-test('unlabeled data, unknown tenants and unknown models are permitted on no engine', (t) => {
+test('no engine is permitted for unlabeled data, unknown tenants or unknown models', (t) => {
   const policy = compilePolicy(smallPolicy(), 1);
   for (const attributes of [
     { ...INVOICE_REQUEST, dataLabels: {} },
@@ -44,7 +44,7 @@
   }
 });
 
-test('parsePolicyIni reports every problem of a policy file with its line', (t) => {
+test('parsePolicyIni reports the problems of a policy file with the line of their section', (t) => {
   const text = [
     '[label.class]',
     'values = invoice',
@@ -135,7 +135,7 @@
   t.is(replica.generation, 1);
 });
 
-test('a peer at generation 0 gets a full update, even if a single change is missing', (t) => {
+test('a peer at generation 0 gets a full update, even if it misses only one change', (t) => {
   const current = new PolicyReplica();
   const [first] = createChangeRecord(1, {}, [
     { entry: 'place.hall-c', after: { kind: 'place', labels: {} } },
