--- a/src/sim/checks/active-policy.ts
+++ b/src/sim/checks/active-policy.ts
@@ -41,6 +41,10 @@
   });
 }
 
+/**
+ * Finds processes that did not apply an accepted change within the time limit, although no fault
+ * and no graceful shutdown affected them and no fault affected the platform.
+ */
 function findStaleProcesses(cluster: SimCluster): Violation[] {
   const nowMs = cluster.clock.now();
   return cluster.observations.acceptedChanges.flatMap((change) => {
@@ -61,12 +65,14 @@
   });
 }
 
+/** Returns the highest generation that the process had applied by `atMs`. */
 function generationAt(cluster: SimCluster, process: string, atMs: number): number {
   return cluster.observations.generationChanges
     .filter((one) => one.process === process && one.atMs <= atMs)
     .reduce((highest, one) => Math.max(highest, one.generation), 0);
 }
 
+/** Whether neither a fault nor a graceful shutdown affected the process up to the deadline. */
 function wasReachable(
   cluster: SimCluster,
   process: string,
@@ -74,16 +80,16 @@
   deadlineMs: number,
 ): boolean {
   const { shutdowns } = cluster.observations;
-  const isLeaving = shutdowns.some(
+  const wasShuttingDown = shutdowns.some(
     (shutdown) =>
       shutdown.process === process &&
       shutdown.atMs <= deadlineMs &&
       (shutdown.restartedAtMs ?? Number.POSITIVE_INFINITY) >= change.acceptedAtMs,
   );
-  return !isLeaving && !hadFault(cluster, process, change.acceptedAtMs, deadlineMs);
+  return !wasShuttingDown && !hadFault(cluster, process, change.acceptedAtMs, deadlineMs);
 }
 
-/** Whether a fault affected `name` at any time while the change had to propagate. */
+/** Whether a fault that can lose requests affected `name` at any time between the two times. */
 function hadFault(cluster: SimCluster, name: string, fromMs: number, untilMs: number): boolean {
   return cluster.observations.isAffectedByFault([name], fromMs, untilMs);
 }
@@ -114,6 +120,10 @@
   return !isDrained && permitted.includes(dispatch.engine);
 }
 
+/**
+ * Compares the accepted changes with the stored head. The head lists recent changes only, so lost
+ * changes are reported only while it still lists every change.
+ */
 function findLostOrDuplicateChanges(cluster: SimCluster): Violation[] {
   const head = parseHead(cluster.platform.model.get(POLICY_HEAD_KEY)?.value);
   const atMs = cluster.clock.now();
--- a/src/sim/checks/complete-response.ts
+++ b/src/sim/checks/complete-response.ts
@@ -1,7 +1,8 @@
 /**
- * Check `whole-answer`: an answered caller received the complete response to its own request;
- * every request ends; no request is lost unless a fault that can lose requests affected its path;
- * a refusal is sent immediately and does not wait for the deadline.
+ * Check `whole-answer`: an answered caller received the complete response to its own request, and
+ * no caller received chunks of another response; no request stays pending long after its deadline,
+ * and no request that an entry received is lost, unless a fault that can lose requests affected its
+ * path.
  */
 import type { CallerAttempt, Observations } from '../observations.js';
 import type { SimCluster } from '../sim-cluster.js';
@@ -9,7 +10,10 @@
 
 /** Longest time that a request may stay pending after its deadline, in milliseconds. */
 const MAX_DEADLINE_OVERRUN_MS = 45_000;
-/** How long a fault may affect requests before it is detected, in milliseconds. */
+/**
+ * How long after its end a fault may still affect new requests because it is not yet detected, in
+ * milliseconds.
+ */
 const FAULT_DETECTION_MS = 16_000;
 
 /** Returns a violation for each attempt with a wrong, incomplete or missing result. */
@@ -21,7 +25,7 @@
   );
 }
 
-/** Returns the engine that received the request, or every permitted engine if none did. */
+/** Returns the engine that the request was dispatched to, or every permitted engine if none. */
 function findCandidateEngines(cluster: SimCluster, attempt: CallerAttempt): readonly string[] {
   const dispatch = cluster.observations.findDispatch(attempt.requestId ?? '');
   return dispatch === undefined
@@ -58,12 +62,13 @@
     return isOverdue && !isExcused ? violation('never completed') : [];
   }
   const mayHaveRun = attempt.outcome === 'connection-lost' || attempt.refusal?.ran === 'unknown';
+  // Preempted requests and duplicates of a claimed key may end this way without a fault.
   const isExempt =
     attempt.refusal?.reason === 'preempted' || attempt.refusal?.reason === 'duplicate-request';
-  const wasAccepted = attempt.requestId !== undefined;
+  const wasReceived = attempt.requestId !== undefined;
   if (
     mayHaveRun &&
-    wasAccepted &&
+    wasReceived &&
     !isExempt &&
     !isAffectedByFault(observations, attempt, engines, nowMs)
   ) {
@@ -74,6 +79,7 @@
   return [];
 }
 
+/** Whether a fault affected the entry or an engine during the attempt or shortly before it. */
 function isAffectedByFault(
   observations: Observations,
   attempt: CallerAttempt,
--- a/src/sim/checks/graceful-shutdown.ts
+++ b/src/sim/checks/graceful-shutdown.ts
@@ -10,7 +10,7 @@
  * signalled, in milliseconds.
  */
 export const SHUTDOWN_LIMIT_MS = { signal: 1_000, list: 6_000 } as const;
-/** Added while the machine list lags more than usual, for shutdowns signalled by the list alone. */
+/** Added to the `list` limit while a fault delays the machine list, in milliseconds. */
 const LIST_FAULT_ALLOWANCE_MS = 12_000;
 
 /** Returns a violation for each request dispatched to a backend after its shutdown took effect. */
--- a/src/sim/checks/tier-order.ts
+++ b/src/sim/checks/tier-order.ts
@@ -1,6 +1,7 @@
 /**
  * Check `tier-order`: when a request is shed, no permitted engine that could have served it before
- * its deadline keeps running a request of a lower tier. A larger tier number is a lower tier.
+ * its deadline still runs a request of a lower tier after the preemption window. A larger tier
+ * number is a lower tier.
  */
 import type { SimCluster } from '../sim-cluster.js';
 import type { CallerAttempt, ShedSnapshot } from '../observations.js';
@@ -10,10 +11,13 @@
 /** An engine counts only if it could have met the deadline with this safety factor and margin. */
 const DEADLINE_SAFETY_FACTOR = 2;
 const DEADLINE_MARGIN_MS = 1_500;
-/** How long a fault may affect dispatch decisions before it is detected, in milliseconds. */
+/**
+ * How long after its end a fault or graceful shutdown may still affect dispatch decisions because
+ * it is not yet detected, in milliseconds.
+ */
 const FAULT_DETECTION_MS = 10_000;
 
-/** Returns a violation for each lower-tier request that outlived a shed of a higher tier. */
+/** Returns a violation for each lower-tier request that still ran after a higher tier was shed. */
 export function checkTierOrder(cluster: SimCluster): Violation[] {
   return cluster.observations.sheds.flatMap((shed) => findTierViolations(cluster, shed));
 }
@@ -50,10 +54,13 @@
   );
 }
 
-/** Whether the engine was neither drained, shutting down nor recently restarted. */
+/**
+ * Whether the engine was neither shutting down nor recently restarted, and no policy change to it
+ * alone had been accepted: operators drain engines and return them to service by such changes.
+ */
 function isInService(cluster: SimCluster, engine: string, shed: ShedSnapshot): boolean {
   const { shutdowns, acceptedChanges } = cluster.observations;
-  const isLeaving = shutdowns.some(
+  const isShuttingDown = shutdowns.some(
     (shutdown) =>
       shutdown.process === engine &&
       shutdown.atMs <= shed.atMs &&
@@ -65,5 +72,5 @@
       change.entries[0] === `engine.${engine}` &&
       change.acceptedAtMs <= shed.atMs,
   );
-  return !isLeaving && !hasLabelChange;
+  return !isShuttingDown && !hasLabelChange;
 }
--- a/src/sim/checks/violation.ts
+++ b/src/sim/checks/violation.ts
@@ -4,6 +4,7 @@
 export interface Violation {
   /** Name of the check that found the violation. */
   readonly check: string;
+  /** Virtual time of the violation, in milliseconds. */
   readonly atMs: number;
   readonly detail: string;
 }
--- a/src/sim/deployment.ts
+++ b/src/sim/deployment.ts
@@ -23,6 +23,7 @@
   readonly deadlineMs: number;
   /** Relative weight of the class in the request mix. */
   readonly share: number;
+  /** Whether requests are safe to retry; the others carry an idempotency key. */
   readonly isRepeatable: boolean;
 }
 
@@ -43,7 +44,7 @@
   readonly isApproved: boolean;
 }
 
-/** Regions, places, processes and request classes of a simulated deployment. */
+/** Region, places, processes and request classes of a simulated deployment. */
 export interface Deployment {
   readonly name: DeploymentName;
   readonly region: string;
@@ -202,7 +203,10 @@
   };
 }
 
-/** Builds the initial policy of a deployment. */
+/**
+ * Builds the initial policy of a deployment: each class is allowed on the places that it may use,
+ * and engines with the label `state` = `drained` are denied to all.
+ */
 export function createPolicy(deployment: Deployment): PolicyDocument {
   const document: Record<string, PolicyEntry> = {
     'label.class': { kind: 'label', values: deployment.classes.map((one) => one.dataClass) },
--- a/src/sim/inject-fault.ts
+++ b/src/sim/inject-fault.ts
@@ -8,8 +8,8 @@
 type FaultInjector = (cluster: SimCluster, fault: Fault) => void;
 
 const BURST_FACTOR = 5;
-const SLOW_FACTOR = 3;
-const EXTRA_DELAY_MS = 40;
+const ENGINE_SLOW_FACTOR = 3;
+const EXTRA_NETWORK_LATENCY_MS = 40;
 const LOST_RESPONSES = 2;
 const LONG_LIST_LAG_MS = 10_000;
 
@@ -52,7 +52,7 @@
   'slow-engine': (cluster, fault) => {
     const { engine } = pickAgent(cluster, fault).backend;
     if (engine !== undefined) {
-      engine.slowFactor = SLOW_FACTOR;
+      engine.slowFactor = ENGINE_SLOW_FACTOR;
       undoAfterFault(cluster, fault, () => (engine.slowFactor = 1));
     }
   },
@@ -92,7 +92,7 @@
     );
   },
   'delay-network': (cluster, fault) => {
-    cluster.network.extraLatencyMs = EXTRA_DELAY_MS;
+    cluster.network.extraLatencyMs = EXTRA_NETWORK_LATENCY_MS;
     recordFault(cluster, fault, ['*']);
     undoAfterFault(cluster, fault, () => (cluster.network.extraLatencyMs = 0));
   },
@@ -102,8 +102,8 @@
     undoAfterFault(cluster, fault, () => (cluster.platform.model.isDown = false));
   },
   'platform-slow': (cluster, fault) => {
-    const SLOW_MS = 1_500;
-    cluster.platform.extraLatencyMs = SLOW_MS;
+    const EXTRA_PLATFORM_LATENCY_MS = 1_500;
+    cluster.platform.extraLatencyMs = EXTRA_PLATFORM_LATENCY_MS;
     recordFault(cluster, fault, ['platform']);
     undoAfterFault(cluster, fault, () => (cluster.platform.extraLatencyMs = 0));
   },
@@ -166,6 +166,7 @@
   return cluster.entries[fault.target % cluster.entries.length]!;
 }
 
+/** Records a fault for the checks, unless faults of its kind must not lose requests. */
 function recordFault(
   cluster: SimCluster,
   fault: Fault,
@@ -217,6 +218,7 @@
   });
 }
 
+/** Marks the agent as `leaving` in the machine list, and signals it if `trigger` is `signal`. */
 function shutDownAgent(
   cluster: SimCluster,
   fault: Fault,
@@ -249,8 +251,8 @@
 }
 
 /**
- * Restarts the process, as the platform replaces its machine, once its graceful shutdown is
- * complete.
+ * Restarts the process, as the platform does when it replaces a machine, once its graceful shutdown
+ * is complete; checks for this at intervals of the fault's duration.
  */
 function restartAfterExit(cluster: SimCluster, fault: Fault, process: SimAgent | SimEntry): void {
   const startCount = process.startCount;
--- a/src/sim/model-check-run.ts
+++ b/src/sim/model-check-run.ts
@@ -10,7 +10,10 @@
 import { SeededRandom } from '../random.js';
 import type { Refusal } from '../request/refusal.js';
 
-/** Names of the faults that a case can inject. */
+/**
+ * Names of the faults that a case can inject; `double-message` delivers one message twice, and
+ * `leave-agent-0` starts a graceful shutdown.
+ */
 export type CaseFault =
   | 'none'
   | 'crash-entry-0'
@@ -34,8 +37,9 @@
 ];
 
 /**
- * One case: a fault injected before step `faultStep`, and one step that delivers the newest item
- * that may overtake the others instead of the oldest.
+ * One case: a fault injected before step `faultStep` (counted from 0), and a step `reorderedStep`
+ * (counted from 1; 0 for none) that delivers the newest item that may overtake the others instead
+ * of the oldest.
  */
 export interface ModelCheckCase {
   readonly fault: CaseFault;
@@ -57,7 +61,8 @@
 interface PendingItem {
   readonly label: string;
   /**
-   * Name of the ordered channel of the item; undefined for local events, which may overtake others.
+   * Name of the ordered channel of the item; undefined for claims and their results, which may
+   * overtake other items.
    */
   readonly channel: string | undefined;
   readonly deliver: () => void;
@@ -76,14 +81,17 @@
   private readonly pending: PendingItem[] = [];
   private readonly entries: EntryCore[] = [];
   private readonly agents: AgentCore[] = [];
+  /** Starts of the two entries, then of the two agents. */
   private readonly startCounts = [0, 0, 0, 0];
   private readonly dispatchedIds: string[] = [];
   private readonly dispatchedWhileLeaving: string[] = [];
   private readonly refusals = new Map<string, Refusal>();
   private readonly responseChunks = new Map<string, string[]>();
   private readonly endedIds = new Set<string>();
+  /** Requests of a crashed entry, which need not end. */
   private readonly lostInEntryCrash = new Set<string>();
   private readonly sentIds: string[] = [];
+  /** Request that holds the claim of the idempotency key, if any. */
   private claimedBy: string | undefined;
   private leavingSinceStep: number | undefined;
 
@@ -164,7 +172,10 @@
     }
   }
 
-  /** Duplicates the oldest pending message between processes; local events are never duplicated. */
+  /**
+   * Duplicates the oldest pending item between an entry and an agent; engine events and claims are
+   * never duplicated.
+   */
   private duplicateMessage(): void {
     const index = this.pending.findIndex((item) => item.channel?.startsWith('link') ?? false);
     if (index >= 0) {
@@ -409,8 +420,11 @@
     this.handleEntry(entryIndex, { kind: 'peer-disconnected', peer, connectionNumber });
   }
 
-  private dropItems(channel: string): void {
-    const remaining = this.pending.filter((item) => !(item.channel ?? '').startsWith(channel));
+  /** Drops the pending items of every channel whose name starts with `channelPrefix`. */
+  private dropItems(channelPrefix: string): void {
+    const remaining = this.pending.filter(
+      (item) => !(item.channel ?? '').startsWith(channelPrefix),
+    );
     this.pending.splice(0, this.pending.length, ...remaining);
   }
 
--- a/src/sim/model-check.ts
+++ b/src/sim/model-check.ts
@@ -1,7 +1,7 @@
 /**
  * Bounded model checking of the entry and agent cores: two entries, two agents and two requests
- * with the same idempotency key. Each case injects one fault and reorders one delivery, at every
- * combination of steps.
+ * with the same idempotency key. Each case injects at most one fault and reorders at most one
+ * delivery; the cases cover every combination of their steps.
  *
  * The cores are those that the daemons run. Every case starts from the initial state, so no state
  * is copied.
@@ -11,8 +11,8 @@
 import type { ModelCheckCase, ModelCheckHooks, ModelCheckResult } from './model-check-run.js';
 
 /**
- * Runs every combination of a fault before one of the first `steps` steps and a reordered delivery
- * at one of the first `reorderedSteps` steps; returns the cases with violations.
+ * Runs every combination of a fault, or none, before one of the first `steps` steps and a reordered
+ * delivery, or none, at one of the first `reorderedSteps` steps; returns the cases with violations.
  */
 export function runModelCheck(
   document: PolicyDocument,
--- a/src/sim/observations.ts
+++ b/src/sim/observations.ts
@@ -1,6 +1,6 @@
 /**
- * Observations of callers, backends and operators. The checks may use nothing else of the simulated
- * processes.
+ * Observations of callers, backends and operators, with the faults, the shutdowns and the active
+ * generation of each process. The checks may use no other state of the simulated processes.
  */
 import { createHash } from 'node:crypto';
 import type { PolicyDocument } from '../policy/document.js';
@@ -23,9 +23,11 @@
   readonly entry: string;
   readonly sentAtMs: number;
   readonly deadlineAtMs: number;
-  /** Identifier that the entry assigned; undefined until the entry accepted the request. */
+  /** Identifier that the entry assigned on receipt; undefined while no entry has received it. */
   requestId: string | undefined;
+  /** Concatenated response chunks received so far. */
   response: string;
+  /** `hung-up`: the caller disconnected before the response was complete. */
   outcome: 'pending' | 'answered' | 'refused' | 'connection-lost' | 'hung-up';
   refusal: Refusal | undefined;
   endedAtMs: number | undefined;
@@ -35,6 +37,7 @@
 /** One request that was dispatched to a backend. */
 export interface DispatchedRequest {
   readonly requestId: string;
+  /** Name of the backend, a model engine or a service. */
   readonly engine: string;
   readonly place: string;
   readonly atMs: number;
@@ -53,6 +56,7 @@
   readonly changeId: string;
   readonly generation: number;
   readonly acceptedAtMs: number;
+  /** Policy after the change. */
   readonly document: PolicyDocument;
   /** Names of the policy entries that the change set. */
   readonly entries: readonly string[];
@@ -66,17 +70,17 @@
   readonly atMs: number;
 }
 
-/** A fault that was injected. */
+/** An injected fault that can lose requests; other faults are not recorded. */
 export interface InjectedFault {
   readonly kind: string;
-  /** Names or zones that the fault affects; `*` for all. */
+  /** Processes affected, `platform`, `list` for the machine list, or `*` for everything. */
   readonly targets: readonly string[];
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
 /**
- * How long a request of a lower tier may keep running after a higher tier was shed, in
+ * How long a lower-tier request may keep running after a request of a higher tier was shed, in
  * milliseconds.
  */
 export const PREEMPTION_WINDOW_MS = 250;
@@ -88,7 +92,7 @@
   readonly tier: number;
 }
 
-/** Requests that were running when a request was shed. */
+/** Lower-tier requests that were running when a request was shed. */
 export interface ShedSnapshot {
   readonly attempt: CallerAttempt;
   readonly atMs: number;
--- a/src/sim/search.ts
+++ b/src/sim/search.ts
@@ -11,6 +11,7 @@
 export interface SeedRunOptions {
   readonly deployment: DeploymentName;
   readonly seed: number;
+  /** Offered load as a fraction of the capacity of the engines. */
   readonly load: number;
   readonly durationMs: number;
   /** Key of `FAULT_SETS`. */
--- a/src/sim/sim-backend.ts
+++ b/src/sim/sim-backend.ts
@@ -61,7 +61,10 @@
     }, LOOPBACK_LATENCY_MS);
   }
 
-  /** Cancels the engine's requests when the agent exits, as for any client that disconnects. */
+  /**
+   * Cancels all requests of a model engine when the agent exits, as for any client that
+   * disconnects; a service completes its calls.
+   */
   handleAgentExit(): void {
     for (const id of [...this.openRequests.keys()]) {
       if (this.engine !== undefined) {
@@ -82,7 +85,7 @@
     this.clock.setTimeout(() => (this.isUp = true), downMs);
   }
 
-  /** Returns the running requests, without paused ones. */
+  /** Returns the identifiers of the running requests, without paused ones. */
   runningIds(): string[] {
     return this.engine === undefined ? [...this.openRequests.keys()] : this.engine.runningIds();
   }
--- a/src/sim/sim-callers.ts
+++ b/src/sim/sim-callers.ts
@@ -16,10 +16,12 @@
 import type { VirtualClock } from './virtual-clock.js';
 
 const CALLER_ADDRESS: NetworkAddress = { name: 'callers', zone: 'callers' };
+/** Share of repeatable requests whose caller disconnects at a random time before the deadline. */
 const DISCONNECT_FRACTION = 0.02;
 const MAX_ATTEMPTS = 4;
 const RETRY_DELAY_MS = 500;
 const SHARED_PREFIX_COUNT = 12;
+/** Length of a shared prompt prefix, in characters. */
 const PREFIX_LENGTH = 600;
 
 /** Dependencies of `SimCallers`. */
@@ -34,7 +36,7 @@
   readonly onRefused: (attempt: CallerAttempt, refusal: Refusal) => void;
 }
 
-/** One operation of a caller; unchanged over all its attempts. */
+/** One operation of a caller; all its attempts send the same request. */
 interface Operation {
   readonly requestClass: RequestClass;
   readonly tenant: string;
@@ -45,13 +47,14 @@
   attemptCount: number;
 }
 
+/** A message from an entry to a caller; `part` is a response chunk, `lost` a lost connection. */
 type CallerMessage =
   | { readonly kind: 'part'; readonly data: string }
   | { readonly kind: 'end' }
   | { readonly kind: 'refused'; readonly refusal: Refusal }
   | { readonly kind: 'lost' };
 
-/** Generates a stream of requests and retries those that may be retried. */
+/** Sends a stream of operations and retries those that may be retried. */
 export class SimCallers {
   private operationCount = 0;
   private nextEntry = 0;
@@ -66,7 +69,7 @@
     private readonly requestsPerSecond: number,
   ) {}
 
-  /** Sends requests with exponentially distributed pauses until `stop`. */
+  /** Sends operations at exponentially distributed intervals until `stop`. */
   start(): void {
     this.scheduleNext();
   }
@@ -80,13 +83,13 @@
     const { clock, random } = this.context;
     const MS_PER_SECOND = 1_000;
     const meanMs = MS_PER_SECOND / (this.requestsPerSecond * this.rateFactor);
-    const pauseMs = -Math.log(1 - random.next()) * meanMs;
+    const intervalMs = -Math.log(1 - random.next()) * meanMs;
     clock.setTimeout(() => {
       if (!this.isStopped) {
         this.send(this.createOperation());
         this.scheduleNext();
       }
-    }, pauseMs);
+    }, intervalMs);
   }
 
   private createOperation(): Operation {
@@ -165,7 +168,7 @@
     stream: OrderedStream<CallerMessage>,
   ): CallerCallbacks {
     return {
-      onAccepted: (id) => (attempt.requestId = id),
+      onReceived: (id) => (attempt.requestId = id),
       onChunk: (data) => stream.send({ kind: 'part', data }),
       onEnd: () => stream.send({ kind: 'end' }),
       onRefused: (refusal) => {
@@ -220,12 +223,13 @@
   }
 
   /**
-   * Retries an attempt that no entry accepted, and any failed operation with an idempotency key.
+   * Retries an operation whose attempt no entry received, and any failed operation with an
+   * idempotency key, up to `MAX_ATTEMPTS` attempts.
    */
   private retryIfNeeded(operation: Operation, attempt: CallerAttempt): void {
-    const wasNeverAccepted = attempt.requestId === undefined;
+    const wasNeverReceived = attempt.requestId === undefined;
     const hasIdempotencyKey = operation.idempotencyKey !== undefined;
-    const shouldRetry = attempt.outcome !== 'answered' && (wasNeverAccepted || hasIdempotencyKey);
+    const shouldRetry = attempt.outcome !== 'answered' && (wasNeverReceived || hasIdempotencyKey);
     if (shouldRetry && operation.attemptCount < MAX_ATTEMPTS) {
       const delayMs = attempt.refusal?.retryAfterMs ?? RETRY_DELAY_MS;
       this.context.clock.setTimeout(() => this.send(operation), delayMs);
--- a/src/sim/sim-cluster.ts
+++ b/src/sim/sim-cluster.ts
@@ -79,8 +79,8 @@
   }
 
   /**
-   * Stores the initial policy, starts every process and advances the clock until they are
-   * connected.
+   * Stores the initial policy, starts every process and advances the clock long enough for them to
+   * connect.
    */
   async start(): Promise<void> {
     const SETTLE_MS = 4_000;
@@ -106,7 +106,10 @@
     process.start();
   }
 
-  /** Returns the backends that a data class may use by the rules of the deployment alone. */
+  /**
+   * Returns the backends that a data class may use by the rules of the deployment, without regard
+   * to the active policy.
+   */
   permittedBackends(dataClass: string): BackendProfile[] {
     const { classes, places, backends } = this.deployment;
     const requestClass = classes.find((one) => one.dataClass === dataClass);
@@ -155,7 +158,10 @@
     };
   }
 
-  /** Records the lower-tier requests that run on permitted engines when a request is shed. */
+  /**
+   * Records the lower-tier requests that run on permitted engines when a request is shed, and those
+   * of them that still run after the preemption window.
+   */
   private recordShed(attempt: CallerAttempt, refusal: Refusal): void {
     const isShed = refusal.reason === 'overloaded' || refusal.reason === 'deadline-infeasible';
     if (!isShed || refusal.ran !== 'no') {
@@ -190,12 +196,14 @@
  */
 function estimateCapacityPerSecond(deployment: Deployment): number {
   const MS_PER_SECOND = 1_000;
+  // Mean length of a fake response as a share of the output limit.
   const OUTPUT_SHARE = 0.65;
+  // Slowdown of an engine that runs two requests at once.
   const BATCH_FACTOR = 1.03;
   const modelClasses = deployment.classes.filter((one) => one.promptTokens[1] > 0);
   const allShares = deployment.classes.reduce((sum, one) => sum + one.share, 0);
   const modelShares = modelClasses.reduce((sum, one) => sum + one.share, 0);
-  let slotsPerMs = 0;
+  let requestsPerMs = 0;
   for (const { engine } of deployment.backends) {
     if (engine === undefined) {
       continue;
@@ -206,9 +214,9 @@
         const decodeMs = mean(one.outputTokens) * OUTPUT_SHARE * engine.stepMs;
         return sum + one.share * (prefillMs + decodeMs);
       }, 0) / modelShares;
-    slotsPerMs += engine.capacity / (meanMs * BATCH_FACTOR);
+    requestsPerMs += engine.capacity / (meanMs * BATCH_FACTOR);
   }
-  return slotsPerMs * MS_PER_SECOND * (allShares / modelShares);
+  return requestsPerMs * MS_PER_SECOND * (allShares / modelShares);
 }
 
 function mean([low, high]: readonly [number, number]): number {
--- a/src/sim/sim-entry.ts
+++ b/src/sim/sim-entry.ts
@@ -15,8 +15,8 @@
 
 /** Callbacks to the caller of one request. */
 export interface CallerCallbacks {
-  /** Called when the entry accepts the request under this identifier. */
-  onAccepted(id: string): void;
+  /** Called when the entry has received the request and assigned this identifier. */
+  onReceived(id: string): void;
   onChunk(data: string): void;
   onEnd(): void;
   onRefused(refusal: Refusal): void;
@@ -49,11 +49,11 @@
     super(context);
   }
 
-  /** Accepts a request from a caller. */
+  /** Assigns an identifier to a request from a caller and passes the request to the core. */
   receive(request: Omit<IncomingRequest, 'id'>, caller: CallerCallbacks): void {
     const id = this.ids.next();
     this.callers.set(id, caller);
-    caller.onAccepted(id);
+    caller.onReceived(id);
     this.handle({ kind: 'request-arrived', request: { ...request, id } });
   }
 
--- a/src/sim/sim-network.ts
+++ b/src/sim/sim-network.ts
@@ -1,6 +1,6 @@
 /**
- * A simulated network with latency, one-way and two-way partitions, breaking connections and real
- * framing.
+ * A simulated network with latency, partitions, and connections that use the framing of the
+ * protocol. A partition holds packets back; it closes no connection.
  */
 import { FrameDecoder, FrameEncoder } from '../protocol/framing.js';
 import type { Frame, Message } from '../protocol/messages.js';
@@ -34,12 +34,13 @@
   onClose(): void;
 }
 
+/** Largest random increase of a base latency, as a share of it. */
 const LATENCY_JITTER = 0.5;
 
 /** Accepts a connection on the server side; returns undefined to refuse it. */
 export type ConnectionAcceptor = (connection: SimConnection) => ConnectionHandlers | undefined;
 
-/** Delivers packets after a latency, and holds those that a partition blocks. */
+/** Delivers packets after a latency; holds those that a partition blocks until it is removed. */
 export class SimNetwork {
   /** Added to every latency, in milliseconds. */
   extraLatencyMs = 0;
@@ -51,7 +52,7 @@
   private readonly blockedPackets: Array<{
     from: NetworkAddress;
     to: NetworkAddress;
-    send: () => void;
+    arrive: () => void;
   }> = [];
 
   constructor(
@@ -73,7 +74,7 @@
       if (this.isPartitioned(packet.from, packet.to)) {
         this.blockedPackets.push(packet);
       } else {
-        packet.send();
+        packet.arrive();
       }
     }
   }
@@ -108,7 +109,7 @@
   ): void {
     this.clock.setTimeout(() => {
       if (this.isPartitioned(from, to)) {
-        this.blockedPackets.push({ from, to, send: arrive });
+        this.blockedPackets.push({ from, to, arrive });
       } else {
         arrive();
       }
@@ -134,8 +135,8 @@
   }
 
   /**
-   * Opens the connection: after the latency the server accepts it, or the client's `onClose` is
-   * called.
+   * Opens the connection: after the latency the server accepts it, or refuses it and the client's
+   * `onClose` is called.
    */
   open(accept: ConnectionAcceptor): void {
     this.forward.sendOpen((isListening) => {
@@ -148,7 +149,7 @@
     });
   }
 
-  /** Sends one frame from `sender`; drops it once the connection is closed. */
+  /** Sends one frame from `sender`; drops it if the connection is closed. */
   send(sender: SimProcess, generation: number, messages: Message[]): void {
     if (this.isOpen) {
       (sender === this.client ? this.forward : this.backward).send({ generation, messages });
--- a/src/sim/sim-operator.ts
+++ b/src/sim/sim-operator.ts
@@ -22,7 +22,7 @@
 /** Changes the stored policy and records the changes that were accepted. */
 export class SimOperator {
   private changeCount = 0;
-  /** Policy entries set by each attempted change, by change identifier. */
+  /** Names of the policy entries in each attempted change, by change identifier. */
   readonly attemptedChanges = new Map<string, readonly string[]>();
 
   constructor(private readonly context: OperatorContext) {}
@@ -49,7 +49,7 @@
     });
   }
 
-  /** Makes concurrent changes to the same policy entry and to different ones. */
+  /** Makes three concurrent changes, two of them to the same policy entry. */
   raceChanges(engineName: string, otherName: string): void {
     this.toggleDrained(engineName);
     this.toggleDrained(engineName);
--- a/src/sim/sim-platform.ts
+++ b/src/sim/sim-platform.ts
@@ -21,14 +21,14 @@
 /** Address of a platform client and how responses are delivered to it. */
 export interface PlatformCaller {
   readonly address: NetworkAddress;
-  /** Runs `callback` in the calling process, unless that process has ended. */
+  /** Runs `callback` in the caller; drops it if the calling process has ended. */
   deliver(callback: () => void): void;
 }
 
 /** Key-value service and machine list of the simulated platform. */
 export class SimPlatform {
   readonly model: KeyValueModel;
-  /** Added to the latency of every response, in milliseconds. */
+  /** Added to the latency of every key-value response except refusals, in milliseconds. */
   extraLatencyMs = 0;
   /** Delay until a change appears in the machine list, in milliseconds. */
   listLagMs: number;
--- a/src/sim/sim-process.ts
+++ b/src/sim/sim-process.ts
@@ -25,7 +25,7 @@
     this.onStart();
   }
 
-  /** Kills the process immediately; pending deliveries to it are dropped. */
+  /** Kills the process immediately; deliveries to this incarnation are dropped from then on. */
   kill(): void {
     if (this.isAlive) {
       this.isAlive = false;
@@ -48,7 +48,10 @@
     }
   }
 
-  /** Runs `callback` in the process, unless it has ended or restarted since `startCount`. */
+  /**
+   * Runs `callback` in the incarnation numbered `startCount`, or drops it if that has ended; queues
+   * it while the process is frozen.
+   */
   deliver(startCount: number, callback: () => void): void {
     if (!this.isAlive || startCount !== this.startCount) {
       return;
--- a/src/sim/simulate.ts
+++ b/src/sim/simulate.ts
@@ -31,12 +31,16 @@
   readonly virtualMs: number;
   readonly attempts: readonly CallerAttempt[];
   readonly dispatchCount: number;
-  /** Prompt tokens prefilled, and those of them for which no caller received a response. */
+  /** Prompt tokens that the engines prefilled. */
   readonly prefilledTokens: number;
+  /** Those of them whose request was cancelled before completion. */
   readonly wastedPrefillTokens: number;
 }
 
-/** Time after the load stops in which all requests must complete, in milliseconds. */
+/**
+ * How long the simulation continues after the load stops so that open requests can complete, in
+ * milliseconds.
+ */
 const DRAIN_MS = 30_000;
 
 /** Runs a simulation, including the drain period, and checks its observations. */
--- a/test/broken-variants.test.ts
+++ b/test/broken-variants.test.ts
@@ -7,7 +7,7 @@
 const SEED = 11;
 
 for (const variant of BROKEN_VARIANTS) {
-  test(`${variant.name} is detected by ${variant.check}`, async (t) => {
+  test(`${variant.name} is detected by check ${variant.check}`, async (t) => {
     const durationMs = variant.durationMs ?? DURATION_MS;
     const faults = sampleFaultSchedule(SEED, variant.faultSet, durationMs, MAX_FAULTS);
     const options = {
--- a/test/import-cycles.test.ts
+++ b/test/import-cycles.test.ts
@@ -15,7 +15,7 @@
   return names.map((name) => normalize(join(dirname(path), `${name}.ts`)));
 }
 
-/** Returns the first import cycle reachable from `path`, or undefined. */
+/** Returns the first import cycle reachable from `path` through files not yet visited, if any. */
 function findCycle(
   path: string,
   imports: ReadonlyMap<string, readonly string[]>,
--- a/test/support/broken-variants.ts
+++ b/test/support/broken-variants.ts
@@ -91,7 +91,7 @@
     }),
   },
   {
-    name: 'an entry that reports "not run" after merely losing its connection',
+    name: 'an entry that reports every refused request as not run',
     check: 'told-not-run',
     faultSet: ['kill-agent', 'crash-engine'],
     load: 0.8,
@@ -167,7 +167,7 @@
     }),
   },
   {
-    name: 'an agent that ignores graceful shutdown',
+    name: 'a cluster that ignores the graceful shutdown of agents',
     check: 'leaving',
     faultSet: ['leave-agent', 'leave-place'],
     load: 0.8,
@@ -218,7 +218,7 @@
     }),
   },
   {
-    name: 'an agent that applies an old policy while it reports the new generation',
+    name: 'a process that applies its first policy while it reports the new generation',
     check: 'policy-in-force',
     faultSet: ['policy-change'],
     load: 0.8,
