--- a/src/cli/queries/explain-crashes.ts
+++ b/src/cli/queries/explain-crashes.ts
@@ -24,6 +24,6 @@
     .filter(({ time }) => Date.parse(time) <= Date.parse(end.time))
     .map(
       ({ time, process, backend, request, crashes, evidence, afterMs }) =>
-        `  ${time} ${process}: crash ${crashes}, request ${request} ended ${backend} after ${afterMs} ms (${evidence})`,
+        `  ${time} ${process}: crash ${crashes}, request ${request} crashed ${backend} after ${afterMs} ms (${evidence})`,
     );
 }
--- a/src/cli/queries/explain-logs.ts
+++ b/src/cli/queries/explain-logs.ts
@@ -41,7 +41,7 @@
 
 const EVACUATION_EVENT = 'zone-evacuation';
 const CONDITION_EVENT = 'backend-condition';
-/** The store was restored from a copy; owners have since had time to write their records again. */
+/** Logged when the store was restored from a backup, and once owners had time to rewrite records. */
 const EPOCH_EVENTS: readonly string[] = ['store-epoch', 'store-epoch-settled'];
 
 /** Events that change the gateway's state and can explain how a request was handled. */
@@ -78,16 +78,17 @@
     'no route or key matches, and this process could not confirm that its configuration is current',
   'unknown-key': 'no tenant of the configuration has the API key',
   'quota-spent': 'the tenant had exhausted its quota',
-  'crashes-back-ends': 'earlier runs of the same request had ended the back ends that ran them',
+  'crashes-back-ends': 'earlier runs of the same request had crashed the backends that ran them',
   overloaded: 'no slot became free in time',
   'no-backend': 'no backend of the service was listed as ready, or none was reachable',
   'no-common-home': 'its route and its tenant have no allowed region in common',
-  'no-backend-at-home': 'no back end in the regions where it may be served was available',
+  'no-backend-at-home': 'no backend was available in its allowed regions',
   'zone-evacuated': 'operators had evacuated every zone in which it could have been served',
   stopping: 'the process was shutting down',
   'not-started-in-time': 'its deadline passed before a backend was free',
-  'backend-refused': 'the backend reported that it did not run it, and no retry was allowed',
-  'backend-failed': 'the back end failed, and no retry was possible',
+  'backend-refused':
+    'the backend reported that it did not run the request, and no retry was allowed',
+  'backend-failed': 'the backend failed, and no retry was possible',
   'timed-out': 'its deadline passed while a backend was running it',
 };
 
@@ -158,7 +159,8 @@
     return `${line.time} ${line.process}: ${line.event} ${zone} ${action} (revision ${line['revision']})`;
   }
   if (EPOCH_EVENTS.includes(line.event ?? '')) {
-    const kept = line['kept'] === undefined ? '' : `, ${line['kept']} records kept that it lacks`;
+    const kept =
+      line['kept'] === undefined ? '' : `, ${line['kept']} records kept that the store lacks`;
     return `${line.time} ${line.process}: ${line.event} ${line['epoch']} (revision ${line['revision']}${kept})`;
   }
   const statement =
@@ -169,7 +171,7 @@
 function describeRequest(line: LogLine): string[] {
   const reason = String(line['reason']);
   const status = Number(line['status']);
-  const ended = status === 0 ? 'ended without a complete response' : `was answered ${status}`;
+  const ended = status === 0 ? 'ended without a complete response' : `response ${status}`;
   const text = [`${line.time} ${line.process}: ${ended}: ${REASONS[reason] ?? reason}`];
   const quota = line['quota'] as ExhaustedQuota | undefined;
   if (quota !== undefined) {
@@ -186,10 +188,10 @@
   text.push(...explainRegions(line as RegionReport));
   for (const attempt of attemptsOf(line)) {
     text.push(
-      `  after ${Math.round(attempt.afterMs)} ms to ${attempt.backend}${describeDistance(attempt)} (${attempt.occupied} of ${attempt.slots} slots believed taken): ${attempt.outcome}, ${attempt.detail}`,
+      `  after ${Math.round(attempt.afterMs)} ms to ${attempt.backend}${describeDistance(attempt)} (estimated ${attempt.occupied} of ${attempt.slots} slots occupied): ${attempt.outcome}, ${attempt.detail}`,
     );
     if (attempt.stated !== undefined) {
-      text.push(`    it said: ${describeStatement(attempt.stated)}`);
+      text.push(`    its response stated: ${describeStatement(attempt.stated)}`);
     }
   }
   if (line['retryAfterMs'] !== undefined) {
@@ -204,11 +206,11 @@
 function describeStatement({ limitPerS, isLeaving, restMs, restLeftMs }: LoggedStatement): string {
   const backoffMs = restMs ?? restLeftMs;
   const conditions = [
-    limitPerS === undefined ? '' : `takes ${limitPerS} requests a second from all gateways`,
+    limitPerS === undefined ? '' : `accepts ${limitPerS} requests per second from all gateways`,
     isLeaving === true ? 'is draining' : '',
-    backoffMs === undefined ? '' : `rests for ${backoffMs} ms`,
+    backoffMs === undefined ? '' : `backoff for ${backoffMs} ms`,
   ].filter((text) => text !== '');
-  return conditions.length === 0 ? 'no limit any more' : conditions.join(', ');
+  return conditions.length === 0 ? 'no limit, not draining, no backoff' : conditions.join(', ');
 }
 
 /** Mentions the distance only if the backend is in another region. */
--- a/src/cli/queries/explain-regions.ts
+++ b/src/cli/queries/explain-regions.ts
@@ -2,7 +2,7 @@
 import type { RegionReport, ExcludedBackend } from '../../gateway/regions/region-report.js';
 
 const REASONS: Readonly<Record<ExcludedBackend['reason'], string>> = {
-  'outside-home': 'its region is no home',
+  'outside-home': 'its region is not allowed',
   'zone-evacuated': 'its zone is evacuated',
   'version-closed': 'a rollout has closed its version to requests',
   'not-ready': 'it was not listed as ready',
@@ -19,19 +19,19 @@
   const sources = [
     ...(allowed.route === undefined
       ? []
-      : [`route ${line.route} names ${formatRegions(allowed.route)}`]),
+      : [`route ${line.route} allows ${formatRegions(allowed.route)}`]),
     ...(allowed.tenant === undefined
       ? []
-      : [`tenant ${line.tenant} names ${formatRegions(allowed.tenant)}`]),
+      : [`tenant ${line.tenant} allows ${formatRegions(allowed.tenant)}`]),
   ];
-  const text = [`  homes: ${sources.join('; ')}`, ...excluded.map(describeExcluded)];
-  return excludedMore > 0 ? [...text, `  kept from ${excludedMore} more`] : text;
+  const text = [`  allowed regions: ${sources.join('; ')}`, ...excluded.map(describeExcluded)];
+  return excludedMore > 0 ? [...text, `  excluded ${excludedMore} more`] : text;
 }
 
 function describeExcluded({ backend, zone, region, reason, by }: ExcludedBackend): string {
   const location = `zone ${zone || 'none'}, region ${region ?? 'unknown'}`;
-  const sources = by.length === 0 ? '' : ` of the ${by.join(' and the ')}`;
-  return `  kept from ${backend} (${location}): ${REASONS[reason] ?? reason}${sources}`;
+  const sources = by.length === 0 ? '' : ` by the ${by.join(' and the ')}`;
+  return `  excluded ${backend} (${location}): ${REASONS[reason] ?? reason}${sources}`;
 }
 
 function formatRegions(regions: readonly string[]): string {
