--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -10,7 +10,7 @@
 
 const isQuick = process.argv.includes('--quick');
 const shouldRecord = process.argv.includes('--record');
-const REPEATS = isQuick ? 3 : 7;
+const SAMPLES_PER_POINT = isQuick ? 3 : 7;
 const REQUESTS_PER_SAMPLE = isQuick ? 800 : 3_000;
 const AGENT_COUNTS = [8, 32, 64, 128];
 const CHUNK_COUNTS = [1, 8, 32];
@@ -36,7 +36,7 @@
   sample: (value: number) => number,
 ): Slope {
   const points = values.map((value) => {
-    const samples = Array.from({ length: REPEATS }, () => sample(value));
+    const samples = Array.from({ length: SAMPLES_PER_POINT }, () => sample(value));
     return { x: value, y: median(samples) };
   });
   const slope = { name, unit, x, points, fit: fitLine(points) };
--- a/bench/changes.ts
+++ b/bench/changes.ts
@@ -26,7 +26,10 @@
   { storeBehavior: 'refuses', faultMs: 4_000, changeAfterMs: 3_700, idleMs: 1_000 },
 ];
 
-/** The change follows the restore by 1.5 s; the backup lacks several earlier changes per second. */
+/**
+ * The change follows the restore by 2.5 s: 0.5 s until operators rewrite what the backup lacks, and
+ * then `changeAfterMs - faultMs`. The backup lacks several earlier changes per second.
+ */
 const RESTORE_SCENARIOS: readonly Scenario[] = [
   { storeBehavior: 'resets', faultMs: 1_000, changeAfterMs: 3_000, idleMs: 0, backupAgeMs: 3_000 },
   { storeBehavior: 'silent', faultMs: 3_000, changeAfterMs: 5_000, idleMs: 0, backupAgeMs: 3_000 },
--- a/bench/inflight.ts
+++ b/bench/inflight.ts
@@ -1,6 +1,6 @@
 /**
- * Prints a logged run second by second: active requests per back end, waiting requests, and the
- * outcomes of requests by reason. This shows back ends that are idle while requests are refused.
+ * Prints a logged run second by second: active requests per backend, waiting requests, and the
+ * outcomes of requests by reason. This shows backends that are idle while requests are refused.
  *
  *     npm run bench:inflight -- LOG [SERVICE]
  *
@@ -117,7 +117,7 @@
       [...totalsBySecond.values()].flatMap((totals) => [...totals.activeMsByBackend.keys()]),
     ),
   ];
-  console.log('second arrived waiting active | by back end | outcomes by reason');
+  console.log('second arrived waiting active | by backend | outcomes by reason');
   for (const second of [...totalsBySecond.keys()].sort((left, right) => left - right)) {
     const { arrived, waitMs, activeMsByBackend, outcomeCounts } = totalsBySecond.get(second)!;
     const active = backends.map((name) =>
--- a/bench/quotas.ts
+++ b/bench/quotas.ts
@@ -40,18 +40,14 @@
       durationMs: Number(options['seconds']) * 1_000,
       basePort: Number(options['port']) + (run % 10) * 10,
     });
-    const {
-      peakShare: worstShare,
-      averageShare,
-      moderateRefusedShare: calmRefused,
-      repeatedExecutions: furtherTries,
-      folder,
-    } = report;
-    failed += worstShare > 1 ? 1 : 0;
-    const shares = [worstShare, averageShare, calmRefused].map((figure) => figure.toFixed(3));
+    const { peakShare, averageShare, moderateRefusedShare, repeatedExecutions, folder } = report;
+    failed += peakShare > 1 ? 1 : 0;
+    const shares = [peakShare, averageShare, moderateRefusedShare].map((figure) =>
+      figure.toFixed(3),
+    );
     console.log(
       `${fault}, seed ${seed}: peak window ${shares[0]} of the limit, average ${shares[1]} of the rate, ` +
-        `${shares[2]} of the moderate tenant refused, ${furtherTries} repeated executions; logs in ${folder}`,
+        `${shares[2]} of the moderate tenant refused, ${repeatedExecutions} repeated executions; logs in ${folder}`,
     );
   }
 }
--- a/bench/soak.ts
+++ b/bench/soak.ts
@@ -10,7 +10,7 @@
   .option('--engines <count>', 'engines, each with its agent', '4')
   .option('--callers <count>', 'callers', '12')
   .option('--seconds <count>', 'duration of the faults, for each seed', '10')
-  .option('--no-statements', 'back ends send no statements (limits, departures, backoff)')
+  .option('--no-statements', 'backends send no statements (limits, draining, backoff)')
   .option('--copies', 'restore the store from backups of earlier states')
   .option('--port <base>', 'first port', '21000');
 program.parse();
--- a/bench/soak/change-run.ts
+++ b/bench/soak/change-run.ts
@@ -13,7 +13,7 @@
   readonly storeBehavior: StoreBehavior;
   /**
    * Duration of the store's fault, and time from its start to the configuration change, in
-   * milliseconds.
+   * milliseconds. With a backup the change comes `REWRITE_DELAY_MS` later.
    */
   readonly faultMs: number;
   readonly changeAfterMs: number;
--- a/bench/soak/loopback-proxy.ts
+++ b/bench/soak/loopback-proxy.ts
@@ -33,8 +33,8 @@
     this.server.close();
   }
 
-  /** Resets all connections and closes the port for `pauseMs`, as if the target had exited. */
-  async closeFor(pauseMs: number, host: string, port: number): Promise<void> {
+  /** Resets all connections and closes the port for `downtimeMs`, as if the target had exited. */
+  async closeFor(downtimeMs: number, host: string, port: number): Promise<void> {
     if (this.isClosed) {
       // An earlier call has closed the port and reopens it.
       return;
@@ -43,7 +43,7 @@
     const closed = new Promise((resolve) => this.server.close(resolve));
     this.resetAll();
     await closed;
-    await new Promise((resolve) => setTimeout(resolve, pauseMs));
+    await new Promise((resolve) => setTimeout(resolve, downtimeMs));
     await this.start(host, port);
     this.isClosed = false;
   }
--- a/bench/soak/quota-run.ts
+++ b/bench/soak/quota-run.ts
@@ -1,6 +1,6 @@
 /**
  * Runs gateway processes on loopback under faults, while one tenant sends far more than its quota
- * and another less, and counts the requests that back ends execute.
+ * and another less, and counts the requests that backends execute.
  */
 import { createServer, request as httpRequest, Agent } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -20,7 +20,7 @@
   | 'kill-in-turn'
   /** Each gateway is killed once, one after the other. */
   | 'kill-each-once'
-  /** Back ends execute some requests and reset the connection instead of responding. */
+  /** Backends execute some requests and reset the connection instead of responding. */
   | 'lost-answers'
   /** Gateways have no connections to each other, only to the store. */
   | 'apart';
@@ -55,7 +55,7 @@
 const OVER_FRACTION = 0.1;
 const SLACK_TOKENS = 14_000;
 const WINDOW_MS = 8_000;
-/** Maximum tokens of one tenant that back ends may execute in a window. */
+/** Maximum tokens of one tenant that backends may execute in a window. */
 const MAX_WINDOW_TOKENS =
   ((RATE_PER_S * WINDOW_MS) / 1_000 + BURST) * (1 + OVER_FRACTION) + SLACK_TOKENS;
 /** Gateway settings for the tolerance of the quota. */
--- a/bench/soak/soak-backend.ts
+++ b/bench/soak/soak-backend.ts
@@ -1,21 +1,21 @@
-/** A simulated back end for soak tests, with random faults, that records each execution. */
+/** A simulated backend for soak tests, with random faults, that records each execution. */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { RandomSource } from '../../src/random.js';
 import type { SoakStatement, StatementLog } from './soak-statements.js';
 
-/** One execution of a request at a back end. */
+/** One execution of a request at a backend. */
 export interface Execution {
   readonly requestId: string;
   readonly backendId: string;
   readonly path: string;
   readonly tenant: string | undefined;
   readonly atMs: number;
-  /** Whether the back end is cold and its link forwards without delay. */
+  /** Whether the backend is cold and its link forwards without delay. */
   readonly countsAsColdStart: boolean;
 }
 
-/** Probabilities, 0 to 1, of the faults of a back end. */
+/** Probabilities, 0 to 1, of the faults of a backend. */
 export interface BackendFaults {
   /** Refuses the request as not executed. */
   refuses: number;
@@ -29,7 +29,7 @@
 const EVENT_COUNT = 8;
 const EVENT_INTERVAL_MS = 15;
 
-/** Returns the complete response body of a request, which is the same at every back end. */
+/** Returns the complete response body of a request, which is the same at every backend. */
 export function expectedResponse(requestId: string, isStream: boolean): string {
   return isStream
     ? Array.from({ length: EVENT_COUNT }, (_none, index) => formatEvent(requestId, index + 1)).join(
@@ -42,7 +42,7 @@
   return `id: ${number}\ndata: ${requestId} ${number}\n\n`;
 }
 
-/** A simulated back end. */
+/** A simulated backend. */
 export class SoakBackend {
   readonly faults: BackendFaults = { refuses: 0, loses: 0, breaks: 0 };
   private readonly server: Server;
--- a/bench/soak/soak-faults.ts
+++ b/bench/soak/soak-faults.ts
@@ -15,7 +15,7 @@
  */
 const EVACUATION_MIN_MS = 500;
 const EVACUATION_MAX_MS = 9_000;
-/** Time from an outage to the renewed announcement of a back end, in milliseconds. */
+/** Time from an outage to the renewed announcement of a backend, in milliseconds. */
 const REANNOUNCE_DELAY_MS = 1_000;
 
 /** Injects one fault; returns its description. */
@@ -136,13 +136,13 @@
   function replaceBackend(fleet, random) {
     const index = randomInteger(random, 0, fleet.backends.length - 1);
     fleet.replaceBackend(index);
-    return `back end ${index} is replaced at its address`;
+    return `backend ${index} is replaced at its address`;
   },
   function drainBackend(fleet, random) {
     const index = randomInteger(random, 0, fleet.backends.length - 1);
     fleet.drainBackend(index);
     setTimeout(() => fleet.replaceBackend(index), DRAIN_MS);
-    return `back end ${index} is draining`;
+    return `backend ${index} is draining`;
   },
   function expireDuringOutage(fleet, random) {
     const index = randomInteger(random, 0, fleet.backends.length - 1);
@@ -152,14 +152,14 @@
     fleet.expireAnnouncement(index);
     setTimeout(() => (fleet.store.behavior = 'answers'), durationMs);
     setTimeout(() => fleet.announce(index, 'ready'), durationMs + REANNOUNCE_DELAY_MS);
-    return `announcement of back end ${index} expires during a store outage of ${durationMs} ms`;
+    return `announcement of backend ${index} expires during a store outage of ${durationMs} ms`;
   },
   function evacuateZone(fleet, random) {
     const index = randomInteger(random, 0, fleet.backends.length - 1);
     const durationMs = randomInteger(random, EVACUATION_MIN_MS, EVACUATION_MAX_MS);
     const evacuation = fleet.evacuate(index);
     setTimeout(() => fleet.endEvacuation(evacuation), durationMs).unref();
-    return `zone of back end ${index} is evacuated for ${durationMs} ms`;
+    return `zone of backend ${index} is evacuated for ${durationMs} ms`;
   },
   function changeConfiguration(fleet) {
     fleet.changeConfiguration();
@@ -198,7 +198,7 @@
 }
 
 /**
- * Restores the store from a backup, after which operators and back ends soon rewrite what the
+ * Restores the store from a backup, after which operators and backends soon rewrite what the
  * backup lacks; returns a description.
  */
 export function restoreStoreFromBackup(fleet: SoakFleet, random: RandomSource): string {
--- a/bench/soak/soak-fleet.ts
+++ b/bench/soak/soak-fleet.ts
@@ -1,5 +1,5 @@
 /**
- * A fleet of gateway and agent processes on loopback, with a fake store and simulated back ends.
+ * A fleet of gateway and agent processes on loopback, with a fake store and simulated backends.
  */
 import { spawn } from 'node:child_process';
 import type { ChildProcess } from 'node:child_process';
@@ -39,11 +39,12 @@
 const COLD_PER_S = 14;
 const COLD_OVER_FACTOR = 1.5;
 const COLD_SLACK = 5;
-/** Maximum requests per second, from all gateways together, at a cold back end. */
+/** Maximum requests per second, from all gateways together, at a cold backend. */
 export const SOAK_MAX_COLD_STARTS = COLD_PER_S * COLD_OVER_FACTOR + COLD_SLACK;
 
 const PROGRAM = 'target/weirvale.cjs';
 const STOP_GRACE_S = 4;
+/** Port offsets; `backend` is the proxy that forwards to `real`, the backend's own port. */
 const PORTS = { callers: 1, readiness: 2, peers: 3, storeProxy: 4, agent: 5, backend: 6, real: 7 };
 
 /** A process that can be signalled and restarts after it exits. */
@@ -85,12 +86,12 @@
   }
 }
 
-/** Downtime of a back end that restarts under its name, in milliseconds. */
+/** Downtime of a backend that restarts under its name, in milliseconds. */
 const RESTART_DOWNTIME_MS = 700;
 
-/** An evacuation of a back end's zone. */
+/** An evacuation of a backend's zone. */
 export interface SoakEvacuation {
-  /** Index of the back end whose zone is evacuated. */
+  /** Index of the backend whose zone is evacuated. */
   readonly index: number;
   readonly fromMs: number;
   /** Infinity while the evacuation is active. */
@@ -106,9 +107,9 @@
   readonly backendProxies: LoopbackProxy[] = [];
   readonly backends: SoakBackend[] = [];
   readonly folder = mkdtempSync(join(tmpdir(), 'weirvale-soak-'));
-  /** Time at which back ends announced that they are draining, by id. */
+  /** Time at which backends announced that they are draining, by id. */
   readonly drainingSinceMs = new Map<string, number>();
-  /** Changes of the allowed regions of the `moved` route, oldest first. */
+  /** Changes of the allowed regions of `CHANGING_REGION_ROUTE`, oldest first. */
   readonly regionChanges: RegionChange[] = [];
   readonly evacuations: SoakEvacuation[] = [];
   /** Configurations that were written, oldest first. */
@@ -196,7 +197,7 @@
           allowedRegions: FIXED_REGION_ROUTE.regions,
         },
         { ...route(CHANGING_REGION_ROUTE, 'safe', false), allowedRegions: regions },
-        // Its service has no back end: a response shows whether the route is known, at no load.
+        // Its service has no backend: a response shows whether the route is known, at no load.
         {
           ...route('asked', 'safe', false),
           pathPrefix: routePrefix(version),
@@ -218,7 +219,7 @@
     });
   }
 
-  /** Writes the announcement of a back end to the store. */
+  /** Writes the announcement of a backend to the store. */
   announce(index: number, state: 'ready' | 'draining'): void {
     const address = `${backendHost(index)}:${this.basePort + PORTS.backend}`;
     const { id, bornAtMs, coldUntilMs } = this.backends[index]!;
@@ -228,13 +229,13 @@
     this.store.announce(id, { address, ...fields, born: bornAtMs });
   }
 
-  /** Announces that a back end is draining; requests sent to it after the bound are violations. */
+  /** Announces that a backend is draining; requests sent to it after the bound are violations. */
   drainBackend(index: number): void {
     this.drainingSinceMs.set(this.backends[index]!.id, performance.now());
     this.announce(index, 'draining');
   }
 
-  /** Evacuates a back end's zone; requests sent there after the bound are violations. */
+  /** Evacuates a backend's zone; requests sent there after the bound are violations. */
   evacuate(index: number): SoakEvacuation {
     const evacuation = { index, fromMs: performance.now(), untilMs: Infinity };
     this.evacuations.push(evacuation);
@@ -252,20 +253,20 @@
     }
   }
 
-  /** Removes the announcement of a running back end, as if its lease had expired. */
+  /** Removes the announcement of a running backend, as if its lease had expired. */
   expireAnnouncement(index: number): void {
     this.store.remove(`servers/${this.backends[index]!.id}`);
   }
 
-  /** Returns the region of a back end, also for an earlier incarnation. */
+  /** Returns the region of a backend, also for an earlier incarnation. */
   regionOfBackend(id: string): string {
     return SOAK_REGIONS[zoneOf(Number(/^e-(\d+)/.exec(id)![1]))]!;
   }
 
   /**
-   * Starts another incarnation at a back end's address, every other time under the same name. With
+   * Starts another incarnation at a backend's address, every other time under the same name. With
    * the same name it simulates a restart, so the port is closed for a while first; with another
-   * name the back end refuses requests for the previous one as misdirected.
+   * name the backend refuses requests for the previous one as misdirected.
    */
   replaceBackend(index: number): void {
     const backend = this.backends[index]!;
--- a/bench/soak/soak-regions.ts
+++ b/bench/soak/soak-regions.ts
@@ -18,11 +18,11 @@
 const REGION_LISTS = [['a'], ['b'], ['a', 'b']] as const;
 /**
  * Time after a change in which requests may still follow the previous regions, in milliseconds; the
- * same bound as for draining back ends.
+ * same bound as for draining backends.
  */
 const REGION_CHANGE_BOUND_MS = 2_200;
 
-/** Returns the zone of a process or back end by its index. */
+/** Returns the zone of a process or backend by its index. */
 export function zoneOf(index: number): string {
   return SOAK_ZONES[index % SOAK_ZONES.length]!;
 }
@@ -71,6 +71,6 @@
     .filter((execution) => !isAllowed(execution))
     .map(({ requestId, backendId, path }) => {
       const region = regionOf(backendId);
-      return `${requestId} (${path}) ran at ${backendId} in region ${region}, which is no home of it`;
+      return `${requestId} (${path}) ran at ${backendId} in region ${region}, which is not an allowed region`;
     });
 }
--- a/bench/soak/soak-routes.ts
+++ b/bench/soak/soak-routes.ts
@@ -34,7 +34,7 @@
 const CHANGE_INTERVAL_MS = 1_700;
 const CHECK_INTERVAL_MS = 250;
 const NOT_FOUND = 404;
-/** Refusal reason on a configured route without back ends. */
+/** Refusal reason on a configured route without backends. */
 const KNOWN_ROUTE_REASON = 'no-backend';
 
 /** Returns the path prefix of the route that a version adds. */
--- a/bench/soak/soak-run.ts
+++ b/bench/soak/soak-run.ts
@@ -1,6 +1,6 @@
 /**
  * A soak test: callers send requests while faults are injected, and the guarantees are checked from
- * the observations of callers and back ends.
+ * the observations of callers and backends.
  */
 import { Agent, request } from 'node:http';
 import { request as readinessOf } from 'undici';
@@ -23,7 +23,7 @@
   /** Duration of the faults, in milliseconds. */
   readonly faultsMs: number;
   readonly basePort: number;
-  /** Whether back ends send statements (limits, departures, backoff). Default true. */
+  /** Whether backends send statements (limits, draining, backoff). Default true. */
   readonly sendsStatements?: boolean;
   /** Whether the store is restored from backups. Default false. */
   readonly restoresBackups?: boolean;
@@ -54,7 +54,7 @@
   body: string;
 }
 
-/** Interval between statements of back ends, in milliseconds. */
+/** Interval between statements of backends, in milliseconds. */
 const STATEMENT_INTERVAL_MS = 2_500;
 /** Interval between restores of the store, in milliseconds. */
 const RESTORE_INTERVAL_MS = 3_500;
@@ -62,7 +62,7 @@
 const FAULT_FREE_MS = 1_500;
 const MIN_FAULT_FREE_SUCCESS = 0.95;
 const OVERDUE_TOLERANCE_MS = 700;
-/** Time after a back end announces draining in which requests may still arrive, in milliseconds. */
+/** Time after a backend announces draining in which requests may still arrive, in milliseconds. */
 const DRAIN_BOUND_MS = 2_200;
 /** Time after an evacuation in which requests may still arrive, in milliseconds. */
 const EVACUATION_BOUND_MS = 2_200;
@@ -127,7 +127,7 @@
     ...findViolations(observed, executions, faultFreeFromMs, (sent) =>
       isServable(sent, fleet.regionChanges, fleet.evacuations),
     ),
-    ...findSentToLeaving(executions, fleet.drainingSinceMs, isUndisruptedSince),
+    ...findSentToDraining(executions, fleet.drainingSinceMs, isUndisruptedSince),
     ...findOutsideRegions(
       executions,
       fleet.regionChanges,
@@ -261,8 +261,8 @@
   return Number(/^c(\d+)-/.exec(requestId)![1]) % gateways;
 }
 
-/** Reports requests that a back end executed later than the bound after it announced draining. */
-export function findSentToLeaving(
+/** Reports requests that a backend executed later than the bound after it announced draining. */
+export function findSentToDraining(
   executions: readonly Execution[],
   drainingSinceMs: ReadonlyMap<string, number>,
   isUndisruptedSince: (requestId: string, sinceMs: number) => boolean,
@@ -300,7 +300,7 @@
     );
 }
 
-/** Reports cold back ends that executed more requests per second than `SOAK_MAX_COLD_STARTS`. */
+/** Reports cold backends that executed more requests per second than `SOAK_MAX_COLD_STARTS`. */
 export function findColdOverloads(executions: readonly Execution[]): string[] {
   const startTimesByBackend = new Map<string, number[]>();
   for (const { backendId, atMs, countsAsColdStart } of executions) {
@@ -320,7 +320,7 @@
   return times.filter((atMs) => atMs >= fromMs && atMs < fromMs + COLD_WINDOW_MS).length;
 }
 
-/** Reports violated guarantees, from the observations of callers and back ends. */
+/** Reports violated guarantees, from the observations of callers and backends. */
 export function findViolations(
   observed: readonly ObservedRequest[],
   executions: readonly Execution[],
@@ -353,13 +353,13 @@
 function checkRequest(sent: ObservedRequest, executions: readonly Execution[]): string[] {
   const violations: string[] = [];
   if (sent.kind === 'unsafe' && executions.length > 1) {
-    violations.push(`${sent.id} may not be repeated and ran ${executions.length} times`);
+    violations.push(`${sent.id} must not be retried but ran ${executions.length} times`);
   }
   if (sent.kind === 'unsafe' && NOT_EXECUTED_STATUSES.has(sent.status) && executions.length > 0) {
-    violations.push(`${sent.id} was told ${sent.status} and ran`);
+    violations.push(`${sent.id} received ${sent.status} but ran`);
   }
   if (sent.status === 200 && sent.body !== expectedResponse(sent.id, sent.kind === 'stream')) {
-    violations.push(`${sent.id} was answered with a body that is not its own or not complete`);
+    violations.push(`${sent.id} received a body that is not its own or not complete`);
   }
   if (executions.some(({ tenant }) => tenant !== 'shop')) {
     violations.push(`${sent.id} ran under another tenant`);
--- a/bench/soak/soak-statements.ts
+++ b/bench/soak/soak-statements.ts
@@ -1,18 +1,18 @@
 /**
- * Statements of simulated back ends in response headers, and checks that gateways follow them: a
- * limit on requests per second, a planned departure, or a backoff (`rest`, sent as Retry-After).
+ * Statements of simulated backends in response headers, and checks that gateways follow them: a
+ * limit on requests per second, draining (`leaving`), or a backoff (`rest`, sent as Retry-After).
  */
 import { randomInteger } from '../../src/random.js';
 import type { RandomSource } from '../../src/random.js';
 import type { SoakFleet } from './soak-fleet.js';
 
-/** The statement in a back end's responses. */
+/** The statement in a backend's responses. */
 export type SoakStatement =
   | { readonly kind: 'limit'; readonly perS: number }
   | { readonly kind: 'leaving' }
   | { readonly kind: 'rest'; readonly untilMs: number };
 
-/** The arrival of a request at a back end. */
+/** The arrival of a request at a backend. */
 export interface SoakArrival {
   readonly requestId: string;
   readonly atMs: number;
@@ -23,7 +23,7 @@
   readonly statement: SoakStatement;
 }
 
-/** Arrivals and sent statements of one incarnation of a back end. */
+/** Arrivals and sent statements of one incarnation of a backend. */
 export interface StatementLog {
   readonly arrivals: SoakArrival[];
   readonly statements: SentStatement[];
@@ -43,75 +43,75 @@
 const LIMITS = [1, 3, 6];
 const LIMIT_DURATION_MS = 7_000;
 const BACKOFF_DURATION_MS = 1_500;
-const LEAVE_DURATION_MS = 4_000;
+const DRAIN_DURATION_MS = 4_000;
 const LIMIT_EFFECTIVE_MS = 3_000;
 const LIMIT_WINDOW_MS = 4_000;
 const LIMIT_OVER_FACTOR = 1.5;
 const LIMIT_SLACK = 5;
-const LEAVING_EFFECTIVE_MS = 2_200;
+const DRAIN_EFFECTIVE_MS = 2_200;
 const STATEMENT_EFFECTIVE_MS = 500;
 const MAX_DURING_BACKOFF = 2;
 
-/** Lets a random back end send a statement for a while; returns a description. */
+/** Lets a random backend send a statement for a while; returns a description. */
 export function startStatement(fleet: SoakFleet, random: RandomSource): string {
   const index = randomInteger(random, 0, fleet.backends.length - 1);
   const backend = fleet.backends[index]!;
   const kind = (['limit', 'leaving', 'rest'] as const)[randomInteger(random, 0, 2)]!;
   if (backend.statement !== undefined) {
-    return `back end ${index} already sends a statement`;
+    return `backend ${index} already sends a statement`;
   }
   const end = () => (backend.statement = undefined);
   if (kind === 'limit') {
     const perS = LIMITS[randomInteger(random, 0, LIMITS.length - 1)]!;
     backend.statement = { kind, perS };
     setTimeout(end, LIMIT_DURATION_MS).unref();
-    return `back end ${index} states a limit of ${perS} requests/s`;
+    return `backend ${index} states a limit of ${perS} requests/s`;
   }
   if (kind === 'rest') {
     backend.statement = { kind, untilMs: performance.now() + BACKOFF_DURATION_MS };
     setTimeout(end, BACKOFF_DURATION_MS).unref();
-    return `back end ${index} requests backoff`;
+    return `backend ${index} requests a backoff`;
   }
   backend.statement = { kind };
-  const leave = () => {
+  const endAndReplace = () => {
     end();
     fleet.replaceBackend(index);
   };
-  setTimeout(leave, LEAVE_DURATION_MS).unref();
-  return `back end ${index} states that it is leaving, in responses only`;
+  setTimeout(endAndReplace, DRAIN_DURATION_MS).unref();
+  return `backend ${index} states that it is draining, in responses only`;
 }
 
-/** Reports statements that gateways did not follow, for one incarnation of a back end. */
+/** Reports statements that gateways did not follow, for one incarnation of a backend. */
 export function findIgnoredStatements(
   backendId: string,
   log: StatementLog,
   context: StatementCheckContext,
 ): string[] {
   return [
-    ...findSentToLeaving(backendId, log, context),
+    ...findSentToDraining(backendId, log, context),
     ...findSentDuringBackoff(backendId, log, context),
     ...findOverLimit(backendId, log, context),
   ];
 }
 
 /**
- * Reports requests sent too long after their gateway learned from a statement that the back end is
- * leaving.
+ * Reports requests sent too long after their gateway learned from a statement that the backend is
+ * draining.
  */
-function findSentToLeaving(
+function findSentToDraining(
   backendId: string,
   { arrivals, statements }: StatementLog,
   context: StatementCheckContext,
 ): string[] {
-  const leavingStatements = statements.filter(({ statement }) => statement.kind === 'leaving');
+  const drainStatements = statements.filter(({ statement }) => statement.kind === 'leaving');
   return arrivals.flatMap(({ requestId }) => {
-    const firstAtMs = firstStatementTo(leavingStatements, requestId, context);
+    const firstAtMs = firstStatementTo(drainStatements, requestId, context);
     const lateMs = context.sentAtMs(requestId) - (firstAtMs ?? Infinity);
     return firstAtMs !== undefined &&
-      lateMs > LEAVING_EFFECTIVE_MS &&
+      lateMs > DRAIN_EFFECTIVE_MS &&
       context.isUndisruptedSince(requestId, firstAtMs)
       ? [
-          `${requestId} reached ${backendId} ${Math.round(lateMs)} ms after its answer said that it leaves`,
+          `${requestId} reached ${backendId} ${Math.round(lateMs)} ms after its response stated that it is draining`,
         ]
       : [];
   });
--- a/bench/soak/statement-run.ts
+++ b/bench/soak/statement-run.ts
@@ -1,6 +1,6 @@
 /**
- * Runs gateway processes on loopback while some back ends send statements in their responses (a
- * limit, a planned departure, a backoff) or fail every request, and counts what those back ends
+ * Runs gateway processes on loopback while some backends send statements in their responses (a
+ * limit, draining, a backoff) or fail every request, and counts what those backends
  * receive.
  */
 import { createServer, request as httpRequest, Agent } from 'node:http';
@@ -10,11 +10,11 @@
 import { FakeStore } from '../../test/support/fake-platform.js';
 import { GatewayProcesses } from './gateway-processes.js';
 
-/** How faulty back ends respond to requests. */
+/** How faulty backends respond to requests. */
 export type BackendFault =
   /** Serves requests and states a limit. */
   | 'limit'
-  /** Serves requests and states that it is leaving, which its announcement does not show. */
+  /** Serves requests and states that it is draining, which its announcement does not show. */
   | 'leaving'
   /** Refuses all requests at once with Retry-After. */
   | 'rest'
@@ -29,16 +29,16 @@
 export interface StatementRunOptions {
   readonly fault: BackendFault;
   readonly gateways: number;
-  /** Whether each back end is an engine with a slot agent. */
+  /** Whether each backend is an engine with a slot agent. */
   readonly hasAgents: boolean;
-  /** Number of faulty back ends, out of `BACKEND_COUNT`. */
+  /** Number of faulty backends, out of `BACKEND_COUNT`. */
   readonly faultyCount: number;
   readonly limitPerS?: number;
   /** Requests per second from all callers. Default 100. */
   readonly requestsPerS?: number;
   /** Whether gateways are killed in turn, one every half second. */
   readonly killsGateways?: boolean;
-  /** Time after which the back ends recover, in milliseconds; undefined if they do not. */
+  /** Time after which the backends recover, in milliseconds; undefined if they do not. */
   readonly recoverAfterMs?: number;
   readonly seed: number;
   /** Duration of the fault, in milliseconds. */
@@ -50,27 +50,28 @@
 /** Results of a run. */
 export interface StatementRunReport {
   /**
-   * Peak requests in a window at a back end with a limit, from gateways that had received the
+   * Peak requests in a window at a backend with a limit, from gateways that had received the
    * limit.
    */
   readonly limitWorst: number;
   readonly limitAllowed: number;
-  /** Request rate at a back end once its limit is effective, as a fraction of the limit. */
+  /** Request rate at a backend once its limit is effective, as a fraction of the limit. */
   readonly limitUsed: number;
   /**
-   * Requests that reached a leaving back end too long after its statement reached their gateway.
+   * Requests that reached a draining backend and that callers sent too long after its statement had
+   * reached their gateway.
    */
   readonly lateToLeaving: number;
   /** Peak requests from one gateway during a backoff that it had received. */
   readonly restWorst: number;
   /** Fraction of requests that were served during the fault. */
   readonly served: number;
-  /** Requests per second at the faulty back ends after their recovery. */
+  /** Requests per second at the faulty backends after their recovery. */
   readonly wellPerS: number;
   readonly folder: string;
 }
 
-/** Number of back ends of a fleet. */
+/** Number of backends of a fleet. */
 export const BACKEND_COUNT = 6;
 const SLOTS = 8;
 const SERVICE_MS = 90;
@@ -80,8 +81,8 @@
 const LIMIT_WINDOW_MS = 4_000;
 const LIMIT_OVER_FACTOR = 1.5;
 const LIMIT_SLACK = 5;
-/** Time until a gateway stops sending to a leaving back end, in milliseconds. */
-const LEAVING_EFFECTIVE_MS = 2_000;
+/** Time until a gateway stops sending to a draining backend, in milliseconds. */
+const DRAIN_EFFECTIVE_MS = 2_000;
 /** Time until a gateway follows a limit or a backoff, in milliseconds. */
 const STATEMENT_EFFECTIVE_MS = 500;
 const SETTLE_MS = 4_000;
@@ -403,7 +404,7 @@
         Math.min(
           ...faulty.map((backend) => rateUnderLimit(backend, Math.min(untilMs, recoveredFromMs))),
         ) / limitPerS,
-      lateToLeaving: faulty.reduce((sum, backend) => sum + countLateToLeaving(backend), 0),
+      lateToLeaving: faulty.reduce((sum, backend) => sum + countLateToDraining(backend), 0),
       restWorst: Math.max(0, ...faulty.map(maxDuringBackoff)),
       served: duringFault.filter(({ status }) => status === 200).length / duringFault.length,
       wellPerS: (afterRecovery.length / (untilMs - recoveredFromMs)) * MS_PER_S,
@@ -413,7 +414,7 @@
 }
 
 /**
- * Returns the peak arrivals in a window at a back end, from gateways that had received its limit.
+ * Returns the peak arrivals in a window at a backend, from gateways that had received its limit.
  */
 function maxInLimitWindow(faulty: FaultyBackend, untilMs: number): number {
   const effectiveFromMs = faulty.firstStatementAtMs + LIMIT_EFFECTIVE_MS;
@@ -434,10 +435,10 @@
   return (counted.length / (untilMs - fromMs)) * MS_PER_S;
 }
 
-function countLateToLeaving(faulty: FaultyBackend): number {
+function countLateToDraining(faulty: FaultyBackend): number {
   return faulty.arrivals.filter(
     ({ gateway, sentAtMs }) =>
-      sentAtMs > (faulty.statementAtMsByGateway.get(gateway) ?? Infinity) + LEAVING_EFFECTIVE_MS,
+      sentAtMs > (faulty.statementAtMsByGateway.get(gateway) ?? Infinity) + DRAIN_EFFECTIVE_MS,
   ).length;
 }
 
--- a/bench/statements.ts
+++ b/bench/statements.ts
@@ -1,5 +1,5 @@
 /**
- * Checks how gateways follow the statements (limits, departures, backoff) in back ends' responses,
+ * Checks how gateways follow the statements (limits, draining, backoff) in backends' responses,
  * then exits: `node dist/bench/statements.js --troubles limit`.
  */
 import { Command } from 'commander';
@@ -9,19 +9,19 @@
 const ALL_FAULTS: readonly BackendFault[] = ['limit', 'leaving', 'rest', 'shed', 'error', 'reset'];
 
 const program = new Command('statements')
-  .description('checks how gateway processes on loopback follow the statements of back ends')
+  .description('checks how gateway processes on loopback follow the statements of backends')
   .option(
     '--troubles <list>',
-    `comma-separated faults of back ends: ${ALL_FAULTS.join(', ')}`,
+    `comma-separated faults of backends: ${ALL_FAULTS.join(', ')}`,
     ALL_FAULTS.join(','),
   )
   .option('--gateways <count>', 'gateways', '3')
-  .option('--agents', 'run a slot agent next to each back end')
-  .option('--troubled <count>', 'faulty back ends, out of six', '1')
+  .option('--agents', 'run a slot agent next to each backend')
+  .option('--troubled <count>', 'faulty backends, out of six', '1')
   .option('--limit <perS>', 'stated limit, in requests per second', '2.4')
   .option('--load <perS>', 'requests per second', '100')
   .option('--kills', 'kill the gateways in turn')
-  .option('--well <seconds>', 'time after which the back ends recover')
+  .option('--well <seconds>', 'time after which the backends recover')
   .option('--runs <count>', 'runs of each fault', '1')
   .option('--from <seed>', 'first seed', '1')
   .option('--seconds <count>', 'duration of the fault', '12')
--- a/src/cli/context.ts
+++ b/src/cli/context.ts
@@ -88,13 +88,13 @@
 export function toCommandError(error: PolicyChangeError): CommandError {
   switch (error.code) {
     case 'policy-conflict': {
-      const theirs =
+      const stored =
         error.storedEntry === undefined ? 'removed\n' : formatEntry(error.entry, error.storedEntry);
-      const yours =
+      const requested =
         error.requestedEntry === undefined
           ? 'removed\n'
           : formatEntry(error.entry, error.requestedEntry);
-      const message = `${error.message}\n--- active\n${theirs}--- yours\n${yours}`;
+      const message = `${error.message}\n--- active\n${stored}--- yours\n${requested}`;
       return new CommandError(EXIT.conflict, message);
     }
     case 'invalid-policy': {
--- a/src/cli/queries/explain-crashes.ts
+++ b/src/cli/queries/explain-crashes.ts
@@ -12,8 +12,8 @@
 const REFUSED_FOR_CRASHES = 'crashes-back-ends';
 
 /**
- * Returns one line for each earlier run of the same request, at any gateway, that crashed a
- * backend; empty if the request was refused for another reason.
+ * Returns one line for each backend crash, at any gateway, by an earlier run of a request with the
+ * same fingerprint; empty if the request was refused for another reason.
  */
 export function explainCrashes(end: CrashLogLine, lines: readonly CrashLogLine[]): string[] {
   if (end['reason'] !== REFUSED_FOR_CRASHES) {
--- a/src/cli/queries/explain-logs.ts
+++ b/src/cli/queries/explain-logs.ts
@@ -41,7 +41,7 @@
 
 const EVACUATION_EVENT = 'zone-evacuation';
 const CONDITION_EVENT = 'backend-condition';
-/** Logged when the store was restored from a backup, and once owners had time to rewrite records. */
+/** Logged when the store was restored from a backup, and when its owners had time to rewrite. */
 const EPOCH_EVENTS: readonly string[] = ['store-epoch', 'store-epoch-settled'];
 
 /** Events that change the gateway's state and can explain how a request was handled. */
@@ -66,7 +66,10 @@
   'agent-lost',
   'peer-gone',
 ]);
-/** How far before the request's end state changes are included, in milliseconds. */
+/**
+ * State changes are included from this long before the request's end, or from its arrival if that
+ * is earlier, in milliseconds.
+ */
 const STATE_CHANGE_WINDOW_MS = 5_000;
 
 const REASONS: Readonly<Record<string, string>> = {
--- a/src/cli/queries/run-simulation.ts
+++ b/src/cli/queries/run-simulation.ts
@@ -85,7 +85,7 @@
   printOutput(
     options,
     summary,
-    `${results.length} seeds, ${virtualHours.toFixed(2)} virtual hours, ${attempts} requests, ${failed === undefined ? 'no violation' : `seed ${failed.seed} fails a check`}`,
+    `${results.length} seeds, ${virtualHours.toFixed(2)} virtual hours, ${attempts} attempts, ${failed === undefined ? 'no violation' : `seed ${failed.seed} fails a check`}`,
   );
   if (failed !== undefined) {
     await reportFailedSeed(options, parseSeedRun(options, failed.seed), failed);
@@ -116,7 +116,7 @@
   faults: readonly Fault[],
 ): void {
   const lines = [
-    `${run.deployment} seed ${run.seed}: ${result.attemptCount} requests, digest ${result.digest}`,
+    `${run.deployment} seed ${run.seed}: ${result.attemptCount} attempts, digest ${result.digest}`,
     ...faults.map(describeFault),
     describeViolations(result),
   ];
--- a/src/demo/demo-caller.ts
+++ b/src/demo/demo-caller.ts
@@ -9,7 +9,7 @@
   readonly className: string;
   readonly id: string;
   readonly kind: 'answered' | 'refused' | 'connection-lost' | 'wrong-answer';
-  /** Error type of a refusal, and whether it says that the request was run; empty otherwise. */
+  /** Error type of a refusal, and its `ran` field on whether the request ran; empty otherwise. */
   readonly reason: string;
   readonly ran: string;
   readonly engine: string;
--- a/src/demo/demo-report.ts
+++ b/src/demo/demo-report.ts
@@ -17,7 +17,7 @@
 /** Fetches the records of a stand-in backend. */
 export async function fetchBackendRecords(backend: FleetProcess): Promise<BackendRecords> {
   const response = await request(`http://127.0.0.1:${backend.port}/handed`);
-  const account = (await response.body.json()) as {
+  const body = (await response.body.json()) as {
     handed: Array<{ id: string }>;
     keysRun?: string[];
     wastedPrefillTokens?: number;
@@ -26,25 +26,26 @@
   return {
     name: backend.name,
     place: backend.place,
-    ids: account.handed.map((handed) => handed.id),
-    keysRun: account.keysRun ?? [],
-    wastedPrefillTokens: account.wastedPrefillTokens ?? 0,
-    prefilledTokens: account.prefilledTokens ?? 0,
+    ids: body.handed.map((handed) => handed.id),
+    keysRun: body.keysRun ?? [],
+    wastedPrefillTokens: body.wastedPrefillTokens ?? 0,
+    prefilledTokens: body.prefilledTokens ?? 0,
   };
 }
 
 /**
- * Finds violations of guarantees in the callers' outcomes and the backends' records: repeated
- * dispatch, wrong or lost responses, and runs in a place that the policy does not permit.
+ * Finds violations of guarantees in the callers' outcomes and the backends' records: requests that
+ * were dispatched or run more often than permitted, wrong or lost responses, requests that ran
+ * although the refusal stated the opposite, and runs in a place that the policy does not permit.
  */
 export function findViolations(
   workload: readonly WorkloadClass[],
   outcomes: readonly CallerOutcome[],
-  accounts: readonly BackendRecords[],
+  records: readonly BackendRecords[],
   isKillExpected: boolean,
 ): string[] {
   const violations: string[] = [];
-  const placesById = groupPlacesByRequest(accounts);
+  const placesById = groupPlacesByRequest(records);
   for (const [id, places] of placesById) {
     if (places.length > 1) {
       violations.push(`${id} was dispatched ${places.length} times`);
@@ -68,7 +69,7 @@
       );
     }
   }
-  const keys = accounts.flatMap((account) => account.keysRun);
+  const keys = records.flatMap((record) => record.keysRun);
   if (new Set(keys).size < keys.length) {
     violations.push('a non-repeatable operation ran twice');
   }
@@ -79,15 +80,15 @@
 export function formatReport(
   workload: readonly WorkloadClass[],
   outcomes: readonly CallerOutcome[],
-  accounts: readonly BackendRecords[],
+  records: readonly BackendRecords[],
 ): string {
-  const placesById = groupPlacesByRequest(accounts);
+  const placesById = groupPlacesByRequest(records);
   const lines = [
     formatRow('class', 'sent', 'in time', 'late', 'refused', 'lost', 'median ms', 'ran in'),
     ...workload.map((requestClass) => formatClass(requestClass, outcomes, placesById)),
     '',
     `refusals by reason: ${formatCounts(outcomes.map((outcome) => outcome.reason))}`,
-    formatPrefill(accounts),
+    formatPrefill(records),
   ];
   return lines.join('\n');
 }
@@ -119,9 +120,9 @@
   );
 }
 
-function formatPrefill(accounts: readonly BackendRecords[]): string {
-  const wasted = accounts.reduce((sum, account) => sum + account.wastedPrefillTokens, 0);
-  const all = accounts.reduce((sum, account) => sum + account.prefilledTokens, 0);
+function formatPrefill(records: readonly BackendRecords[]): string {
+  const wasted = records.reduce((sum, record) => sum + record.wastedPrefillTokens, 0);
+  const all = records.reduce((sum, record) => sum + record.prefilledTokens, 0);
   return `wasted prefill: ${wasted} of ${all} tokens`;
 }
 
@@ -137,11 +138,11 @@
   return text === '' ? 'none' : text;
 }
 
-function groupPlacesByRequest(accounts: readonly BackendRecords[]): Map<string, string[]> {
+function groupPlacesByRequest(records: readonly BackendRecords[]): Map<string, string[]> {
   const placesById = new Map<string, string[]>();
-  for (const account of accounts) {
-    for (const id of account.ids) {
-      placesById.set(id, [...(placesById.get(id) ?? []), account.place]);
+  for (const record of records) {
+    for (const id of record.ids) {
+      placesById.set(id, [...(placesById.get(id) ?? []), record.place]);
     }
   }
   return placesById;
--- a/src/experiment/outcome-totals.ts
+++ b/src/experiment/outcome-totals.ts
@@ -25,7 +25,7 @@
   heldMs: number;
   /**
    * Value of all requests if served on time, and the net value: the value earned minus the costs of
-   * waiting in vain and of repeated refusals.
+   * waiting without being served and of refusals after the first.
    */
   worthAsked: number;
   worth: number;
@@ -49,14 +49,14 @@
 /** Returns the value that one request earned minus its costs. */
 export function netValueOf(outcome: CallerOutcome): number {
   const { route, isServed, isInTime, refusals, heldMs, hasDisconnected } = outcome;
-  const repeatCost = Math.max(0, refusals - 1) * REPEATED_REFUSAL_COST_SHARE * route.value;
+  const refusalCost = Math.max(0, refusals - 1) * REPEATED_REFUSAL_COST_SHARE * route.value;
   if (isServed) {
-    return (isInTime ? route.value : route.lateValue) - repeatCost;
+    return (isInTime ? route.value : route.lateValue) - refusalCost;
   }
   const waitCostShare = hasDisconnected
     ? 1
     : Math.min(1, heldMs / (route.deadlineMs * FULL_COST_SHARE));
-  return -repeatCost - waitCostShare * route.value;
+  return -refusalCost - waitCostShare * route.value;
 }
 
 /** Adds one request to `totals`. */
--- a/src/experiment/simulated-agent.ts
+++ b/src/experiment/simulated-agent.ts
@@ -35,17 +35,17 @@
     gatewayTimeouts?: GatewayTimeoutOptions,
   ) {
     const {
-      fastProbeIntervalMs: reportMs,
-      heartbeatIntervalMs: beatMs,
-      keepaliveCheckIntervalMs: silenceCheckMs,
-      stateBatchDelayMs: tellMs,
+      fastProbeIntervalMs,
+      heartbeatIntervalMs,
+      keepaliveCheckIntervalMs,
+      stateBatchDelayMs,
     } = DEFAULT_SLOT_AGENT_OPTIONS;
     this.allocator = new SlotAllocator(
       {
         send: (connection, message) => this.send(connection, message),
         onGranted: () => undefined,
         onChangesPending: () =>
-          clock.setTimeout(() => this.allocator.sendChanges(clock.now()), tellMs),
+          clock.setTimeout(() => this.allocator.sendChanges(clock.now()), stateBatchDelayMs),
         onReconciled: () => undefined,
         onProbeNeeded: () => clock.setTimeout(() => this.probeIfNeeded(), PROBE_MS),
         onAvailability: () => undefined,
@@ -57,9 +57,11 @@
       },
       gatewayTimeouts,
     );
-    this.runPeriodically(silenceCheckMs, () => this.closeTimedOut());
-    this.runPeriodically(reportMs, () => this.probeIfNeeded());
-    this.runPeriodically(beatMs, () => this.allocator.sendHeartbeat(beatMs, this.clock.now()));
+    this.runPeriodically(keepaliveCheckIntervalMs, () => this.closeTimedOut());
+    this.runPeriodically(fastProbeIntervalMs, () => this.probeIfNeeded());
+    this.runPeriodically(heartbeatIntervalMs, () =>
+      this.allocator.sendHeartbeat(heartbeatIntervalMs, this.clock.now()),
+    );
   }
 
   /** Opens a connection from a gateway; returns the function that sends messages to the agent. */
--- a/src/experiment/simulated-caller.ts
+++ b/src/experiment/simulated-caller.ts
@@ -45,7 +45,7 @@
 const MAX_ATTEMPTS = 2;
 /** Callers cap the retry delay at this share of the time left until their deadline. */
 const MAX_RETRY_DELAY_SHARE = 1 / 3;
-const HTTP_ERROR = 400;
+const FIRST_ERROR_STATUS = 400;
 const DEFAULT_RETRY_DELAY_MS = 100;
 /**
  * Callers disconnect if no response starts within the longest of these: a minimum, and multiples of
@@ -78,7 +78,7 @@
     ports.clock.setTimeout(() => this.finish(false, false), parameters.deadlineMs);
   }
 
-  /** Sends the request, or retries it, through some running gateway. */
+  /** Sends the request, or retries it, through a running gateway; fails without one. */
   sendAttempt(): void {
     const { clock } = this.ports;
     const gateway = this.ports.pickGateway();
@@ -174,7 +174,7 @@
     }
     const { clock, random } = this.ports;
     const nowMs = clock.now();
-    if (response !== undefined && response.isComplete && response.status < HTTP_ERROR) {
+    if (response !== undefined && response.isComplete && response.status < FIRST_ERROR_STATUS) {
       this.finish(true, this.isInTime(response));
       return;
     }
@@ -272,7 +272,7 @@
 
   /** Whether a response head with a success status was received. */
   get hasSuccessHead(): boolean {
-    return this.status > 0 && this.status < HTTP_ERROR;
+    return this.status > 0 && this.status < FIRST_ERROR_STATUS;
   }
 
   private finish(isComplete: boolean): void {
--- a/test/backend-limits.test.ts
+++ b/test/backend-limits.test.ts
@@ -8,13 +8,13 @@
 test.before(() => void execFileSync('node', ['platform/build.mjs']));
 
 /*
- * A back end states in its responses how many requests per second it accepts from all gateways
- * together. If gateways only relay the limit to callers, or each applies it alone, the back end
+ * A backend states in its responses how many requests per second it accepts from all gateways
+ * together. If gateways only relay the limit to callers, or each applies it alone, the backend
  * receives several times as much; therefore one gateway issues send rights to all. Without them,
- * three gateways send 62 requests in 4 s to a back end with a limit of 2.4 per second (19 allowed),
+ * three gateways send 62 requests in 4 s to a backend with a limit of 2.4 per second (19 allowed),
  * and 86 with a slot agent beside it, none of them retries.
  */
-test('a back end that states a limit receives no more than that, with a tolerance, from all gateways together', async (t) => {
+test('a backend receives no more than its stated limit, with a tolerance, from all gateways together', async (t) => {
   const { limitWorst, limitAllowed, served, folder } = await runStatements({
     fault: 'limit',
     gateways: 3,
@@ -29,7 +29,7 @@
   t.true(served >= 0.98);
 });
 
-test('a back end with a slot agent that states a limit receives no more than that from all gateways together', async (t) => {
+test('a backend with a slot agent receives no more than its stated limit, with a tolerance, from all gateways', async (t) => {
   const { limitWorst, limitAllowed, served, folder } = await runStatements({
     fault: 'limit',
     gateways: 3,
--- a/test/departure-and-backoff.test.ts
+++ b/test/departure-and-backoff.test.ts
@@ -8,13 +8,13 @@
 test.before(() => void execFileSync('node', ['platform/build.mjs']));
 
 /*
- * A back end states in its responses that it is leaving, while its announcement does not show it,
+ * A backend states in its responses that it is draining, while its announcement does not show it,
  * for example during a store outage. Gateways that evaluate announcements alone keep sending to it
  * for twelve seconds, and some requests fail. Without the evaluation of statements, 87 requests
  * sent two or more seconds after such a response reach it within eight seconds from a gateway that
  * relayed one, and 33 with send rights alone.
  */
-test('a back end whose responses state that it is leaving receives no new requests, whatever its announcement shows', async (t) => {
+test('a backend whose responses state that it is draining receives no new requests, whatever it announces', async (t) => {
   const { lateToLeaving, served, folder } = await runStatements({
     fault: 'leaving',
     gateways: 3,
@@ -32,12 +32,12 @@
 /*
  * An engine refuses requests with a Retry-After of three seconds. A refusal within a millisecond
  * leaves all its slots free, so that gateways that ignore Retry-After prefer it: it refuses 12 to
- * 27 requests per second after 3 per second before, and callers are refused while other engines are
- * idle. Without the backoff, one gateway sends 26 requests within one period (8 with send rights
- * alone), and .92 of the requests are served though five of six engines have capacity for five
- * times the load.
+ * 27 requests per second, having received 3 per second before, and callers are refused while other
+ * engines are idle. Without the backoff, one gateway sends 26 requests within one period (8 with
+ * send rights alone), and .92 of the requests are served though five of six engines have capacity
+ * for five times the load.
  */
-test('gateways follow the backoff that a back end requests, and callers are served elsewhere', async (t) => {
+test('gateways follow the backoff that a backend requests, and callers are served elsewhere', async (t) => {
   const { restWorst, served, folder } = await runStatements({
     fault: 'rest',
     gateways: 3,
@@ -56,10 +56,10 @@
  * Three of six engines refuse every request at once, without Retry-After. A refusal frees its slot
  * within a millisecond, so that by free slots alone these engines receive most first attempts and
  * retries until the retry budget is spent, though the others have capacity for more than twice the
- * load. If refusals don't count against a back end's health, .52 of the requests are served, with
+ * load. If refusals don't count against a backend's health, .52 of the requests are served, with
  * 24 gateways .21.
  */
-test('back ends that refuse at once attract no traffic, and callers are served by the others', async (t) => {
+test('backends that refuse at once attract no traffic, and callers are served by the others', async (t) => {
   const { served, folder } = await runStatements({
     fault: 'shed',
     gateways: 3,
--- a/test/soak.test.ts
+++ b/test/soak.test.ts
@@ -3,7 +3,7 @@
 import {
   findOverdue,
   findSentToEvacuated,
-  findSentToLeaving,
+  findSentToDraining,
   findColdOverloads,
   findViolations,
   runSoak,
@@ -69,7 +69,7 @@
   };
   const cases: Array<[ObservedRequest, ReturnType<typeof executionOf>[], RegExp]> = [
     [{ ...unsafe, status: 502 }, [executionOf('u'), executionOf('u')], /ran 2 times/],
-    [unsafe, [executionOf('u')], /told 503 and ran/],
+    [unsafe, [executionOf('u')], /received 503 but ran/],
     [{ ...unsafe, status: 200, body: 'answer to o' }, [], /not its own/],
     [{ ...unsafe, status: 502 }, [executionOf('u', 'other')], /another tenant/],
   ];
@@ -82,7 +82,7 @@
   t.deepEqual(findViolations([SERVED_REQUEST], [executionOf('calm')], 50), []);
 });
 
-test('the check of draining back ends detects requests that were sent too late, except by a gateway with a fault', (t) => {
+test('the check of draining backends detects requests sent too late, except by a gateway with a fault', (t) => {
   const execution = (requestId: string, atMs: number) => ({ ...executionOf(requestId), atMs });
   const drained = new Map([['e', 1_000]]);
   const isUndisrupted = (requestId: string) => requestId !== 'touched';
@@ -91,7 +91,7 @@
     execution('late', 3_500),
     execution('touched', 3_500),
   ];
-  const violations = findSentToLeaving(executions, drained, isUndisrupted);
+  const violations = findSentToDraining(executions, drained, isUndisrupted);
   t.is(violations.length, 1);
   t.regex(violations[0]!, /^late ran at e 2500 ms/);
 });
@@ -103,7 +103,7 @@
   t.is(findOverdue(SERVED_REQUEST, 0).length, 0);
 });
 
-test('the check of allowed regions detects executions elsewhere, except within the bound or by a gateway with a fault', (t) => {
+test('the check of allowed regions detects executions elsewhere, except within the bound or by a faulty gateway', (t) => {
   const execution = (requestId: string, backendId: string, atMs: number) => ({
     ...executionOf(requestId),
     path: `/moved/${requestId}`,
@@ -127,12 +127,12 @@
   ];
   const violations = findOutsideRegions(executions, changes, (id) => id, isUndisrupted);
   t.deepEqual(violations, [
-    'late (/moved/late) ran at b in region b, which is no home of it',
-    'touched (/home/touched) ran at b in region b, which is no home of it',
+    'late (/moved/late) ran at b in region b, which is not an allowed region',
+    'touched (/home/touched) ran at b in region b, which is not an allowed region',
   ]);
 });
 
-test('the check of evacuations detects requests that were sent too late to a zone, until the evacuation ends', (t) => {
+test('the check of evacuations detects requests sent too late to a zone, until the evacuation ends', (t) => {
   const evacuations = [{ index: 1, fromMs: 1_000, untilMs: 6_000 }];
   const find = (atMs: number, backendId = 'e-1xx', disruptedUntilMs = 0) =>
     findSentToEvacuated({ ...executionOf('q'), backendId, atMs }, evacuations, disruptedUntilMs);
@@ -144,7 +144,7 @@
   t.deepEqual(find(6_001), []);
 });
 
-test('the check of cold starts detects a back end that received more than the bound in a second', (t) => {
+test('the check of cold starts detects a backend that received more than the bound in a second', (t) => {
   const executions = (count: number, everyMs: number, countsAsColdStart = true) =>
     Array.from({ length: count }, (_none, index) => ({
       ...executionOf(`${index}`),
@@ -187,7 +187,7 @@
     ]),
     [],
   );
-  t.regex(find({ kind: 'leaving' }, [['1-2300', 2_301]])[0]!, /2300 ms after its answer said/);
+  t.regex(find({ kind: 'leaving' }, [['1-2300', 2_301]])[0]!, /2300 ms after its response stated/);
   t.deepEqual(find({ kind: 'rest', untilMs: 1_500 }, every('1', 2, 600, 10)), []);
   t.regex(find({ kind: 'rest', untilMs: 1_500 }, every('1', 3, 600, 10))[0]!, /got 3 requests/);
   t.deepEqual(find({ kind: 'rest', untilMs: 1_500 }, every('9', 3, 600, 10)), []);
@@ -220,11 +220,11 @@
   const known = { status: 503, reason: 'no-backend' };
   const unknown = { status: 404, reason: 'no-route' };
   const unconfirmed = { status: 503, reason: 'configuration-unconfirmed' };
-  const answer = { gateway: 'g', change, sentAtMs: 4_000, added: known, dropped: unknown };
-  t.deepEqual(findLateRoute(answer, 0), []);
-  t.is(findLateRoute({ ...answer, added: unknown }, 0).length, 1);
-  t.is(findLateRoute({ ...answer, dropped: known }, 0).length, 1);
-  t.deepEqual(findLateRoute({ ...answer, dropped: unconfirmed }, 0), []);
-  t.deepEqual(findLateRoute({ ...answer, added: unknown }, 4_500), []);
-  t.deepEqual(findLateRoute({ ...answer, added: unknown, sentAtMs: 3_000 }, 0), []);
+  const check = { gateway: 'g', change, sentAtMs: 4_000, added: known, dropped: unknown };
+  t.deepEqual(findLateRoute(check, 0), []);
+  t.is(findLateRoute({ ...check, added: unknown }, 0).length, 1);
+  t.is(findLateRoute({ ...check, dropped: known }, 0).length, 1);
+  t.deepEqual(findLateRoute({ ...check, dropped: unconfirmed }, 0), []);
+  t.deepEqual(findLateRoute({ ...check, added: unknown }, 4_500), []);
+  t.deepEqual(findLateRoute({ ...check, added: unknown, sentAtMs: 3_000 }, 0), []);
 });
