--- a/src/cli/queries/explain-crashes.ts
+++ b/src/cli/queries/explain-crashes.ts
@@ -12,8 +12,8 @@
 const REFUSED_FOR_CRASHES = 'crashes-back-ends';
 
 /**
- * Returns one line for each earlier run of the same request, at any gateway, that crashed a
- * backend; empty if the request was refused for another reason.
+ * Returns one line for each backend crash, at any gateway, by an earlier run of a request with the
+ * same fingerprint; empty if the request was refused for another reason.
  */
 export function explainCrashes(end: CrashLogLine, lines: readonly CrashLogLine[]): string[] {
   if (end['reason'] !== REFUSED_FOR_CRASHES) {
@@ -24,6 +24,6 @@
     .filter(({ time }) => Date.parse(time) <= Date.parse(end.time))
     .map(
       ({ time, process, backend, request, crashes, evidence, afterMs }) =>
-        `  ${time} ${process}: crash ${crashes}, request ${request} ended ${backend} after ${afterMs} ms (${evidence})`,
+        `  ${time} ${process}: crash ${crashes}, request ${request} crashed ${backend} after ${afterMs} ms (${evidence})`,
     );
 }
