--- a/src/agent/agent-core.ts
+++ b/src/agent/agent-core.ts
@@ -28,7 +28,7 @@
 import { createLoadMessage } from './queries/engine-load.js';
 import { RequestRecords } from './request-records.js';
 
-/** Values that an agent core is constructed from. */
+/** Dependencies of an agent core. */
 export interface AgentCoreDependencies {
   readonly identity: ProcessIdentity;
   readonly options: AgentOptions;
@@ -42,12 +42,12 @@
   /** Read-only for code outside the core. */
   readonly state: AgentState;
 
-  constructor(parts: AgentCoreDependencies) {
+  constructor(dependencies: AgentCoreDependencies) {
     const replica = new PolicyReplica();
     this.state = {
-      ...parts,
+      ...dependencies,
       replica,
-      exchange: new PolicySynchronizer(replica),
+      policySynchronizer: new PolicySynchronizer(replica),
       peers: new Map(),
       bids: new BidQueue((tenant) => replica.policy.tenants.get(tenant)?.weight ?? 1),
       calls: new Map(),
@@ -161,7 +161,11 @@
     }
     peer.lastReceivedAtMs = context.nowMs;
     const { generation } = event.frame;
-    const request = this.state.exchange.onPeerGeneration(event.peer, generation, context.nowMs);
+    const request = this.state.policySynchronizer.onPeerGeneration(
+      event.peer,
+      generation,
+      context.nowMs,
+    );
     if (request !== undefined) {
       context.send(event.peer, request);
     }
@@ -220,7 +224,7 @@
   }
 
   private handlePolicy(context: AgentEventContext, peer: string, message: PolicySyncMessage): void {
-    const { reply, isInstalled } = this.state.exchange.handleMessage(message);
+    const { reply, isInstalled } = this.state.policySynchronizer.handleMessage(message);
     if (reply !== undefined) {
       context.send(peer, reply);
     }
@@ -235,8 +239,8 @@
   }
 
   /**
-   * Leaves if the machine list marks this process as leaving after it had marked it as live. A list
-   * that lags still shows the previous process of this name as leaving.
+   * Leaves if the machine list marks this process as leaving after it had marked it as live. A
+   * stale list may still show the previous process of this name as leaving.
    */
   private handleMachineList(
     context: AgentEventContext,
@@ -296,8 +300,8 @@
   }
 
   /**
-   * Ends the process only once every connected entry has acknowledged the leave and no request is
-   * left: a bind in transit that nobody refuses would be lost.
+   * Emits `left`, which ends the process, only once every connected entry has acknowledged the
+   * leave and no request is left: a bind in transit that nobody refuses would be lost.
    */
   private finishLeaving(context: AgentEventContext): void {
     const isAcknowledged = [...this.state.peers.values()].every(
--- a/src/agent/agent-events.ts
+++ b/src/agent/agent-events.ts
@@ -5,7 +5,7 @@
 import type { BindMessage, Frame, HelloMessage, Message } from '../protocol/messages.js';
 import type { RequestId } from '../request/request-id.js';
 
-/** Token counts and durations that the backend reports at the end of a response. */
+/** Token counts and durations of a complete response. */
 export interface EngineUsage {
   readonly promptTokens: number;
   readonly cachedPromptTokens: number;
@@ -53,7 +53,7 @@
   | { readonly kind: 'tick' }
   | { readonly kind: 'leave' };
 
-/** An action that the agent core asks its host to perform. */
+/** An action that the host of the agent core must perform. */
 export type AgentEffect =
   | { readonly kind: 'send'; readonly peer: string; readonly message: Message }
   | { readonly kind: 'disconnect'; readonly peer: string; readonly connectionNumber: number }
--- a/src/agent/agent-state.ts
+++ b/src/agent/agent-state.ts
@@ -22,7 +22,7 @@
   hasAcknowledgedLeave: boolean;
 }
 
-/** A call, which offers a slot to the entry that sent a bid, that awaits the entry's bind. */
+/** A call that was sent: it offers a slot for a bid, and awaits the bind from the bid's entry. */
 export interface OutstandingCall {
   readonly peer: string;
   readonly tier: Tier;
@@ -38,7 +38,10 @@
   readonly receivedAtMs: number;
 }
 
-/** State of a request on the engine; `finished` lasts until the entry acknowledges the response. */
+/**
+ * State of a request on the engine; `finished` lasts until the entry acknowledges the response or
+ * the retention time ends.
+ */
 export type EngineRequestPhase = 'running' | 'paused' | 'finished';
 
 /** A request that was sent to the engine, with its response so far. */
@@ -48,7 +51,7 @@
   readonly peer: string;
   readonly startedAtMs: number;
   phase: EngineRequestPhase;
-  /** Response messages so far, in order; retained until the entry acknowledges the end. */
+  /** Response messages so far, in order; retained for resending after a reconnect. */
   readonly responseMessages: Message[];
   chunkCount: number;
   finishedAtMs: number | undefined;
@@ -61,7 +64,7 @@
   readonly identity: ProcessIdentity;
   readonly options: AgentOptions;
   readonly replica: PolicyReplica;
-  readonly exchange: PolicySynchronizer;
+  readonly policySynchronizer: PolicySynchronizer;
   /** Connected entries by incarnation. */
   readonly peers: Map<string, EntryPeer>;
   readonly bids: BidQueue;
@@ -73,9 +76,12 @@
   readonly permitExpiriesMs: number[];
   /** Time of the last tick; undefined before the first. */
   lastTickAtMs: number | undefined;
-  /** Refuses binds until this time: they may predate a leave signal that was not yet handled. */
+  /**
+   * Time until which binds are refused after a pause of the process: a leave signal that arrived
+   * during the pause may not have been handled yet.
+   */
   refuseBindsUntilMs: number;
-  /** Whether the machine list has marked this run of the process as live. */
+  /** Whether the machine list has marked this incarnation as live. */
   wasListedLive: boolean;
   isLeaving: boolean;
   hasLeft: boolean;
--- a/src/agent/bid-queue.ts
+++ b/src/agent/bid-queue.ts
@@ -97,7 +97,7 @@
     queue.virtualTime += bid.costTokens / this.weightOf(bid.tenant);
   }
 
-  /** Returns the bid to refuse when the queue exceeds its limit: the last of the lowest tier. */
+  /** Returns the bid to refuse when the queue exceeds its limit: the newest of the lowest tier. */
   findEvictionCandidate(): QueuedBid | undefined {
     let lowest: QueuedBid | undefined;
     for (const bid of this.byId.values()) {
--- a/src/agent/commands/call-bids.ts
+++ b/src/agent/commands/call-bids.ts
@@ -14,7 +14,7 @@
 
 const LOAD_INTERVAL_MS = 200;
 
-/** Queues a bid, or refuses it. */
+/** Queues a bid or refuses it; ignores a bid whose request is already called or bound. */
 export function enqueueBid(context: AgentEventContext, peer: string, message: BidMessage): void {
   const { state } = context;
   if (state.isLeaving) {
@@ -37,17 +37,17 @@
 }
 
 /**
- * Calls bids while slots are free; first resumes paused requests unless the next bid has a higher
- * tier.
+ * Calls bids while slots are free, resuming paused requests first unless the next bid has a higher
+ * tier; then calls bids that may preempt a running request.
  */
 export function callBids(context: AgentEventContext): void {
   const { state } = context;
   let next = state.isLeaving ? undefined : state.bids.peek();
   while (countOccupiedSlots(state) < state.options.capacity) {
     const paused = findNextToResume(state);
-    const isPausedFirst =
+    const shouldResumeFirst =
       paused !== undefined && (next === undefined || !isHigherTier(next.tier, paused.request.tier));
-    if (isPausedFirst) {
+    if (shouldResumeFirst) {
       resumeRequest(context, paused);
     } else if (next !== undefined) {
       callBid(context, next, false);
@@ -82,7 +82,7 @@
   }
 }
 
-/** Whether the engine can hold another paused request; if not, preemption cancels its victim. */
+/** Whether the engine can hold another paused request; if not, a preempted request is cancelled. */
 export function hasPauseCapacity(state: AgentState): boolean {
   return requestsInPhase(state, 'paused').length < state.options.maxPaused;
 }
@@ -149,8 +149,9 @@
 }
 
 /**
- * Whether a running request of a lower tier is available for this bid, beyond those reserved by
- * outstanding calls.
+ * Whether the bid may be called by preemption: it is urgent or has waited long enough, and a
+ * running request of a lower tier is available beyond those reserved by outstanding calls. If it is
+ * not urgent, the engine must also be able to hold another paused request.
  */
 function canPreemptFor(context: AgentEventContext, bid: QueuedBid): boolean {
   const { state } = context;
--- a/src/agent/commands/issue-permits.ts
+++ b/src/agent/commands/issue-permits.ts
@@ -6,9 +6,9 @@
  * Issues a permit to the entry whose request just ended, in the frame that carries the end of the
  * response.
  *
- * A permit reserves no slot: a bind that arrives too late is refused as not started. The number of
- * permits never exceeds that of free slots, none is issued while bids or paused requests wait, and
- * permits expire.
+ * A permit reserves no slot: a bind that finds no free slot is refused as not started. A permit is
+ * issued only while there are more free slots than unexpired permits and no bid or paused request
+ * waits; permits expire.
  */
 export function issuePermit(context: AgentEventContext, peer: string): void {
   const { state } = context;
--- a/src/agent/commands/start-request.ts
+++ b/src/agent/commands/start-request.ts
@@ -24,7 +24,10 @@
   }
 }
 
-/** Starts a bound request if the installed policy permits it and a slot is free or can be freed. */
+/**
+ * Starts a bound request if the installed policy permits it and a slot is free or can be freed, and
+ * refuses it otherwise; holds it first if its policy generation is not installed yet.
+ */
 export function handleBind(context: AgentEventContext, peer: string, request: BindMessage): void {
   const { state } = context;
   const { id } = request;
@@ -89,8 +92,8 @@
 }
 
 /**
- * Whether a request bound under a permit may start: a permit allows neither preemption nor
- * overtaking a queued bid of a higher tier.
+ * Uses up a permit and returns whether the request may start: a permit allows neither preemption
+ * nor overtaking a queued bid of a higher tier.
  */
 function hasCapacityForPermit(context: AgentEventContext, request: BindMessage): boolean {
   const { state } = context;
--- a/src/agent/request-records.ts
+++ b/src/agent/request-records.ts
@@ -10,12 +10,12 @@
   | 'refused'
   /** The request was never received. */
   | 'never-received'
-  /** Records of that age were dropped: the request may have run. */
+  /** The record that would show it may have been dropped: the request may have run. */
   | 'unknown';
 
 const MAX_ENTRY_INCARNATIONS = 4_096;
 
-/** Records refused requests, and the highest sequence number of the dropped ones per entry. */
+/** Holds the refused requests, and per entry the highest sequence number of a dropped record. */
 export class RequestRecords {
   private readonly refusedAtMs = new Map<RequestId, number>();
   /** Highest dropped sequence number by entry incarnation. */
@@ -32,7 +32,7 @@
     return this.refusedAtMs.has(id);
   }
 
-  /** Marks the record of `id` as dropped: the request may have run. */
+  /** Marks the record of `id` as dropped: it and all earlier requests of its entry may have run. */
   markDropped(id: RequestId): void {
     const entry = entryIncarnationOf(id);
     const highest = this.highestDroppedSequence.get(entry) ?? 0;
--- a/src/bin/demo.ts
+++ b/src/bin/demo.ts
@@ -1,5 +1,7 @@
 #!/usr/bin/env node
-/** Demo: runs a fleet on loopback under a mixed load and checks the results at callers and backends. */
+/**
+ * Demo: runs a fleet on loopback under a mixed load and checks the results at callers and backends.
+ */
 import { dirname, join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { Command } from 'commander';
@@ -29,7 +31,7 @@
     .option('--deployment <name>', 'example deployment: factoring or guild', 'factoring')
     .option('--requests <count>', 'total number of requests', '400')
     .option('--rate <perSecond>', 'requests per second', '40')
-    .option('--kill <role>', 'kill one agent or entry in the middle of the load');
+    .option('--kill <role>', 'kill one process of this role (agent or entry) during the load');
   program.parse();
   const options = program.opts<DemoOptions>();
   const directory = join(REPOSITORY, 'examples', options.deployment);
--- a/src/entry/claim-store.ts
+++ b/src/entry/claim-store.ts
@@ -19,8 +19,8 @@
    * Claims `key` of `tenant` for the request `id`.
    *
    * The stored claim contains the request id, so that a lost response is resolved by reading the
-   * claim back. `unavailable` means that the caller must not run the request; the claim may
-   * nevertheless have been stored.
+   * claim back. `unavailable` means that the request must not be run, although the claim may have
+   * been stored.
    */
   async claim(tenant: string, key: string, id: RequestId): Promise<ClaimOutcome> {
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
--- a/src/entry/commands/accept-request.ts
+++ b/src/entry/commands/accept-request.ts
@@ -23,8 +23,8 @@
  * Admits a request: checks policy and limits, claims its idempotency key if required, and offers it
  * to agents.
  */
-export function acceptRequest(context: EntryEventContext, arrived: IncomingRequest): void {
-  const request = trackRequest(context, createDescription(context, arrived));
+export function acceptRequest(context: EntryEventContext, incoming: IncomingRequest): void {
+  const request = trackRequest(context, createDescription(context, incoming));
   context.count('request.arrived', 1, { tier: `${request.description.tier}` });
   const refusal = findAdmissionRefusal(context, request) ?? shedIfOverLimit(context, request);
   if (refusal !== undefined) {
@@ -39,7 +39,10 @@
   enqueueRequest(context, request);
 }
 
-/** Queues a request whose claim is settled or not required. */
+/**
+ * Queues a request whose claim is settled or not required; binds it at once if a suitable permit
+ * exists, and otherwise sends bids for it.
+ */
 export function enqueueRequest(context: EntryEventContext, request: ActiveRequest): void {
   setPhase(context, request, 'waiting');
   if (!bindWithPermit(context, request)) {
@@ -49,23 +52,23 @@
 
 function createDescription(
   context: EntryEventContext,
-  arrived: IncomingRequest,
+  incoming: IncomingRequest,
 ): RequestDescription {
-  const permitted = context.state.replica.permitted.find(arrived);
-  const model = context.state.replica.policy.models.get(arrived.model);
+  const permitted = context.state.replica.permitted.find(incoming);
+  const model = context.state.replica.policy.models.get(incoming.model);
   return {
-    id: arrived.id,
-    tenant: arrived.tenant,
-    model: arrived.model,
-    dataLabels: arrived.dataLabels,
-    tier: Math.max(permitted.tier, arrived.requestedTier ?? permitted.tier),
-    deadlineAtMs: context.nowMs + arrived.deadlineInMs,
-    promptTokens: arrived.promptTokens,
-    maxOutputTokens: arrived.maxOutputTokens,
-    prefixHash: arrived.prefixHash,
-    isRepeatable: arrived.isRepeatable && (model?.repeatable ?? true),
-    idempotencyKey: arrived.idempotencyKey,
-    payload: arrived.payload,
+    id: incoming.id,
+    tenant: incoming.tenant,
+    model: incoming.model,
+    dataLabels: incoming.dataLabels,
+    tier: Math.max(permitted.tier, incoming.requestedTier ?? permitted.tier),
+    deadlineAtMs: context.nowMs + incoming.deadlineInMs,
+    promptTokens: incoming.promptTokens,
+    maxOutputTokens: incoming.maxOutputTokens,
+    prefixHash: incoming.prefixHash,
+    isRepeatable: incoming.isRepeatable && (model?.repeatable ?? true),
+    idempotencyKey: incoming.idempotencyKey,
+    payload: incoming.payload,
   };
 }
 
@@ -173,8 +176,8 @@
 }
 
 /**
- * Returns the longest-waiting request of the lowest queued tier, if that tier is lower than that of
- * the arriving request.
+ * Returns the request that was queued first in the lowest queued tier, if that tier is lower than
+ * that of the arriving request.
  */
 function findShedCandidate(
   context: EntryEventContext,
--- a/src/entry/commands/bind-request.ts
+++ b/src/entry/commands/bind-request.ts
@@ -11,7 +11,7 @@
 
 /**
  * Binds the called request to the calling agent, at most once; declines the call if the request is
- * no longer waiting or not permitted there.
+ * no longer waiting or the agent is no longer a candidate for it.
  */
 export function handleCall(
   context: EntryEventContext,
--- a/src/entry/commands/bind-with-permit.ts
+++ b/src/entry/commands/bind-with-permit.ts
@@ -12,8 +12,9 @@
  */
 const MAX_SLOWDOWN = 1.5;
 /**
- * Silence after which an agent's permits are not used: it may be frozen, which a bid would detect
- * and a permit would not.
+ * Time without received messages after which an agent's permits are not used, in milliseconds: the
+ * agent may be frozen. A frozen agent calls no bid, but a request bound under a permit would wait
+ * for it.
  */
 const MAX_SILENCE_MS = 1_000;
 
--- a/src/entry/commands/manage-peers.ts
+++ b/src/entry/commands/manage-peers.ts
@@ -82,7 +82,7 @@
   reassignBids(context, name, peer);
 }
 
-/** Handles an agent's notice that it accepts no new work. */
+/** Marks an agent as leaving, as it announced, and reassigns its bids. */
 export function markLeaving(context: EntryEventContext, name: string, peer: AgentPeer): void {
   if (peer.isLeaving) {
     return;
@@ -92,7 +92,7 @@
   reassignBids(context, name, peer);
 }
 
-/** Reconnects, sends pings and closes silent connections as due; called at every tick. */
+/** Reconnects, sends pings and closes silent connections as due. */
 export function maintainPeers(context: EntryEventContext): void {
   const { state } = context;
   for (const [name, peer] of state.peers) {
@@ -120,8 +120,9 @@
 }
 
 /**
- * Updates the leaving state shown by the machine list. The list may lag behind a replacement of the
- * process, so the state is cleared when the list changes.
+ * Updates whether the machine list marks the agent as leaving, and reassigns its bids once it does.
+ * A stale list may still show the previous process of this name, so the mark is cleared when the
+ * list no longer shows it.
  */
 function updateListedState(
   context: EntryEventContext,
--- a/src/entry/commands/place-bids.ts
+++ b/src/entry/commands/place-bids.ts
@@ -149,11 +149,11 @@
 
 /**
  * Returns the number of bids to keep open: grows with the time waited, and by one for each tier
- * above the third.
+ * above tier 3.
  */
 function targetBidCount(context: EntryEventContext, request: ActiveRequest): number {
-  const TIERS_WITH_EXTRA_WIDTH = 3;
-  const extraForTier = Math.max(0, TIERS_WITH_EXTRA_WIDTH - request.description.tier);
+  const FIRST_TIER_WITHOUT_EXTRA_BIDS = 3;
+  const extraForTier = Math.max(0, FIRST_TIER_WITHOUT_EXTRA_BIDS - request.description.tier);
   const waitedMs = context.nowMs - request.arrivedAtMs;
   return (
     context.state.options.bidWidth + extraForTier + Math.floor(waitedMs / EXTRA_BID_INTERVAL_MS)
--- a/src/entry/engine-speed-estimates.ts
+++ b/src/entry/engine-speed-estimates.ts
@@ -21,11 +21,15 @@
 
 const DEFAULT_SPEED: SpeedEstimate = { prefillTokensPerMs: 4, decodeMsPerToken: 10, samples: 0 };
 const SMOOTHING_FACTOR = 0.2;
+/** Assumed share of the maximum output tokens that a response uses, before the first sample. */
 const DEFAULT_OUTPUT_SHARE = 0.5;
 const MAX_TRACKED_PREFIXES = 20_000;
 const ENGINES_PER_PREFIX = 4;
+/** Assumed share of the prompt that is still prefilled if its prefix is cached. */
 const CACHED_PREFILL_SHARE = 0.3;
+/** Fewer output tokens than this give no sample of the decode speed. */
 const MIN_DECODE_TOKENS = 4;
+/** Fewer uncached prompt tokens than this give no sample of the prefill speed. */
 const MIN_PREFILL_TOKENS = 16;
 
 /** Estimates service times per engine with exponential moving averages. */
--- a/src/entry/entry-core.ts
+++ b/src/entry/entry-core.ts
@@ -40,7 +40,7 @@
 import { EntryEventContext } from './entry-state.js';
 import type { AgentPeer, ScheduledCheck, EntryState, ActiveRequest } from './entry-state.js';
 
-/** Values that an entry core is constructed from. */
+/** Dependencies of an entry core. */
 export interface EntryCoreDependencies {
   readonly identity: ProcessIdentity;
   readonly options: EntryOptions;
@@ -55,12 +55,12 @@
   /** Read-only for code outside the core. */
   readonly state: EntryState;
 
-  constructor(parts: EntryCoreDependencies) {
+  constructor(dependencies: EntryCoreDependencies) {
     const replica = new PolicyReplica();
     this.state = {
-      ...parts,
+      ...dependencies,
       replica,
-      exchange: new PolicySynchronizer(replica),
+      policySynchronizer: new PolicySynchronizer(replica),
       speedEstimates: new EngineSpeedEstimates(),
       requests: new Map(),
       peers: new Map(),
@@ -137,7 +137,11 @@
     }
     peer.lastReceivedAtMs = context.nowMs;
     const { generation } = event.frame;
-    const request = this.state.exchange.onPeerGeneration(event.peer, generation, context.nowMs);
+    const request = this.state.policySynchronizer.onPeerGeneration(
+      event.peer,
+      generation,
+      context.nowMs,
+    );
     if (request !== undefined) {
       context.send(event.peer, request);
     }
@@ -256,7 +260,7 @@
     agent: string,
     message: PolicySyncMessage,
   ): void {
-    const { reply, isInstalled } = this.state.exchange.handleMessage(message);
+    const { reply, isInstalled } = this.state.policySynchronizer.handleMessage(message);
     if (reply !== undefined) {
       context.send(agent, reply);
     }
--- a/src/entry/entry-events.ts
+++ b/src/entry/entry-events.ts
@@ -21,7 +21,7 @@
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
   readonly prefixHash: string;
-  /** False if the caller marked the request as not safe to repeat. */
+  /** False if the caller marked the request as not safe to execute more than once. */
   readonly isRepeatable: boolean;
   readonly idempotencyKey?: string;
   readonly payload: RequestPayload;
@@ -65,7 +65,7 @@
   readonly outputTokens: number;
 }
 
-/** An action that the entry core asks its host to perform. */
+/** An action that the host of the entry core must perform. */
 export type EntryEffect =
   | { readonly kind: 'send'; readonly peer: string; readonly message: Message }
   | {
--- a/src/entry/entry-state.ts
+++ b/src/entry/entry-state.ts
@@ -16,7 +16,7 @@
 export type RequestPhase =
   /** Its idempotency key is being claimed. */
   | 'claiming'
-  /** Offered to agents, but not bound. */
+  /** Queued for assignment: offered to agents, but not bound. */
   | 'waiting'
   /** Assigned to one agent. */
   | 'bound';
@@ -40,7 +40,8 @@
   /** Keys of agent incarnations that refused the request; it is not offered to them again. */
   readonly refusedBy: Set<string>;
   /**
-   * When the bids became urgent at all reachable permitted agents that may preempt a lower tier.
+   * When the request became urgent; undefined while it is not. An urgent request is offered to
+   * every reachable permitted agent that may preempt a lower tier.
    */
   urgentSinceMs: number | undefined;
   /** Since when no permitted agent has been reachable; undefined while one is. */
@@ -93,7 +94,7 @@
   readonly options: EntryOptions;
   readonly random: RandomSource;
   readonly replica: PolicyReplica;
-  readonly exchange: PolicySynchronizer;
+  readonly policySynchronizer: PolicySynchronizer;
   readonly speedEstimates: EngineSpeedEstimates;
   readonly requests: Map<RequestId, ActiveRequest>;
   readonly peers: Map<string, AgentPeer>;
--- a/src/protocol/cbor-frames.ts
+++ b/src/protocol/cbor-frames.ts
@@ -1,6 +1,6 @@
 /**
- * Length-prefixed framing: a four-byte big-endian length, then one CBOR value. Record structures are
- * sent once and shared by all later values from the same sender.
+ * Length-prefixed framing: a four-byte big-endian length, then one CBOR value. Each record
+ * structure is sent once; later values of the same encoder refer to it.
  */
 import { Decoder, Encoder } from 'cbor-x';
 import { err, ok } from '../result.js';
@@ -10,7 +10,7 @@
 
 const HEADER_BYTES = 4;
 
-/** Default maximum length of a received frame, in bytes. */
+/** Default maximum length of a received frame without its header, in bytes. */
 export const MAX_FRAME_BYTES = 16 * 1024 * 1024;
 
 /** Encodes the values that one side of a connection sends. */
--- a/src/protocol/messages.ts
+++ b/src/protocol/messages.ts
@@ -31,10 +31,13 @@
   role: z.enum(['entry', 'agent']),
   /** Name of the entry, or of the agent's engine. */
   name: z.string(),
-  /** Unique ID of this run of the process; changes with every restart. */
+  /** Unique ID of one start of the process. */
   incarnation: z.string(),
   zone: z.string(),
-  /** Increases with each connection that this incarnation opens to the same peer. */
+  /**
+   * Number of the connection: the entry increases it with each connection that it opens to the same
+   * agent while that agent stays in its subset, and the agent echoes it.
+   */
   connectionNumber: z.number().int(),
 });
 
@@ -49,7 +52,10 @@
   deadlineInMs: z.number(),
   promptTokens: z.number(),
   maxOutputTokens: z.number(),
-  /** Whether the request is about to be shed, so that the agent must preempt lower tiers for it. */
+  /**
+   * Whether the request will soon be shed or miss its deadline, so that the agent may preempt a
+   * lower tier for it at once.
+   */
   isUrgent: z.boolean(),
 });
 
@@ -62,14 +68,16 @@
 /** Call: the agent can start this request now and asks the entry to bind it. */
 export const callSchema = z.object({ kind: z.literal('call'), id: requestId });
 
-/** The agent rejects a bid and will not call it. */
+/** The agent rejects a bid: it has removed or never queued it, and will not call it. */
 export const bidRefusedSchema = z.object({
   kind: z.literal('bid-refused'),
   id: requestId,
   reason: z.enum(['leaving', 'not-permitted', 'full']),
 });
 
-/** Bind: the entry irrevocably assigns the request to the agent that called it or issued a permit. */
+/**
+ * Bind: the entry irrevocably assigns the request to the agent that called it or issued a permit.
+ */
 export const bindSchema = z.object({
   kind: z.literal('bind'),
   id: requestId,
@@ -89,16 +97,23 @@
     contentType: z.string(),
     body: z.string(),
   }),
-  /** Whether the bind uses a permit instead of answering a call. */
+  /** Whether the bind uses a permit instead of following a call. */
   isByPermit: z.boolean(),
   /** Policy generation under which the entry determined that the agent's engine is permitted. */
   generation: z.number().int(),
 });
 
-/** The entry rejects a call because the request is no longer waiting. */
+/**
+ * The entry rejects a call: the request is no longer waiting, or may not be bound to this agent.
+ */
 export const declineCallSchema = z.object({ kind: z.literal('decline-call'), id: requestId });
 
-/** Reasons for rejecting a bind; each guarantees that the agent will never start the request. */
+/**
+ * Reasons for rejecting a bind; each guarantees that the agent will never start the request. Among
+ * them: `never-received`, the agent has no record of the request or had already refused it;
+ * `policy-unknown`, the policy generation of the bind did not arrive in time; `was-paused`, the
+ * agent's process was paused until shortly before and may not have handled a leave signal yet.
+ */
 export const bindRefusalReasonSchema = z.enum([
   'leaving',
   'not-permitted',
@@ -142,7 +157,7 @@
   outputTokens: z.number(),
   /** Time from the start on the engine to the first chunk. */
   prefillMs: z.number(),
-  /** Time from the first chunk to the last. */
+  /** Time from the first chunk to the end of the response. */
   decodeMs: z.number(),
 });
 
@@ -154,23 +169,25 @@
   detail: z.string(),
 });
 
-/** After a reconnect, the entry requests the response again from `fromChunk`. */
+/** After a reconnect or a missing chunk, the entry requests the response again from `fromChunk`. */
 export const resumeAnswerSchema = z.object({
   kind: z.literal('resume-answer'),
   id: requestId,
   fromChunk: z.number().int(),
 });
 
-/** The entry has received the complete response, so the agent may discard it. */
+/** The entry has received the end of the response, or its failure; the agent may discard it. */
 export const acknowledgeSchema = z.object({ kind: z.literal('acknowledge'), id: requestId });
 
-/** The caller disconnected, so the agent must cancel the request. */
+/** No caller waits for the response, so the agent must cancel the request. */
 export const cancelSchema = z.object({ kind: z.literal('cancel'), id: requestId });
 
 /** The agent is draining and accepts no new requests. */
 export const leavingSchema = z.object({ kind: z.literal('leaving') });
 
-/** The entry received the agent's `leaving` message and sends no bind after this acknowledgement. */
+/**
+ * The entry received the agent's `leaving` message and sends no bind after this acknowledgement.
+ */
 export const leavingAcknowledgedSchema = z.object({ kind: z.literal('leaving-acknowledged') });
 
 /** Current load of the agent's engine; a hint for ranking engines and for early refusals. */
--- a/src/server/caller-request.ts
+++ b/src/server/caller-request.ts
@@ -27,7 +27,7 @@
 const SERVICES_PREFIX = '/services/';
 const DEFAULT_MAX_OUTPUT_TOKENS = 256;
 const MAX_OUTPUT_TOKENS = 131_072;
-const MAX_KEY_LENGTH = 255;
+const MAX_IDEMPOTENCY_KEY_LENGTH = 255;
 
 const contentSchema = z.union([
   z.string(),
@@ -50,7 +50,7 @@
 
 /** A parsed request and the format of its response. */
 export interface CallerRequest {
-  readonly arrived: IncomingRequest;
+  readonly incoming: IncomingRequest;
   readonly format: ResponseFormat;
 }
 
@@ -63,8 +63,8 @@
 /**
  * Parses and authenticates a caller's request.
  *
- * @returns the parsed request; an `invalid-request` or `unauthenticated` refusal for a faulty
- *   request, `platform-unavailable` before the first policy is loaded
+ * @returns the parsed request; an `invalid-request` or `unauthenticated` refusal for an
+ *   invalid request, `platform-unavailable` before the first policy is loaded
  */
 export function parseCallerRequest(
   request: IncomingMessage,
@@ -120,7 +120,9 @@
     deadline === 'fault' ? CALLER_HEADERS.deadlineMs : undefined,
     ['true', 'false'].includes(repeatable) ? undefined : CALLER_HEADERS.repeatable,
     dataLabels === 'fault' ? CALLER_HEADERS.data : undefined,
-    (idempotencyKey?.length ?? 0) > MAX_KEY_LENGTH ? CALLER_HEADERS.idempotencyKey : undefined,
+    (idempotencyKey?.length ?? 0) > MAX_IDEMPOTENCY_KEY_LENGTH
+      ? CALLER_HEADERS.idempotencyKey
+      : undefined,
   ].filter((name) => name !== undefined);
   if (
     invalidHeaders.length > 0 ||
@@ -160,7 +162,7 @@
   const engineBody = { ...chat, stream: true, stream_options: { include_usage: true } };
   return ok({
     format: chat.stream ? 'event-stream' : 'chat-json',
-    arrived: {
+    incoming: {
       ...common,
       model: chat.model,
       promptTokens: estimateTokens(prompt),
@@ -186,7 +188,7 @@
   const service = slash < 0 ? target : target.slice(0, slash);
   return ok({
     format: 'pass-through',
-    arrived: {
+    incoming: {
       ...common,
       model: service,
       promptTokens: 0,
--- a/src/server/caller-response-writer.ts
+++ b/src/server/caller-response-writer.ts
@@ -1,6 +1,6 @@
 /**
- * Writes the response to one caller: as server-sent events, as one JSON document, or unmodified from
- * the backend.
+ * Writes the response to one caller: as server-sent events, as one JSON document, or unmodified
+ * from the backend.
  */
 import type { ServerResponse } from 'node:http';
 import { z } from 'zod';
@@ -33,7 +33,10 @@
     private readonly response: ServerResponse,
   ) {}
 
-  /** Sends the response header; for a JSON document, this is deferred until it is complete. */
+  /**
+   * Sends the response header; a JSON document gets its header when it is complete, unless the
+   * backend returned an error.
+   */
   start(status: number, contentType: string): void {
     this.status = status;
     const isError = this.isBackendError();
@@ -71,8 +74,9 @@
   }
 
   /**
-   * Ends the response with a refusal. If the header was already sent, the connection is destroyed, so
-   * that the caller cannot mistake a truncated response for a complete one.
+   * Ends the response with a refusal. If the header was already sent, the connection is destroyed
+   * (after an error event in an event stream), so that the caller cannot mistake a truncated
+   * response for a complete one.
    */
   refuse(refusal: Refusal): void {
     const body = JSON.stringify({ error: describeRefusal(this.id, refusal) });
--- a/src/server/caller-server.ts
+++ b/src/server/caller-server.ts
@@ -42,7 +42,7 @@
     this.server.maxConnections = listen.maxConnections;
   }
 
-  /** Sends the header of a response; for a JSON document, this is deferred until it is complete. */
+  /** Sends the header of a response; a JSON document gets its header when it is complete. */
   startResponse(id: RequestId, status: number, contentType: string): void {
     this.responses.get(id)?.start(status, contentType);
   }
@@ -97,13 +97,13 @@
       writeRefusal(response, id, parsed.val);
       return;
     }
-    const { arrived, format } = parsed.val;
-    this.responses.set(id, new CallerResponseWriter(id, format, arrived.model, response));
+    const { incoming, format } = parsed.val;
+    this.responses.set(id, new CallerResponseWriter(id, format, incoming.model, response));
     response.on('close', () => {
       if (this.responses.delete(id)) {
         this.handlers.onCallerDisconnected(id);
       }
     });
-    this.handlers.onRequest(arrived);
+    this.handlers.onRequest(incoming);
   }
 }
--- a/src/server/daemon.ts
+++ b/src/server/daemon.ts
@@ -41,7 +41,10 @@
   onFleet(machines: readonly Machine[]): void;
   onPolicy(update: PolicyUpdate): void;
   onTick(): void;
-  /** Stops accepting requests; calls `onDrained` once the last request has ended. */
+  /**
+   * Stops accepting requests; calls `onDrained` once the last request has ended and, for an agent,
+   * every connected entry has acknowledged that it leaves.
+   */
   drain(onDrained: () => void): void;
   isReady(): boolean;
   status(): object;
--- a/src/server/http-backend.ts
+++ b/src/server/http-backend.ts
@@ -1,4 +1,7 @@
-/** HTTP client for an agent's backend: a model engine that streams its responses, or a plain service. */
+/**
+ * HTTP client for an agent's backend: a model engine that streams its responses, or a plain
+ * service.
+ */
 import { createParser } from 'eventsource-parser';
 import { Agent, request } from 'undici';
 import type { Dispatcher } from 'undici';
@@ -11,7 +14,7 @@
 const NOT_STARTED_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
 
 const STREAM_DONE = '[DONE]';
-const HTTP_ERROR = 400;
+const MIN_HTTP_ERROR_STATUS = 400;
 
 const usageSchema = z.object({
   usage: z.object({
@@ -40,17 +43,17 @@
     void this.run(bind, abort).finally(() => this.running.delete(bind.id));
   }
 
-  /** Pauses a running request. */
+  /** Pauses a running request; without effect on a plain service. */
   pause(id: string): void {
     void this.sendControlRequest(id, 'pause');
   }
 
-  /** Resumes a paused request. */
+  /** Resumes a paused request; without effect on a plain service. */
   resume(id: string): void {
     void this.sendControlRequest(id, 'resume');
   }
 
-  /** Aborts a request. */
+  /** Aborts the HTTP request, and cancels it at a model engine. */
   cancel(id: string): void {
     this.running.get(id)?.abort();
     void this.sendControlRequest(id, 'cancel');
@@ -67,7 +70,7 @@
     try {
       const response = await this.send(bind, abort.signal);
       hasResponse = true;
-      if (this.kind === 'engine' && response.statusCode < HTTP_ERROR) {
+      if (this.kind === 'engine' && response.statusCode < MIN_HTTP_ERROR_STATUS) {
         await this.readStream(id, response);
       } else {
         await this.readBody(id, response);
--- a/src/server/platform-client.ts
+++ b/src/server/platform-client.ts
@@ -25,7 +25,7 @@
   readonly onPolicy: (update: PolicyUpdate) => void;
 }
 
-/** Registers a daemon with the platform and reports changes of the fleet and of the policy. */
+/** Registers a daemon with the platform; reports each read machine list and each newer policy. */
 export class PlatformClient {
   private readonly policyFollower: PolicyFollower;
   private pollTimer: TimerHandle;
--- a/src/server/settings-schema.ts
+++ b/src/server/settings-schema.ts
@@ -29,7 +29,7 @@
 }
 
 function port(description: string) {
-  return integer(0, 'port', `${description}; 0 lets the system choose`, 0, MAX_PORT);
+  return integer(0, 'port', `${description}; 0 lets the operating system choose`, 0, MAX_PORT);
 }
 
 function integer(
@@ -84,146 +84,152 @@
 
 const processSection = z.strictObject({
   role: requiredChoice(['entry', 'agent'], 'Role of this process'),
-  name: requiredText('Name of the entry, or name of the engine that the agent stands beside'),
+  name: requiredText("Name of the entry, or of the agent's engine"),
   region: requiredText('Region of the machine'),
   zone: requiredText('Zone of the machine'),
   place: requiredText('Place (hall) of the machine'),
 });
 
 const listenSection = z.strictObject({
-  address: text('127.0.0.1', 'Address that every listener binds to and that peers connect to'),
-  protocolPort: port('Port for the protocol between processes (agent)'),
-  callersPort: port("Port of the callers' interface (entry)"),
-  operatorsPort: port('Port for health, readiness, status and explanations'),
-  maxConnections: count(4_096, 'Most connections of one listener'),
-  maxBodyBytes: bytes(4 * 1_048_576, "Longest body of a caller's request"),
-  maxHeaderBytes: bytes(16_384, "Longest header of a caller's request"),
-  headersTimeoutMs: milliseconds(10_000, 'Longest time for the header of a request'),
-  requestTimeoutMs: milliseconds(30_000, 'Longest time for a whole request to arrive'),
-  maxFrameBytes: bytes(16 * 1_048_576, 'Longest frame between processes'),
-  connectTimeoutMs: milliseconds(3_000, 'Longest time for a connection and its handshake'),
+  address: text('127.0.0.1', 'Address that all listeners bind to and that peers connect to'),
+  protocolPort: port('Port for connections from entries (agent)'),
+  callersPort: port('Port of the HTTP API for callers (entry)'),
+  operatorsPort: port('Port of the operator API: health, readiness, status, policy explanations'),
+  maxConnections: count(4_096, 'Maximum connections per listener, except the operator API'),
+  maxBodyBytes: bytes(4 * 1_048_576, "Maximum body size of a caller's request"),
+  maxHeaderBytes: bytes(16_384, "Maximum header size of a caller's request"),
+  headersTimeoutMs: milliseconds(10_000, "Timeout for receiving the header of a caller's request"),
+  requestTimeoutMs: milliseconds(30_000, "Timeout for receiving a caller's complete request"),
+  maxFrameBytes: bytes(16 * 1_048_576, 'Maximum size of a frame between entries and agents'),
+  connectTimeoutMs: milliseconds(3_000, 'Timeout for a connection and its handshake'),
 });
 
 const platformSection = z.strictObject({
   keyValueUrl: requiredText("Base URL of the platform's key-value service"),
   liveListUrl: requiredText("Base URL of the platform's list of machines"),
-  timeoutMs: milliseconds(2_000, 'Longest time for one call of the platform'),
-  liveListPollMs: milliseconds(2_000, 'Time between two reads of the list of machines'),
+  timeoutMs: milliseconds(2_000, 'Timeout of a platform request'),
+  liveListPollMs: milliseconds(2_000, 'Poll interval of the list of machines'),
 });
 
 const policySection = z.strictObject({
   readersPerZone: count(
     DEFAULT_FOLLOWER_OPTIONS.readersPerZone,
-    'Processes of a zone that keep a watch on the policy',
+    'Processes per zone that follow the policy by long polling',
   ),
-  watchMs: milliseconds(DEFAULT_FOLLOWER_OPTIONS.watchMs, 'Longest time that one watch waits'),
+  watchMs: milliseconds(DEFAULT_FOLLOWER_OPTIONS.watchMs, 'Maximum wait of a long poll'),
   pollMs: milliseconds(
     DEFAULT_FOLLOWER_OPTIONS.pollMs,
-    'Time between two polls of a process that keeps no watch',
+    'Poll interval of a process that does not use long polling',
   ),
-  retryMs: milliseconds(DEFAULT_FOLLOWER_OPTIONS.retryMs, 'First pause after a failed call'),
+  retryMs: milliseconds(DEFAULT_FOLLOWER_OPTIONS.retryMs, 'Initial backoff after a failed request'),
 });
 
 const entryDefaults = DEFAULT_ENTRY_OPTIONS;
 const entrySection = z.strictObject({
-  bidWidth: count(entryDefaults.bidWidth, 'Agents that a waiting request is offered to at once'),
+  bidWidth: count(
+    entryDefaults.bidWidth,
+    'Base number of agents to which a waiting request is offered at the same time',
+  ),
   maxWaitingRequests: count(
     entryDefaults.maxWaitingRequests,
-    'Most waiting requests; beyond it the lowest tier is shed',
+    'Maximum waiting requests; beyond it the lowest tier is shed',
   ),
-  maxWaitingBytes: bytes(entryDefaults.maxWaitingBytes, 'Most bytes of waiting requests'),
+  maxWaitingBytes: bytes(entryDefaults.maxWaitingBytes, 'Maximum total size of waiting requests'),
   urgentSlackMs: milliseconds(
     entryDefaults.urgentSlackMs,
-    'Slack before the latest start at which a request is offered everywhere',
+    'Time before its latest start at which a request becomes urgent',
   ),
   urgentGraceMs: milliseconds(
     entryDefaults.urgentGraceMs,
-    'Shortest time that urgent bids stand before their request may be shed',
+    'Minimum lifetime of urgent bids before their request may be refused ahead of its deadline',
   ),
   resumeTimeoutMs: milliseconds(
     entryDefaults.resumeTimeoutMs,
-    'How long a broken connection may take to come back before its answers are lost',
+    'Time allowed for reconnecting, after which the responses of a broken connection count as lost',
   ),
   pingIntervalMs: milliseconds(
     entryDefaults.pingIntervalMs,
-    'Silence after which a peer is probed',
+    'Time without sent messages after which a ping is sent to a peer',
   ),
   silenceTimeoutMs: milliseconds(
     entryDefaults.silenceTimeoutMs,
-    'Silence after which a connection is given up',
-  ),
-  reconnectMinMs: milliseconds(entryDefaults.reconnectMinMs, 'First pause before connecting again'),
-  reconnectMaxMs: milliseconds(
-    entryDefaults.reconnectMaxMs,
-    'Longest pause before connecting again',
+    'Time without received messages after which a connection is closed',
   ),
+  reconnectMinMs: milliseconds(entryDefaults.reconnectMinMs, 'Minimum reconnect backoff'),
+  reconnectMaxMs: milliseconds(entryDefaults.reconnectMaxMs, 'Maximum reconnect backoff'),
   agentsPerPool: count(
     entryDefaults.agentsPerPool,
-    "Most agents connected to for one model and place of the entry's region",
+    "Maximum connected agents per model and place in the entry's region",
   ),
   agentsPerRemotePool: count(
     entryDefaults.agentsPerRemotePool,
-    'Most agents connected to for one model and place of another region',
+    'Maximum connected agents per model and place in another region',
+  ),
+  retryAfterMs: milliseconds(
+    entryDefaults.retryAfterMs,
+    'Retry-After value of refusals that have a temporary cause',
   ),
-  retryAfterMs: milliseconds(entryDefaults.retryAfterMs, 'Retry-After of refusals under overload'),
   noEngineGraceMs: milliseconds(
     entryDefaults.noEngineGraceMs,
-    'How long a request waits while no permitted engine can be reached',
+    'Maximum wait of a request while no permitted engine is reachable',
   ),
-  defaultDeadlineMs: milliseconds(60_000, 'Deadline of a request that names none'),
-  maxDeadlineMs: milliseconds(600_000, 'Longest deadline that a request may name'),
+  defaultDeadlineMs: milliseconds(60_000, 'Default deadline of a request'),
+  maxDeadlineMs: milliseconds(600_000, 'Maximum deadline that a request may set'),
 });
 
 const agentDefaults = DEFAULT_AGENT_OPTIONS;
 const agentSection = z.strictObject({
-  backendUrl: text('', 'Base URL of the back end beside this agent'),
-  backendKind: choice(['engine', 'service'], 'engine', 'What stands beside this agent'),
-  capacity: count(agentDefaults.capacity, 'Requests that the back end runs at once'),
-  maxPaused: count(agentDefaults.maxPaused, 'Paused requests that the back end can hold'),
-  maxBids: count(agentDefaults.maxBids, 'Most bids held; beyond it the lowest tier is refused'),
-  callTimeoutMs: milliseconds(agentDefaults.callTimeoutMs, 'How long a call waits for its bind'),
+  backendUrl: text('', "Base URL of the agent's backend"),
+  backendKind: choice(['engine', 'service'], 'engine', "Kind of the agent's backend"),
+  capacity: count(agentDefaults.capacity, 'Maximum concurrent requests of the backend'),
+  maxPaused: count(agentDefaults.maxPaused, 'Maximum paused requests of the backend'),
+  maxBids: count(agentDefaults.maxBids, 'Maximum open bids; beyond it the lowest tier is refused'),
+  callTimeoutMs: milliseconds(
+    agentDefaults.callTimeoutMs,
+    'Timeout of a call that waits for its bind',
+  ),
   preemptAfterMs: milliseconds(
     agentDefaults.preemptAfterMs,
-    'How long a higher-tier bid waits before a lower tier makes room',
+    'Wait of a higher-tier bid before a lower-tier request is preempted',
   ),
   permitLifetimeMs: integer(
     agentDefaults.permitLifetimeMs,
     'ms',
-    'How long an entry may bind without a bid after a request of its ended; 0 for never',
+    'Lifetime of the permit that an entry gets when one of its requests ends; 0 disables permits',
     0,
     MAX_MS,
   ),
   answerRetentionMs: milliseconds(
     agentDefaults.answerRetentionMs,
-    'How long a finished answer waits to be acknowledged',
+    'Retention of a completed response that is not acknowledged',
   ),
   orphanTimeoutMs: milliseconds(
     agentDefaults.orphanTimeoutMs,
-    'How long a request runs on while its entry is not connected',
+    'Maximum time that a request keeps running while its entry is disconnected',
   ),
   policyWaitMs: milliseconds(
     agentDefaults.policyWaitMs,
-    'How long a bind waits for a policy generation not yet known',
+    'Maximum wait of a bind for a policy generation that the agent has not received',
   ),
   pingIntervalMs: milliseconds(
     agentDefaults.pingIntervalMs,
-    'Silence after which a peer is probed',
+    'Time without sent messages after which a ping is sent to a peer',
   ),
   silenceTimeoutMs: milliseconds(
     agentDefaults.silenceTimeoutMs,
-    'Silence after which a connection is given up',
+    'Time without received messages after which a connection is closed',
   ),
 });
 
 const logSection = z.strictObject({
-  level: choice(['debug', 'info', 'warn', 'error'], 'info', 'Lowest level that is logged'),
-  decisions: choice(['on', 'off'], 'on', 'Whether each routing decision gets a line'),
+  level: choice(['debug', 'info', 'warn', 'error'], 'info', 'Minimum log level'),
+  decisions: choice(['on', 'off'], 'on', 'Whether each routing decision is logged'),
 });
 
 const metricsSection = z.strictObject({
-  statsdHost: text('', 'Host that metrics are sent to; empty sends none'),
-  statsdPort: integer(8_125, 'port', 'Port that metrics are sent to', 1, MAX_PORT),
-  prefix: text('weirvale.', 'Prefix of every metric name'),
+  statsdHost: text('', 'StatsD host; empty disables sending metrics'),
+  statsdPort: integer(8_125, 'port', 'StatsD port', 1, MAX_PORT),
+  prefix: text('weirvale.', 'Prefix of all metric names'),
 });
 
 /** Sections, in the order of the reference page. */
--- a/test/agent.test.ts
+++ b/test/agent.test.ts
@@ -101,7 +101,7 @@
   t.deepEqual(kinds(send(core, bind(1, 1))), []);
 });
 
-test('an agent ignores messages of an earlier connection or for another entry', (t) => {
+test('an agent ignores messages from an earlier connection or about a request of another entry', (t) => {
   const core = createAgent();
   connect(core, 2);
   t.deepEqual(send(core, bind(1, 1), 1, 1), []);
--- a/test/daemon.test.ts
+++ b/test/daemon.test.ts
@@ -69,8 +69,8 @@
   await waitUntil(() => isReady(entry.operators));
 
   const plain = await sendRequest(entry.callers, chat('hello'));
-  const answer = JSON.parse(plain.text) as { choices: [{ message: { content: string } }] };
-  t.is(answer.choices[0].message.content, responseText('hello', 20));
+  const completion = JSON.parse(plain.text) as { choices: [{ message: { content: string } }] };
+  t.is(completion.choices[0].message.content, responseText('hello', 20));
   const streamed = await sendRequest(entry.callers, chat('hello', true));
   t.true(streamed.text.endsWith('data: [DONE]\n\n'));
 
