--- a/src/agent/commands/start-request.ts
+++ b/src/agent/commands/start-request.ts
@@ -137,7 +137,7 @@
     victim.request,
     `preempted by ${request.id}; the limit of paused requests is reached`,
   );
-  failRequest(context, victim, 'preempted', 'preempted by a request of a higher tier');
+  failRequest(context, victim, 'preempted', 'a higher tier took the engine');
 }
 
 function startRequest(
--- a/src/agent/commands/stream-response.ts
+++ b/src/agent/commands/stream-response.ts
@@ -90,7 +90,7 @@
     return;
   }
   if (context.state.records.statusOf(id) === 'unknown') {
-    const detail = 'the agent no longer has a record of the request';
+    const detail = 'the agent keeps no record of the request any more';
     context.send(peer, { kind: 'answer-failed', id, reason: 'engine-lost', detail });
     return;
   }
--- a/src/entry/commands/accept-request.ts
+++ b/src/entry/commands/accept-request.ts
@@ -100,12 +100,12 @@
   const { options, replica, isLeaving, activeByTenant } = context.state;
   const { description } = request;
   if (isLeaving) {
-    return notExecutedRefusal('draining', 'this entry is shutting down', options.retryAfterMs);
+    return notExecutedRefusal('draining', 'this entry is leaving', options.retryAfterMs);
   }
   if (replica.generation === 0) {
     return notExecutedRefusal(
       'platform-unavailable',
-      'this entry has not received a policy yet',
+      'no policy is known here yet',
       options.retryAfterMs,
     );
   }
@@ -115,14 +115,14 @@
   if (!description.isRepeatable && description.idempotencyKey === undefined) {
     return notExecutedRefusal(
       'invalid-request',
-      'a request that is not repeatable needs an Idempotency-Key',
+      'a request that may not be repeated needs an Idempotency-Key',
     );
   }
   const maxConcurrent = replica.policy.tenants.get(description.tenant)?.maxConcurrent ?? 0;
   if ((activeByTenant.get(description.tenant) ?? 0) > maxConcurrent) {
     return notExecutedRefusal(
       'tenant-limit',
-      'the tenant has reached its limit of concurrent requests at this entry',
+      'the tenant has too many requests here',
       options.retryAfterMs,
     );
   }
@@ -146,7 +146,7 @@
       requestPreemption(context, victim);
       return undefined;
     }
-    const detail = 'the queue is full and the request was of the lowest tier in it';
+    const detail = 'the queue is full and this was the lowest tier in it';
     const refusal = notExecutedRefusal('overloaded', detail, options.retryAfterMs);
     if (victim === request) {
       return refusal;
--- a/src/entry/commands/manage-peers.ts
+++ b/src/entry/commands/manage-peers.ts
@@ -114,7 +114,7 @@
   }
   const { resumeTimeoutMs, retryAfterMs } = context.state.options;
   if (context.nowMs - disconnectedAtMs >= resumeTimeoutMs) {
-    const detail = 'the connection to the agent was lost and not restored in time';
+    const detail = 'the connection to the engine broke and did not come back';
     refuseRequest(context, request, possiblyExecutedRefusal('engine-lost', detail, retryAfterMs));
   }
 }
@@ -204,7 +204,7 @@
     return;
   }
   if (request.binding.incarnation !== incarnation) {
-    const detail = 'the agent of the engine was restarted';
+    const detail = 'the process beside the engine was restarted';
     const { retryAfterMs } = context.state.options;
     refuseRequest(context, request, possiblyExecutedRefusal('engine-lost', detail, retryAfterMs));
     return;
--- a/src/entry/entry-core.ts
+++ b/src/entry/entry-core.ts
@@ -238,7 +238,7 @@
     }
     const { retryAfterMs } = this.state.options;
     if (outcome === 'taken') {
-      const detail = 'this Idempotency-Key was already used; the earlier request may have run';
+      const detail = 'this Idempotency-Key was used before; that request may have run';
       refuseRequest(context, request, possiblyExecutedRefusal('duplicate-request', detail));
       return;
     }
@@ -280,7 +280,7 @@
   private refuseIfNoLongerPermitted(context: EntryEventContext, request: ActiveRequest): void {
     const isUnbound = request.phase !== 'bound';
     if (isUnbound && permittedEngines(this.state, request).engines.length === 0) {
-      const detail = 'the current policy no longer permits this request on any engine';
+      const detail = 'policy changed and no longer permits this request on any engine';
       refuseRequest(context, request, notExecutedRefusal('not-permitted', detail));
     }
   }
--- a/src/server/caller-request.ts
+++ b/src/server/caller-request.ts
@@ -74,7 +74,7 @@
   limits: DeadlineLimits,
 ): Result<CallerRequest, Refusal> {
   if (replica.generation === 0) {
-    return err(notExecutedRefusal('platform-unavailable', 'no policy has been loaded yet', 2_000));
+    return err(notExecutedRefusal('platform-unavailable', 'no policy is known here yet', 2_000));
   }
   const tenant = authenticateTenant(request, replica);
   if (tenant === undefined) {
@@ -91,7 +91,7 @@
   if (path.startsWith(SERVICES_PREFIX)) {
     return parseServiceRequest(request, body, { id, tenant, ...headers.val });
   }
-  return err(notExecutedRefusal('invalid-request', `unknown path ${path.slice(0, 100)}`));
+  return err(notExecutedRefusal('invalid-request', `there is nothing at ${path.slice(0, 100)}`));
 }
 
 type CallerHeaders = Pick<
@@ -131,7 +131,7 @@
     dataLabels === 'fault'
   ) {
     return err(
-      notExecutedRefusal('invalid-request', `invalid header: ${invalidHeaders.join(', ')}`),
+      notExecutedRefusal('invalid-request', `unusable header: ${invalidHeaders.join(', ')}`),
     );
   }
   return ok({
@@ -149,12 +149,12 @@
   common: CommonRequestFields,
 ): Result<CallerRequest, Refusal> {
   if (request.method !== 'POST') {
-    return err(notExecutedRefusal('invalid-request', `${CHAT_PATH} only accepts POST`));
+    return err(notExecutedRefusal('invalid-request', `${CHAT_PATH} takes POST only`));
   }
   const parsed = chatSchema.safeParse(parseJson(body));
   if (!parsed.success) {
     const issue = parsed.error.issues[0];
-    const detail = `the body is not a valid chat request: ${issue?.path.join('.')} ${issue?.message}`;
+    const detail = `the body is no chat request: ${issue?.path.join('.')} ${issue?.message}`;
     return err(notExecutedRefusal('invalid-request', detail));
   }
   const chat = parsed.data;
--- a/src/server/http-backend.ts
+++ b/src/server/http-backend.ts
@@ -175,7 +175,7 @@
 
   end(): void {
     if (!this.isDone) {
-      const detail = 'the engine closed the stream before [DONE]';
+      const detail = 'the engine closed the stream before its end';
       this.onEvent({ kind: 'engine-failed', id: this.id, isNotStarted: false, detail });
       return;
     }
