--- a/src/cluster/cluster-store.ts
+++ b/src/cluster/cluster-store.ts
@@ -49,9 +49,10 @@
 /** Write calls of the store. */
 export interface StoreWriter {
   /**
-   * Writes `text` to `key` if the key is at position `expected` (revision 0: the key does not exist
-   * in that epoch). A write without a response may have been applied, or may still be applied
-   * later. Sends nothing if the store is known to be in a later epoch than `expected`.
+   * Writes `text` to `key` if the key is at position `expected`; revision 0 requires that the key
+   * does not exist, in any epoch. A write without a response may have been applied, or may still be
+   * applied later. Sends nothing if `expected` has a revision above 0 and the store is known to be
+   * in a later epoch.
    *
    * @returns the position of the write
    */
--- a/src/cluster/peer-mesh.ts
+++ b/src/cluster/peer-mesh.ts
@@ -39,7 +39,10 @@
   readonly retryMaxMs: number;
   /** Connect timeout. Default: 1,000. */
   readonly connectTimeoutMs: number;
-  /** Consecutive failures after which an address that is not a seed is dropped. Default: 8. */
+  /**
+   * Maximum consecutive failures of an address that is not a seed; it is dropped after one more.
+   * Default: 8.
+   */
   readonly maxFailures: number;
   /** Maximum open connections; further addresses replace those that fail. Default: no limit. */
   readonly maxConnections: number;
@@ -72,7 +75,10 @@
   isSelected: boolean;
   isOpen: boolean;
   failures: number;
-  /** When the connection last opened or a message of its peer last arrived, in milliseconds. */
+  /**
+   * When the connection last opened, its replacement was last started or a message of its peer last
+   * arrived, in milliseconds.
+   */
   lastActiveAtMs: number;
   /** When the connection opened, in milliseconds. */
   openedAtMs: number;
@@ -239,8 +245,9 @@
   }
 
   /**
-   * Opens the connection to a peer that sent a hello at once, without waiting for the backoff, if
-   * it is down or the peer receives nothing on it.
+   * Reconnects at once, without waiting for the backoff, to a peer that sent a hello: if the
+   * next connection to it is scheduled, or if it receives nothing on one that opened at least
+   * `MIN_CONNECTION_AGE_MS` ago.
    */
   private reopenAfterHello({ address, hearsNothing }: PeerHello): void {
     const peer = this.outgoing.get(address);
@@ -264,7 +271,7 @@
     const socket = this.network.connect(port, host);
     const timer = this.clock.setTimeout(() => socket.destroy(), this.options.connectTimeoutMs);
     const channel = new MessageChannel<PeerMessage, PeerMessage>(socket, {
-      onMessage: (message) => this.handlers.onReply(message, (answer) => channel.send(answer)),
+      onMessage: (message) => this.handlers.onReply(message, (reply) => channel.send(reply)),
       onClose: () => {
         this.clock.clearTimeout(timer);
         if (peer.channel === channel) {
@@ -283,10 +290,10 @@
 
   /** Makes `channel` the connection to `peer` and closes the previous one, if any. */
   private activate(peer: OutgoingPeer, channel: MessageChannel<PeerMessage, PeerMessage>): void {
-    const earlier = peer.channel;
+    const previous = peer.channel;
     peer.channel = channel;
-    if (earlier !== channel) {
-      earlier?.close();
+    if (previous !== channel) {
+      previous?.close();
     }
     this.sendHello(peer, channel);
   }
@@ -321,7 +328,7 @@
           hello = message;
           this.handleHello(message);
         } else if (hello !== undefined) {
-          this.handleMessage(hello, message, (answer) => channel.send(answer));
+          this.handleMessage(hello, message, (reply) => channel.send(reply));
         }
       },
       onClose: () => undefined,
@@ -332,9 +339,9 @@
     if (hello.role === 'replica') {
       return;
     }
-    const earlier = this.incarnations.get(hello.name);
-    if (earlier !== undefined && earlier !== hello.incarnation) {
-      this.handlers.onPeerChange(earlier, false);
+    const previous = this.incarnations.get(hello.name);
+    if (previous !== undefined && previous !== hello.incarnation) {
+      this.handlers.onPeerChange(previous, false);
     }
     this.hasReceivedHello = true;
     this.incarnations.set(hello.name, hello.incarnation);
--- a/src/cluster/peer-messages.ts
+++ b/src/cluster/peer-messages.ts
@@ -20,7 +20,7 @@
   readonly kind: 'hello';
   readonly role: PeerRole;
   readonly name: string;
-  /** Identifies one run of the process. */
+  /** Identifies one start of the process. */
   readonly incarnation: string;
   /** Address that it listens on, IP:PORT; empty if it accepts no connections. */
   readonly address: string;
@@ -42,6 +42,7 @@
 /** Heartbeat of a gateway, with the progress of its replica of the store. */
 export interface PeerHeartbeat {
   readonly kind: 'beat';
+  /** Progress of the sender's replica. */
   readonly reach: ReplicaProgress;
   /**
    * Age of the store's state that the replica reflects, in milliseconds; missing if it has none.
@@ -59,22 +60,22 @@
   readonly rollouts?: PeerRolloutReports | undefined;
 }
 
-/** Crash counts of requests that crash back ends, sent when the sender's counts have changed. */
+/** Crash counts of requests that crash backends, sent when the sender's counts have changed. */
 export interface PeerCrashReports {
   readonly kind: 'crashes';
   readonly requests: readonly RequestCrashes[];
 }
 
-/** Conditions that back ends reported of themselves, sent when the sender has newer ones. */
+/** Conditions that backends reported of themselves, sent when the sender has newer ones. */
 export interface PeerBackendConditions {
   readonly kind: 'conditions';
   readonly conditions: readonly ConditionSnapshot[];
 }
 
-/** Requests the right to send one request to a back end that reported a limit. */
+/** Requests from the issuer of send rights the right to send one request to a limited backend. */
 export interface PeerSendRightRequest extends SendRightRequest {
   readonly kind: 'send-right-ask';
-  /** Condition of the back end as the requesting gateway knows it. */
+  /** Condition of the backend as the requesting gateway knows it. */
   readonly condition?: ConditionSnapshot | undefined;
 }
 
--- a/src/cluster/record-exchange.ts
+++ b/src/cluster/record-exchange.ts
@@ -17,6 +17,7 @@
 /** Reports the progress of a replica. */
 export interface ReplicaProgressReport {
   readonly kind: 'reach';
+  /** Progress of the sender's replica. */
   readonly reach: ReplicaProgress;
 }
 
@@ -47,7 +48,7 @@
 export interface RecordExchangeOptions {
   /** Time to wait for changes from the store before fetching them from a replica. Default: 300. */
   readonly storeGraceMs: number;
-  /** Time after which an unanswered fetch is abandoned for another replica. Default: 400. */
+  /** Time without a response after which another replica is fetched from. Default: 400. */
   readonly responseTimeoutMs: number;
 }
 
@@ -59,6 +60,7 @@
 
 /** A replica that is ahead of this one. */
 interface ReplicaAhead {
+  /** The progress that it last reported. */
   readonly reach: ReplicaProgress;
   readonly sendFetch: SendFetch;
   /** Sequence number of the last fetch sent to it; 0 for none. */
@@ -119,8 +121,8 @@
   }
 
   /** Applies the response to a fetch of this replica. */
-  handleResponse(answer: RecordsResponse): void {
-    this.ports.onApplied(this.records.applyUpdate(answer));
+  handleResponse(response: RecordsResponse): void {
+    this.ports.onApplied(this.records.applyUpdate(response));
     this.clock.clearTimeout(this.timer);
     this.timer = undefined;
     if (this.fetchSource !== undefined) {
--- a/src/cluster/replicated-records.ts
+++ b/src/cluster/replicated-records.ts
@@ -49,8 +49,10 @@
 export const NO_PROGRESS: ReplicaProgress = { completeTo: NO_POSITION, currentTo: NO_POSITION };
 
 /** Whether `progress` is later than `other` in at least one of its positions. */
-export function isAheadOf(reach: ReplicaProgress, other: ReplicaProgress): boolean {
-  return isLater(reach.completeTo, other.completeTo) || isLater(reach.currentTo, other.currentTo);
+export function isAheadOf(progress: ReplicaProgress, other: ReplicaProgress): boolean {
+  return (
+    isLater(progress.completeTo, other.completeTo) || isLater(progress.currentTo, other.currentTo)
+  );
 }
 
 /** The records of a replica that are later than a position. */
@@ -81,8 +83,8 @@
   private current = NO_POSITION;
   private epochStart = NO_POSITION;
   /**
-   * Every change after this position is known individually, removals included. It rises with each
-   * complete listing, which shows the existing keys but no earlier removals, and with each
+   * Every change after this position is known individually, removals included. It advances with
+   * each complete listing, which shows the existing keys but no earlier removals, and with each
    * tombstone that is dropped to bound memory.
    */
   private historyStart = NO_POSITION;
@@ -121,8 +123,8 @@
   }
 
   /** Whether a replica with the progress `progress` has something that this one lacks. */
-  isBehind(reach: ReplicaProgress): boolean {
-    return isAheadOf(reach, this.progress);
+  isBehind(progress: ReplicaProgress): boolean {
+    return isAheadOf(progress, this.progress);
   }
 
   /** Returns the known records that are later than those of `read` with the same keys. */
@@ -306,6 +308,6 @@
 
 /** Whether two records of a key are the same write, held by the store in two epochs. */
 function isSameWrite(left: StoreRecord, right: StoreRecord): boolean {
-  const isOfTwoEpochs = left.epoch !== right.epoch;
-  return isOfTwoEpochs && haveSameRevision(left, right) && left.value === right.value;
+  const haveDifferentEpochs = left.epoch !== right.epoch;
+  return haveDifferentEpochs && haveSameRevision(left, right) && left.value === right.value;
 }
--- a/src/cluster/response-epoch-tracker.ts
+++ b/src/cluster/response-epoch-tracker.ts
@@ -29,7 +29,8 @@
 
   /**
    * Whether `position` belongs to an epoch before the newest one, so that a conditional write must
-   * not use it.
+   * not use it. False for a position before the first change, whatever its epoch: it only requires
+   * that the key does not exist.
    */
   isSuperseded(position: StorePosition): boolean {
     return !isNoPosition(position) && position.epoch < this.newestEpoch;
--- a/src/cluster/store-caller.ts
+++ b/src/cluster/store-caller.ts
@@ -15,7 +15,7 @@
 /** How a call of the store ended, for metrics. */
 export type StoreCallResult = 'answered' | 'history-gone' | 'failed';
 
-/** Outcome of a call by the time that it was overdue. */
+/** Outcome of a call: a response, a failure, or neither before the call was overdue. */
 export type CallOutcome =
   | { readonly kind: 'answered'; readonly read: StoreRead }
   | { readonly kind: 'failed'; readonly error: WeirvaleError }
@@ -71,10 +71,10 @@
   }
 
   /**
-   * Makes a call and waits until it is answered or overdue. It does not wait for the timeout of the
-   * client: until then, the process would count as a working reader of the store, for itself and
-   * for its peers, although it receives nothing. A response that arrives after the call was overdue
-   * is still processed.
+   * Makes a call and waits until it has a response, has failed or is overdue. It does not wait for
+   * the timeout of the client: until then, the process would count as a working reader of the
+   * store, for itself and for its peers, although it receives nothing. A response that arrives
+   * after the call was overdue is still processed.
    */
   execute<Failure extends WeirvaleError>({
     call,
--- a/src/cluster/store-follower.ts
+++ b/src/cluster/store-follower.ts
@@ -34,14 +34,19 @@
   onChanges(read: StoreRead, since: StorePosition): void;
   /** The response of a watch has position `read`, but contains changes only up to `seenTo`. */
   onChangesMissing(seenTo: StorePosition, read: StorePosition): void;
-  /** Discarded a response of another epoch than `asked`, the epoch of the call. */
-  onEpochMismatch(call: StoreCall, asked: number, read: StorePosition): void;
+  /**
+   * Discarded a listing of an earlier epoch than the newest known one, or a watch that is of
+   * another epoch than its start position or of an earlier one than the newest known one.
+   * `expectedEpoch` is the newest known epoch for a listing, and that of the start position for a
+   * watch.
+   */
+  onEpochMismatch(call: StoreCall, expectedEpoch: number, read: StorePosition): void;
   /**
    * The store became reachable or unreachable; `heldMs` is the duration of the call that showed it,
    * in milliseconds.
    */
   onReachabilityChange(isReachable: boolean, reason: string, heldMs: number): void;
-  /** Number of processes that follow the store and exchange changes, including this one. */
+  /** Estimated number of processes that follow the store and exchange changes, with this one. */
   countFollowers(): number;
   /**
    * Whether this process must follow the store itself; otherwise it receives changes from peers.
@@ -70,21 +75,22 @@
    */
   readonly watchMs: number;
   /**
-   * Pause after a watch that returned changes, to coalesce further ones, with few followers.
-   * Default 150.
+   * Delay of the next watch after one that returned changes, to coalesce further ones, with few
+   * followers. Default 150.
    */
   readonly coalesceMs: number;
   /**
-   * Number of followers above which the pause grows in proportion to it: followers exchange changes
-   * with each other, so not every one of them needs to read each change from the store. Default 4.
+   * Number of followers above which the delay grows in proportion to their number: followers
+   * exchange changes with each other, so not every one of them needs to read each change from the
+   * store. Default 4.
    */
   readonly coalesceFollowers: number;
-  /** Maximum pause after a watch that returned changes. Default 1,200. */
+  /** Maximum delay of the next watch after one that returned changes. Default 1,200. */
   readonly coalesceMaxMs: number;
   /** Initial and maximum backoff after a failed call. Defaults 50 and 400. */
   readonly retryMinMs: number;
   readonly retryMaxMs: number;
-  /** Time without a response from which on a loss of the store counts as an outage. Default 500. */
+  /** Minimum time without a response for a loss of the store to count as an outage. Default 500. */
   readonly outageMs: number;
   /**
    * Time after an outage, or after a restore from a backup, in which live owners write lost records
@@ -157,7 +163,10 @@
     }
   }
 
-  /** Whether the last call succeeded; undefined before the first call and after an idle period. */
+  /**
+   * Whether the last call succeeded; a dropped history or a discarded response leaves it unchanged.
+   * Undefined before the first call and after an idle period.
+   */
   get isReachable(): boolean | undefined {
     return this.reachable;
   }
@@ -167,7 +176,7 @@
     this.isStopped = true;
   }
 
-  /** Whether this process follows the store and its last call was neither failed nor overdue. */
+  /** Whether this process follows the store and its last call succeeded; see `isReachable`. */
   get isFollowing(): boolean {
     return !this.isIdle && this.reachable === true;
   }
@@ -295,7 +304,7 @@
         return undefined;
       }
       if (hasChanges) {
-        await sleep(this.clock, this.coalescePauseMs());
+        await sleep(this.clock, this.coalesceDelayMs());
       }
       return outcome.read;
     }
@@ -311,7 +320,10 @@
     return undefined;
   }
 
-  /** A watch that ended without changes after its full wait confirms the replica as of its end. */
+  /**
+   * A watch that ended without changes after its full wait confirms the replica as of its end, any
+   * other as of its start.
+   */
   private confirmWatch(startedAtMs: number, waitMs: number, { records }: StoreRead): void {
     const endMs = startedAtMs + waitMs;
     const hasWaited = records.length === 0 && this.clock.now() >= endMs;
@@ -334,13 +346,13 @@
   }
 
   /**
-   * Pause after changes; randomized so that, among many followers, some are reading at any time.
+   * Delay after changes; randomized so that, among many followers, some are reading at any time.
    */
-  private coalescePauseMs(): number {
+  private coalesceDelayMs(): number {
     const { coalesceMs, coalesceFollowers, coalesceMaxMs } = this.options;
     const groups = Math.max(1, this.handlers.countFollowers() / coalesceFollowers);
-    const pauseMs = Math.min(coalesceMaxMs, coalesceMs * groups);
-    return groups === 1 ? pauseMs : withJitter(this.random, pauseMs, COALESCE_JITTER);
+    const delayMs = Math.min(coalesceMaxMs, coalesceMs * groups);
+    return groups === 1 ? delayMs : withJitter(this.random, delayMs, COALESCE_JITTER);
   }
 
   private recordSuccess(startedAtMs: number): void {
--- a/src/cluster/store-reader-selector.ts
+++ b/src/cluster/store-reader-selector.ts
@@ -4,10 +4,11 @@
  *
  * All gateways compute the same ranking from a hash of their incarnations. A gateway reads the
  * store unless enough gateways with a lower rank have recently reported in a heartbeat that they
- * read it successfully. There is no election: when a reader dies, is partitioned or loses the
- * store, its reports expire after `silenceMs` and the next gateways in rank start to read. A
- * gateway that receives no heartbeats reads the store itself, so each partition has its own
- * readers. The other gateways receive changes from the readers, by position.
+ * read it successfully. There is no election: when a reader loses the store, its next heartbeat
+ * reports that; when it dies or is partitioned, its last report expires after a timeout of at least
+ * `minSilenceMs`. In either case the next gateways in rank start to read. A gateway that receives
+ * no heartbeats reads the store itself, so each partition has its own readers. The other gateways
+ * receive changes from the readers, by position.
  *
  * In a deployment with several regions, each region has its own readers, so that a region that is
  * partitioned from the others but not from the store keeps reading without interruption.
--- a/src/round-trip.ts
+++ b/src/round-trip.ts
@@ -27,7 +27,7 @@
 
 /**
  * Cost of the bytes that one request sends to another region, expressed as latency in milliseconds.
- * Traffic between regions costs one to two in a hundred of the value of the requests that cross,
+ * Traffic between regions costs one to two percent of the value of the requests that cross,
  * and a late response loses most of its value: at latency targets of some hundred milliseconds, an
  * added latency of this much makes the same share of requests late.
  */
--- a/src/telemetry/bounded-output.ts
+++ b/src/telemetry/bounded-output.ts
@@ -6,7 +6,10 @@
 export interface BoundedOutputOptions {
   /** File descriptor. Default 1, standard output. */
   readonly descriptor: number;
-  /** Maximum number of bytes that are buffered for writing. Default 1 MiB. */
+  /**
+   * Maximum number of bytes that are buffered for writing, counted as one per UTF-16 code unit.
+   * Default 1 MiB.
+   */
   readonly maxPendingBytes: number;
 }
 
--- a/src/telemetry/line-rate-limiter.ts
+++ b/src/telemetry/line-rate-limiter.ts
@@ -5,7 +5,7 @@
 
 /** Options of `LineRateLimiter`. */
 export interface LineRateLimiterOptions {
-  /** Maximum number of lines per second over all priorities. Default 400. */
+  /** Maximum number of lines per second over all priorities; 200 unless `log.linesPerS` is set. */
   readonly linesPerS: number;
 }
 
--- a/src/telemetry/metrics-endpoint.ts
+++ b/src/telemetry/metrics-endpoint.ts
@@ -33,7 +33,7 @@
 
   /** Serves the metrics on `port`, under every path. */
   serve(host: string, port: number): void {
-    this.server = createServer((_request, response) => void this.answer(response));
+    this.server = createServer((_request, response) => void this.respond(response));
     this.server.on('error', () => undefined);
     this.server.listen(port, host);
   }
@@ -53,7 +53,7 @@
     this.pendingUpdates = [];
   }
 
-  private async answer(response: ServerResponse): Promise<void> {
+  private async respond(response: ServerResponse): Promise<void> {
     if (this.instruments === undefined) {
       response.writeHead(HTTP_UNAVAILABLE);
       response.end();
--- a/test/peer-mesh-reconnect.test.ts
+++ b/test/peer-mesh-reconnect.test.ts
@@ -1,6 +1,6 @@
 /**
- * Reconnection between two gateways after a partition. Guards against a path that stays silent in
- * one direction for seconds after a one-way cut ends: the connection that carries the messages of
+ * Reconnection between two gateways after a partition. Guards against a path on which one direction
+ * carries nothing for seconds after a one-way cut ends: the connection that carries the messages of
  * one gateway waits for the TCP retransmission timer, whose intervals double, and the other
  * gateway, which receives nothing, can reopen only the connection that carries its own messages.
  */
@@ -79,8 +79,10 @@
     );
     mesh.listen(name, PORT);
     mesh.start();
-    this.repeat(HEARTBEAT_MS, () => host.runWhenActive(() => mesh.broadcast(HEARTBEAT)));
-    this.repeat(TICK_MS, () => host.runWhenActive(() => mesh.reconnectSilentPeers(SILENCE_MS)));
+    this.scheduleEvery(HEARTBEAT_MS, () => host.runWhenActive(() => mesh.broadcast(HEARTBEAT)));
+    this.scheduleEvery(TICK_MS, () =>
+      host.runWhenActive(() => mesh.reconnectSilentPeers(SILENCE_MS)),
+    );
   }
 
   async run(forMs: number): Promise<void> {
@@ -90,10 +92,10 @@
     }
   }
 
-  private repeat(periodMs: number, act: () => void): void {
+  private scheduleEvery(periodMs: number, act: () => void): void {
     this.clock.setTimeout(() => {
       act();
-      this.repeat(periodMs, act);
+      this.scheduleEvery(periodMs, act);
     }, periodMs);
   }
 }
--- a/test/platform-headers.test.ts
+++ b/test/platform-headers.test.ts
@@ -24,7 +24,7 @@
   return headers.filter((_, index) => headers[index - 1]?.toLowerCase() === name.toLowerCase());
 }
 
-test('values that a caller sends in reserved headers do not reach a back end', (t) => {
+test('values that a caller sends in reserved headers do not reach a backend', (t) => {
   const received = FORGED.flatMap((name) => [name.toLowerCase(), 'forged']);
   const headers = PLATFORM_PROTOCOL.attemptHeaders(received, ATTEMPT);
   t.false(headers.includes('forged'));
@@ -37,7 +37,7 @@
   t.deepEqual([...read.reservedHeaders].sort(), FORGED.map((name) => name.toLowerCase()).sort());
 });
 
-test('headers that callers may set reach a back end unchanged', (t) => {
+test('headers that callers may set reach a backend unchanged', (t) => {
   const names = [
     'X-Weirvale-Attempt-Id',
     'X-Weirvale-Model',
--- a/test/platform-isolation.test.ts
+++ b/test/platform-isolation.test.ts
@@ -5,7 +5,7 @@
 /** Names of the platform, which only the adapter may contain. */
 const PLATFORM_NAMES =
   /X-Weirvale-|op\/config|servers\/|\/-\/|WEIRVALE_SETTINGS|pathPrefix=|kv-(key|range|watch|txn|lease)|apiKeys['"]|gapAimMs|ratePerS['"]|coldRemainingMs/;
-/** Modules that make decisions; the adapter may import only interfaces, plumbing and roles. */
+/** Modules that make decisions; the adapter may import only interfaces, utilities and roles. */
 const DECIDING_MODULES =
   /gateway\/(\w+\/)?(dispatcher|proxied-request|retry-budget|backend-health)|quotas\/|slot-allocator|routing-table|policy\//;
 
--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -60,9 +60,9 @@
 }
 
 async function statusOf(gateway: RunningGateway, headers: Record<string, string> = {}) {
-  const answer = await call(gateway, headers);
-  await answer.body.dump();
-  return answer.statusCode;
+  const response = await call(gateway, headers);
+  await response.body.dump();
+  return response.statusCode;
 }
 
 function respondOk(_seen: unknown, response: ServerResponse): void {
@@ -70,17 +70,17 @@
   response.end('good');
 }
 
-test("a back end gets the request unchanged, with the key's tenant and time left", async (t) => {
+test("a backend gets the request unchanged, with the key's tenant and time left", async (t) => {
   const store = new FakeStore();
   const backend = new FakeBackend('w-1', respondOk);
   store.put('op/config', configuration(1));
   store.announce('w-1', { service: 's', address: await backend.start(), slots: 2 });
   const gateway = await startGateway('g', await store.start());
   await until(() => isReady(gateway));
-  const answer = await call(gateway);
-  t.is(answer.statusCode, 200);
-  t.is(await answer.body.text(), 'good');
-  t.is(answer.headers['x-weirvale-server-seal'], 'seal');
+  const response = await call(gateway);
+  t.is(response.statusCode, 200);
+  t.is(await response.body.text(), 'good');
+  t.is(response.headers['x-weirvale-server-seal'], 'seal');
   const seen = backend.received[0]!;
   t.deepEqual([seen.method, seen.path, seen.body], ['POST', '/a/x?y=1', 'the body']);
   t.is(seen.headers['x-weirvale-attempt-id'], 'id-1');
@@ -174,13 +174,16 @@
   store.stop();
 });
 
-test('a gateway that the store refuses gets drains and configurations from peers', async (t) => {
+test('a gateway that the store refuses learns draining backends and configurations from peers', async (t) => {
   const [store, refusingStore] = [new FakeStore(), new FakeStore()];
   refusingStore.behavior = 'refuses';
-  const [leaving, staying] = [new FakeBackend('w-1', respondOk), new FakeBackend('w-2', respondOk)];
-  const leavingAddress = await leaving.start();
+  const [draining, staying] = [
+    new FakeBackend('w-1', respondOk),
+    new FakeBackend('w-2', respondOk),
+  ];
+  const drainingAddress = await draining.start();
   store.put('op/config', configuration(1));
-  store.announce('w-1', { service: 's', address: leavingAddress, slots: 2 });
+  store.announce('w-1', { service: 's', address: drainingAddress, slots: 2 });
   const connected = await startGateway('g-1', await store.start());
   const disconnected = await startGateway('g-2', await refusingStore.start(), [connected.peers]);
   await until(() => isReady(disconnected));
@@ -188,20 +191,20 @@
   const stayingAddress = await staying.start();
   store.announce('w-1', {
     service: 's',
-    address: leavingAddress,
+    address: drainingAddress,
     slots: 2,
     state: 'draining',
   });
-  // A gateway that has this change also has the drain, which has the lower revision.
+  // A gateway that has this change also has the draining state, which has the lower revision.
   store.announce('w-2', { service: 's', address: stayingAddress, slots: 2 });
   await until(async () => (await statusOf(disconnected)) === 200 && staying.received.length > 0);
-  const before = leaving.received.length;
+  const before = draining.received.length;
   for (let index = 0; index < 5; index += 1) {
     t.is(await statusOf(disconnected), 200);
   }
-  t.is(leaving.received.length, before);
+  t.is(draining.received.length, before);
   [connected, disconnected].forEach(({ gateway }) => gateway.stop(() => undefined));
-  [leaving, staying].forEach((backend) => backend.stop());
+  [draining, staying].forEach((backend) => backend.stop());
   [store, refusingStore].forEach((each) => each.stop());
 });
 
@@ -282,7 +285,7 @@
   }
 });
 
-test('a back end that answers 421 is not tried again, and the request is retried', async (t) => {
+test('a backend that responds with 421 gets no further attempt, and the request is retried on another', async (t) => {
   const store = new FakeStore();
   const backend = new FakeBackend('w-new', respondOk);
   const address = await backend.start();
@@ -323,7 +326,7 @@
   store.stop();
 });
 
-test('a request smuggled behind a body does not reach a back end', async (t) => {
+test('a request smuggled behind a body does not reach a backend', async (t) => {
   const store = new FakeStore();
   const backend = new FakeBackend('w-1', respondOk);
   store.put('op/config', configuration(1));
@@ -332,7 +335,7 @@
   await until(() => isReady(gateway));
   const [, , authority] = gateway.callers.split('/');
   const [host, port] = authority!.split(':');
-  const answer = await new Promise<string>((resolve) => {
+  const response = await new Promise<string>((resolve) => {
     const socket = connect(Number(port), host);
     let text = '';
     socket.on('data', (bytes) => (text += bytes.toString()));
@@ -343,7 +346,7 @@
         `GET /a/smuggled HTTP/1.1\r\nHost: a.example\r\nAuthorization: Bearer ${KEY}\r\n\r\n`,
     );
   });
-  t.true(answer.startsWith('HTTP/1.1 400'));
+  t.true(response.startsWith('HTTP/1.1 400'));
   t.is(backend.received.length, 0);
   gateway.gateway.stop(() => undefined);
   backend.stop();
@@ -376,13 +379,13 @@
 });
 
 test('records of the store are listed in pages', async (t) => {
-  const standin = new FakeStore();
+  const fakeStore = new FakeStore();
   for (let index = 0; index < 8; index += 1) {
-    standin.put(`servers/w-${index}`, { service: 's', address: '10.0.0.1:1' });
+    fakeStore.put(`servers/w-${index}`, { service: 's', address: '10.0.0.1:1' });
   }
-  standin.remove('servers/w-3');
-  const read = (await new PlatformStore(await standin.start(), 500).list()).unwrap();
+  fakeStore.remove('servers/w-3');
+  const read = (await new PlatformStore(await fakeStore.start(), 500).list()).unwrap();
   t.is(read.records.length, 7);
   t.is(read.revision, 9);
-  standin.stop();
+  fakeStore.stop();
 });
--- a/test/record-exchange.test.ts
+++ b/test/record-exchange.test.ts
@@ -64,13 +64,13 @@
 
 test('fetches go to the replicas that are ahead in turn until one responds', async (t) => {
   const { clock, fetchedFrom, reportProgress, exchange } = startExchange(false);
-  reportProgress(6, 'deaf');
+  reportProgress(6, 'unresponsive');
   reportProgress(6, 'b');
   reportProgress(7, 'c');
   await clock.runUntil(500);
-  reportProgress(6, 'deaf');
+  reportProgress(6, 'unresponsive');
   await clock.runUntil(900);
-  t.deepEqual(fetchedFrom, ['deaf', 'b', 'c']);
+  t.deepEqual(fetchedFrom, ['unresponsive', 'b', 'c']);
   t.is(exchange.behindMs, 900);
   exchange.handleResponse({
     kind: 'records',
@@ -94,14 +94,14 @@
   );
   t.deepEqual(fetches, [{ kind: 'fetch', since: positionAt(5) }]);
   const added = { key: 'a', ...positionAt(7), value: 'v' };
-  const answer = {
+  const response = {
     kind: 'records',
     since: positionAt(5),
     isWhole: false,
     records: [added],
     epochStart: positionAt(0),
   } as const;
-  exchange.handleResponse({ ...answer, completeTo: positionAt(5), currentTo: positionAt(7) });
+  exchange.handleResponse({ ...response, completeTo: positionAt(5), currentTo: positionAt(7) });
   t.deepEqual(records.progress, { completeTo: positionAt(5), currentTo: positionAt(7) });
   t.is(exchange.behindMs, 0);
 });
--- a/test/replica.test.ts
+++ b/test/replica.test.ts
@@ -165,8 +165,8 @@
         if (message.kind === 'fetch') {
           const { since } = message;
           const reach = { completeTo: positionAt(3), currentTo: positionAt(3) };
-          const answer = { since, isWhole: false, records: [RECORD], epochStart: positionAt(0) };
-          channel.send({ kind: 'records', ...reach, ...answer });
+          const update = { since, isWhole: false, records: [RECORD], epochStart: positionAt(0) };
+          channel.send({ kind: 'records', ...reach, ...update });
           // Messages are processed in order: the response to this one shows that the records
           // arrived.
           channel.send({ kind: 'hello', gateway: 'dead', peersAddress: '', held: 0, slots: 1 });
@@ -180,7 +180,7 @@
   });
 }
 
-test('an agent passes the records of a gateway that exited to one that starts', async (t) => {
+test('a slot agent passes the records of a gateway that exited to one that starts', async (t) => {
   const [agentPort, gatewayPort] = [nextPort(), nextPort()];
   const seeds = [`${HOST}:${gatewayPort}`];
   const agent = new SlotAgentRole({
--- a/test/restored-replica.test.ts
+++ b/test/restored-replica.test.ts
@@ -30,7 +30,7 @@
   return replica.snapshot().find((record) => record.key === key)?.value;
 }
 
-test('a change written after the restore is applied, though its revision is below the known 10', (t) => {
+test('a change written after the restore is applied, though a higher revision was known', (t) => {
   const replica = replicaOf(recordOf('config', 10, 1, '5 five'));
   replica.mergeListing([recordOf('config', 4, 2, '3 three')], positionAt(6, 2));
   const [applied] = replica.applyChanges(
@@ -72,7 +72,7 @@
   t.is(valueOf(replica, 'lost'), undefined);
 });
 
-test('a removed back end stays removed, though the backup holds it', (t) => {
+test('a removed backend stays removed, though the backup holds it', (t) => {
   const replica = replicaOf(recordOf('backend', 5, 1, '7 ready'));
   replica.applyChanges(
     [{ key: 'backend', ...positionAt(11, 1), value: undefined }],
@@ -147,7 +147,7 @@
 
 test('settled replicas match the store, however often it is restored from backups', (t) => {
   const step = fc.record({
-    act: fc.constantFrom('put', 'put', 'remove', 'restore', 'list', 'count', 'watch', 'fetch'),
+    act: fc.constantFrom('put', 'put', 'remove', 'restore', 'list', 'settle', 'watch', 'fetch'),
     key: fc.constantFrom('a', 'b', 'c'),
     replica: fc.integer({ min: 0, max: 2 }),
     other: fc.integer({ min: 0, max: 2 }),
@@ -167,7 +167,7 @@
           store.restore(lost);
         } else if (act === 'list') {
           records.mergeListing(store.list(), store.position);
-        } else if (act === 'count') {
+        } else if (act === 'settle') {
           records.applyListing(store.list(), store.position);
         } else if (act === 'watch' && records.currentTo.epoch === store.epoch) {
           const since = records.currentTo;
@@ -192,7 +192,7 @@
   t.pass();
 });
 
-test('the value of a versioned key never goes back before settling, whatever the backups hold', (t) => {
+test('the version of a key never decreases before settling, whatever the backups hold', (t) => {
   const step = fc.record({
     act: fc.constantFrom('put', 'put', 'restore', 'list', 'watch', 'fetch'),
     replica: fc.integer({ min: 0, max: 2 }),
--- a/test/restored-store-faults.test.ts
+++ b/test/restored-store-faults.test.ts
@@ -17,11 +17,16 @@
  */
 async function findFailingRun(
   seeds: { readonly from: number; readonly to: number },
-  options: Omit<FaultRunOptions, 'seed' | 'lengthMs' | 'countsEpochs'>,
+  options: Omit<FaultRunOptions, 'seed' | 'lengthMs' | 'reportsEpochs'>,
 ) {
   for (let seed = seeds.from; seed <= seeds.to; seed += 1) {
     const run = await runWithFaults({ seed, lengthMs: LENGTH_MS, reportsEpochs: true, ...options });
-    const violations = [run.late, run.lateForOrders, run.lateForLeaves, run.readyAgain].flat();
+    const violations = [
+      run.late,
+      run.lateForOrders,
+      run.lateForDepartures,
+      run.revertedToReady,
+    ].flat();
     if (violations.length > 0) {
       return { seed, ...run };
     }
@@ -34,7 +39,7 @@
   [12, 8],
   [27, 4],
 ] as const) {
-  test(`${gateways} gateways apply changes in time and never revert to older records, with restores of the store and other faults`, async (t) => {
+  test(`${gateways} gateways apply changes in time and never revert, with restores of the store and other faults`, async (t) => {
     const found = await findFailingRun({ from: 1, to }, { gateways });
     t.is(found, undefined, JSON.stringify(found));
   });
@@ -92,11 +97,11 @@
 
 for (const { name, seed, injectFault } of INJECTED_FAULTS) {
   test(`the check detects a gateway in which ${name}`, async (t) => {
-    const breakProcess = (cluster: GatewayCluster) =>
+    const injectIntoCluster = (cluster: GatewayCluster) =>
       injectFault(cluster as unknown as ClusterInternals);
     const found = await findFailingRun(
       { from: seed, to: seed },
-      { gateways: 12, injectFault: breakProcess },
+      { gateways: 12, injectFault: injectIntoCluster },
     );
     t.not(found, undefined);
   });
--- a/test/restored-store-gateways.test.ts
+++ b/test/restored-store-gateways.test.ts
@@ -9,7 +9,7 @@
 const HOST = '127.0.3.31';
 const { start, untilReady } = platformGateways(HOST, 28_000);
 /**
- * Time limit until a change in the store is in force, and until a leaving back end receives no more
+ * Time limit until a change in the store is in force, and until a draining backend receives no more
  * requests.
  */
 const BOUND_MS = 1_000;
@@ -27,24 +27,24 @@
 
 async function requestStatus({ callers }: RunningGateway, key: string): Promise<number> {
   const headers = { host: 'h', authorization: `Bearer ${key}`, 'x-weirvale-attempt-id': 'id' };
-  const answer = await request(`${callers}/a/x`, { headers });
-  await answer.body.dump();
-  return answer.statusCode;
+  const response = await request(`${callers}/a/x`, { headers });
+  await response.body.dump();
+  return response.statusCode;
 }
 
 function sleepMs(delayMs: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, delayMs));
 }
 
-/** Starts a store with epochs, two back ends and three gateways. */
+/** Starts a store with epochs, two backends and three gateways. */
 async function startFleet(t: ExecutionContext) {
   const store = new FakeStore();
   store.epoch = 1;
-  const workers = ['w-1', 'w-2'].map(
+  const backends = ['w-1', 'w-2'].map(
     (id) => new FakeBackend(id, (_seen, response) => response.writeHead(200).end('good')),
   );
-  for (const worker of workers) {
-    store.announce(worker.id, { address: await worker.start() });
+  for (const backend of backends) {
+    store.announce(backend.id, { address: await backend.start() });
   }
   store.put('op/config', configuration(1));
   const address = await store.start();
@@ -54,15 +54,15 @@
   }
   t.teardown(() => {
     gateways.forEach(({ gateway }) => gateway.stop(() => undefined));
-    workers.forEach((worker) => worker.stop());
+    backends.forEach((backend) => backend.stop());
     store.stop();
   });
   await untilReady(gateways);
-  return { store, workers, gateways };
+  return { store, backends, gateways };
 }
 
 test('gateways apply changes written after the store was restored from a backup, and never revert to older ones', async (t) => {
-  const { store, workers, gateways } = await startFleet(t);
+  const { store, backends, gateways } = await startFleet(t);
   const settledAtMs = performance.now();
   await sleepMs(300);
   for (let version = 2; version <= 30; version += 1) {
@@ -85,10 +85,10 @@
   store.put('op/config', configuration(30, 'second'));
   await sleepMs(500);
   store.put('op/config', configuration(31, 'third'));
-  const [leaving] = workers;
-  store.announce(leaving!.id, { address: leaving!.address, state: 'draining', sequence: 2 });
+  const [draining] = backends;
+  store.announce(draining!.id, { address: draining!.address, state: 'draining', sequence: 2 });
   await sleepMs(BOUND_MS);
-  const received = leaving!.received.length;
+  const received = draining!.received.length;
   for (let round = 0; round < 5; round += 1) {
     const statuses = await Promise.all(gateways.map((each) => requestStatus(each, 'third')));
     t.deepEqual(statuses, [200, 200, 200]);
@@ -97,5 +97,5 @@
     await Promise.all(gateways.map((each) => requestStatus(each, 'second'))),
     [401, 401, 401],
   );
-  t.is(leaving!.received.length, received);
+  t.is(draining!.received.length, received);
 });
--- a/test/restored-store.test.ts
+++ b/test/restored-store.test.ts
@@ -5,7 +5,7 @@
 import { scenarioRandom, StoreFleet } from './support/store-fleet.js';
 
 /**
- * Required time limit until a change, or the record of a leaving back end, is in force, in
+ * Required time limit until a change, or the record of a draining backend, is in force, in
  * milliseconds.
  */
 const CHANGE_BOUND_MS = 2_000;
@@ -27,7 +27,7 @@
 
 /**
  * Restores the store of a fleet from a backup that is some seconds old, then writes changes and
- * lets back ends leave.
+ * drains backends.
  */
 async function runRestoreScenario({
   gateways,
@@ -39,7 +39,7 @@
     seed,
     gateways,
     reportsEpochs: true,
-    ...(injectFault === undefined ? {} : { injectFault: injectFault }),
+    ...(injectFault === undefined ? {} : { injectFault }),
   });
   fleet.announceBackend('b1');
   fleet.announceBackend('b2');
@@ -49,7 +49,8 @@
     await fleet.run(CHANGE_PERIOD_MS);
   }
   fleet.isLate = (_machine, change, nowMs) => nowMs - change.atMs > CHANGE_BOUND_MS;
-  fleet.isLateForDeparture = (_machine, leave, nowMs) => nowMs - leave.atMs > CHANGE_BOUND_MS;
+  fleet.isLateForDeparture = (_machine, departure, nowMs) =>
+    nowMs - departure.atMs > CHANGE_BOUND_MS;
   const downMs = randomInteger(random, 100, 3_000);
   const backupAgeMs = randomInteger(random, 200, 20_000);
   fleet.restoreStore(downMs, backupAgeMs);
@@ -72,7 +73,7 @@
   }
 });
 
-test('a back end that leaves after a restore of the store is known to leave on every gateway in time', async (t) => {
+test('a backend that drains after a restore of the store is known as draining on every gateway in time', async (t) => {
   for (const gateways of [1, 4, 31]) {
     for (let seed = 0; seed < SEEDS; seed += 1) {
       const fleet = await runRestoreScenario({ gateways, seed });
@@ -84,13 +85,13 @@
 /** Faults that the scenario must detect, by description. */
 const INJECTED_FAULTS: Readonly<Record<string, (cluster: GatewayCluster) => void>> = {
   'readers do not report the epoch to their peers': ({ records }) => {
-    const reachProperty = Object.getOwnPropertyDescriptor(
+    const progressProperty = Object.getOwnPropertyDescriptor(
       Object.getPrototypeOf(records),
       'progress',
     )!;
     Object.defineProperty(records, 'progress', {
       get() {
-        const { completeTo, currentTo } = reachProperty.get!.call(records) as ReplicaProgress;
+        const { completeTo, currentTo } = progressProperty.get!.call(records) as ReplicaProgress;
         return {
           completeTo: { ...completeTo, epoch: 1 },
           currentTo: { ...currentTo, epoch: 1 },
--- a/test/store-follower.test.ts
+++ b/test/store-follower.test.ts
@@ -12,7 +12,7 @@
 import { NO_EPOCH, NO_POSITION } from '../src/cluster/store-position.js';
 import type { StorePosition } from '../src/cluster/store-position.js';
 
-type Answer = Result<StoreRead, StoreUnavailableError | StoreHistoryGoneError> | 'never';
+type ScriptedResponse = Result<StoreRead, StoreUnavailableError | StoreHistoryGoneError> | 'never';
 
 /**
  * A store with scripted responses. Records its calls, up to the first one that has no scripted
@@ -25,7 +25,7 @@
 
   constructor(
     private readonly clock: VirtualClock,
-    private readonly script: Answer[],
+    private readonly script: ScriptedResponse[],
   ) {}
 
   async list(): Promise<Result<StoreRead, StoreUnavailableError>> {
@@ -36,14 +36,14 @@
     return this.next(`watch ${revision}`) as Promise<Result<StoreRead, StoreUnavailableError>>;
   }
 
-  private next(call: string): Promise<Answer> {
+  private next(call: string): Promise<ScriptedResponse> {
     if (!this.hasEnded) {
       this.calls.push(call);
     }
     this.hasEnded ||= this.script.length === 0;
-    const answer = this.script.shift() ?? 'never';
+    const response = this.script.shift() ?? 'never';
     this.clock.markPromiseSettled();
-    return answer === 'never' ? new Promise(() => undefined) : Promise.resolve(answer);
+    return response === 'never' ? new Promise(() => undefined) : Promise.resolve(response);
   }
 }
 
@@ -69,7 +69,7 @@
 };
 
 async function runFollower(
-  script: Answer[],
+  script: ScriptedResponse[],
   forMs = 8_000,
 ): Promise<{ calls: string[]; reachable: boolean[]; listings: string[] }> {
   const clock = new VirtualClock();
@@ -100,7 +100,7 @@
   t.deepEqual(calls, ['list', 'watch 4', 'watch 4']);
 });
 
-test('the follower lists again after a failed watch, since history may be gone', async (t) => {
+test('the follower lists again after a failed watch, since the store may have dropped its history', async (t) => {
   const { calls, reachable } = await runFollower([READ_AT_4, FAILED, READ_AT_4]);
   t.deepEqual(calls, ['list', 'watch 4', 'list', 'watch 4']);
   t.deepEqual(reachable, [true, false, true]);
@@ -112,7 +112,7 @@
   t.deepEqual(calls, ['list', 'watch 4', 'list', 'watch 4']);
 });
 
-test('the follower lists again at once when the history is gone', async (t) => {
+test('the follower lists again at once after the store dropped the history of a watch', async (t) => {
   const { calls, reachable } = await runFollower([READ_AT_4, HISTORY_GONE, READ_AT_4]);
   t.deepEqual(calls, ['list', 'watch 4', 'list', 'watch 4']);
   t.deepEqual(reachable, [true]);
@@ -146,15 +146,15 @@
 test('successive changes are coalesced into one watch', async (t) => {
   const { calls, seenAtMs } = await changeTimesMs(1);
   t.deepEqual(calls, ['list', 'watch 4', 'watch 5', 'watch 9']);
-  const pauseMs = seenAtMs[1]! - seenAtMs[0]!;
-  t.true(pauseMs >= 150 && pauseMs <= 300);
+  const delayMs = seenAtMs[1]! - seenAtMs[0]!;
+  t.true(delayMs >= 150 && delayMs <= 300);
 });
 
 test('followers coalesce changes for longer, up to a bound, when there are many', async (t) => {
   for (const followers of [31, 970]) {
     const { seenAtMs } = await changeTimesMs(followers);
-    const pauseMs = seenAtMs[1]! - seenAtMs[0]!;
-    t.true(pauseMs >= 400 && pauseMs <= 2_000, `${pauseMs}`);
+    const delayMs = seenAtMs[1]! - seenAtMs[0]!;
+    t.true(delayMs >= 400 && delayMs <= 2_000, `${delayMs}`);
   }
 });
 
@@ -183,7 +183,7 @@
  * listings.
  */
 async function runIdleFollower(
-  script: Answer[],
+  script: ScriptedResponse[],
   untilMs: number,
   completeTo: number,
 ): Promise<{ calls: string[]; listings: string[] }> {
@@ -205,7 +205,7 @@
   return { calls: store.calls, listings };
 }
 
-test('a watch without a response is overdue soon after its wait, and the follower lists while it is open', async (t) => {
+test('a watch without a response is overdue soon after its wait, and the follower lists before it ends', async (t) => {
   const clock = new VirtualClock();
   const store = new ScriptedStore(clock, [READ_AT_4, 'never', READ_AT_4, NO_CHANGE_AT_4]);
   const reachable: boolean[] = [];
@@ -230,7 +230,7 @@
 async function followSlowStore(responseMs: number): Promise<{ listed: number; lost: number }> {
   const clock = new VirtualClock();
   const seen = { listed: 0, lost: 0 };
-  const answer = (read: Answer) => {
+  const respond = (read: ScriptedResponse) => {
     clock.markPromiseSettled();
     return sleep(clock, responseMs).then(() => {
       clock.markPromiseSettled();
@@ -238,9 +238,9 @@
     });
   };
   const store = {
-    list: () => answer(READ_AT_4),
+    list: () => respond(READ_AT_4),
     watch: (_since: StorePosition, waitMs: number) =>
-      sleep(clock, waitMs).then(() => answer(NO_CHANGE_AT_4)),
+      sleep(clock, waitMs).then(() => respond(NO_CHANGE_AT_4)),
   } as unknown as ClusterStore;
   const handlers: StoreFollowerHandlers = {
     ...HANDLERS,
@@ -285,7 +285,7 @@
  * from a peer.
  */
 async function runWithEpochs(
-  script: Answer[],
+  script: ScriptedResponse[],
   peerReport: { readonly epoch: number; readonly atMs: number } = { epoch: 0, atMs: 0 },
   forMs = 6_000,
   clock = new VirtualClock(),
@@ -306,8 +306,8 @@
     onListingAfterOutage: record('listing'),
     onChanges: record('changes'),
     knownEpoch: () => known,
-    onEpochMismatch: (call: string, asked: number, read: StorePosition) =>
-      void events.push(`${call} of ${asked} dropped ${read.epoch}/${read.revision}`),
+    onEpochMismatch: (call: string, expectedEpoch: number, read: StorePosition) =>
+      void events.push(`${call} of ${expectedEpoch} dropped ${read.epoch}/${read.revision}`),
   };
   void new StoreFollower(store, handlers, clock, new SeededRandom(1)).run();
   for (let turn = 1; turn * 100 <= forMs; turn += 1) {
@@ -326,13 +326,13 @@
     ...positionAt(revision, epoch),
   });
 
-test('the follower drops a watch response of another epoch and lists again', async (t) => {
+test('the follower discards a watch response of another epoch and lists again', async (t) => {
   const { calls, events } = await runWithEpochs([readAt(9, 1), readAt(4, 2), readAt(4, 2)]);
   t.deepEqual(calls, ['list', 'watch 9', 'list', 'watch 4']);
   t.deepEqual(events, ['listing 1/9', 'watch of 1 dropped 2/4', 'listing 2/4']);
 });
 
-test('the follower drops a listing of an earlier epoch', async (t) => {
+test('the follower discards a listing of an earlier epoch and lists again', async (t) => {
   const { calls, events } = await runWithEpochs([
     readAt(4, 2),
     HISTORY_GONE,
@@ -343,7 +343,7 @@
   t.deepEqual(events, ['listing 2/4', 'list of 2 dropped 1/9', 'listing 2/5']);
 });
 
-test('a follower that learns a new epoch from a peer lists, and drops the watch of the former epoch', async (t) => {
+test('a follower that learns a new epoch from a peer lists, and discards the watch of the earlier epoch', async (t) => {
   const nothing = ok({ records: [], ...positionAt(9, 1) });
   const script = [readAt(9, 1), nothing, ...Array.from({ length: 9 }, () => readAt(4, 2))];
   const clock = new VirtualClock();
@@ -351,8 +351,8 @@
   const store = new ScriptedStore(clock, script);
   const watch = store.watch.bind(store);
   store.watch = (since) => {
-    const answer = watch(since);
-    return store.calls.length === 2 ? waiting.then(() => answer) : answer;
+    const response = watch(since);
+    return store.calls.length === 2 ? waiting.then(() => response) : response;
   };
   const { calls, events } = await runWithEpochs(
     script,
@@ -367,9 +367,9 @@
 
 test('the first full listing of an epoch comes after owners had time to write their records again', async (t) => {
   const { reannounceMs } = DEFAULT_STORE_FOLLOWER_OPTIONS;
-  const answers = [readAt(9, 1), ...Array.from({ length: 40 }, () => readAt(9, 1))];
-  const before = await runWithEpochs(answers, undefined, reannounceMs - 100);
+  const script = [readAt(9, 1), ...Array.from({ length: 40 }, () => readAt(9, 1))];
+  const before = await runWithEpochs(script, undefined, reannounceMs - 100);
   t.false(before.events.some((entry) => entry.startsWith('whole')));
-  const after = await runWithEpochs(answers, undefined, reannounceMs + 1_000);
+  const after = await runWithEpochs(script, undefined, reannounceMs + 1_000);
   t.true(after.events.includes('whole 1/9'));
 });
--- a/test/store-reader-selector.test.ts
+++ b/test/store-reader-selector.test.ts
@@ -8,7 +8,7 @@
 
 /** Gateways that report to each other in each heartbeat whether they read the store. */
 class ReaderFleet {
-  private readonly readers = new Map<string, StoreReaderSelector>();
+  private readonly selectors = new Map<string, StoreReaderSelector>();
   private nowMs = 0;
   /** Gateways whose calls the store refuses. */
   readonly refused = new Set<string>();
@@ -22,21 +22,23 @@
   ) {
     for (let index = 0; index < count; index += 1) {
       const name = `g${index}`;
-      const readers = new StoreReaderSelector(
+      const selector = new StoreReaderSelector(
         name,
         DEFAULT_STORE_READER_SELECTOR_OPTIONS,
         regionOf(name),
       );
-      this.readers.set(name, readers);
+      this.selectors.set(name, selector);
     }
   }
 
   get reading(): string[] {
-    return this.alive.filter((name) => this.readers.get(name)!.mustRead(HEARTBEAT_MS, this.nowMs));
+    return this.alive.filter((name) =>
+      this.selectors.get(name)!.mustRead(HEARTBEAT_MS, this.nowMs),
+    );
   }
 
   get alive(): string[] {
-    return [...this.readers.keys()].filter((name) => !this.dead.has(name));
+    return [...this.selectors.keys()].filter((name) => !this.dead.has(name));
   }
 
   /** Exchanges `count` rounds of heartbeats. */
@@ -46,7 +48,7 @@
       this.nowMs += HEARTBEAT_MS;
       for (const from of this.alive) {
         for (const to of this.alive.filter((name) => name !== from && this.canReach(from, name))) {
-          this.readers
+          this.selectors
             .get(to)!
             .receiveHeartbeat(from, reading.has(from), this.nowMs, this.regionOf(from));
         }
@@ -55,7 +57,7 @@
   }
 }
 
-test('all gateways of a small fleet read the store', (t) => {
+test('at least eight gateways of a fleet of nine read the store', (t) => {
   const fleet = new ReaderFleet(9);
   fleet.exchangeHeartbeats(3);
   t.true(fleet.reading.length >= 8);
@@ -67,7 +69,7 @@
   t.is(fleet.reading.length, 8);
 });
 
-test('readers that die at the same time are replaced within the heartbeat timeout', (t) => {
+test('readers that die at the same time are replaced within five heartbeats', (t) => {
   const fleet = new ReaderFleet(68);
   fleet.exchangeHeartbeats(3);
   fleet.reading.forEach((name) => fleet.dead.add(name));
@@ -123,7 +125,7 @@
   t.true(fleet.reading.filter(isCutOff).length >= 2);
 });
 
-test('regions add few readers to the store', (t) => {
+test('three regions add at most two readers to the eight of a fleet without regions', (t) => {
   const fleet = new ReaderFleet(29, (name) => `r${Number(name.slice(1)) % 3}`);
   fleet.exchangeHeartbeats(3);
   t.true(fleet.reading.length <= 10, `${fleet.reading.length}`);
--- a/test/support/fake-platform.ts
+++ b/test/support/fake-platform.ts
@@ -26,10 +26,10 @@
   readonly value: string | undefined;
 }
 
-/** Keys that operators and back ends write. */
+/** Keys that operators and backends write. */
 const EXTERNAL_OWNER_KEYS = /^(op|servers)\//;
 
-/** How the store treats calls. */
+/** How the store handles calls: serves them, responds with 503, never responds, or resets them. */
 export type StoreBehavior = 'answers' | 'refuses' | 'silent' | 'resets';
 
 const PAGE_SIZE = 3;
@@ -52,7 +52,7 @@
   private readonly server: Server;
 
   constructor() {
-    this.server = createServer((request, response) => this.answer(request, response));
+    this.server = createServer((request, response) => this.handleRequest(request, response));
     this.server.on('connection', (socket) => {
       this.sockets.add(socket);
       socket.on('close', () => this.sockets.delete(socket));
@@ -79,7 +79,7 @@
     this.record({ key, revision: this.revision, value: bytes.toString('base64') });
   }
 
-  /** Writes the record of a back end, with defaults for fields that are left out. */
+  /** Writes the record of a backend, with defaults for fields that are left out. */
   announce(
     id: string,
     fields: { readonly address: string; readonly [field: string]: unknown },
@@ -132,7 +132,7 @@
       .map((key) => ({ key, value: before.get(key)?.value }));
   }
 
-  /** Writes lost values of operators and back ends again, except for keys written since. */
+  /** Writes lost values of operators and backends again, except for keys written since. */
   rewriteReverted(lost: readonly RevertedItem[]): void {
     for (const { key, value } of lost) {
       const isWritten = this.writeLog.some(
@@ -179,7 +179,7 @@
     }
   }
 
-  private answer(request: IncomingMessage, response: ServerResponse): void {
+  private handleRequest(request: IncomingMessage, response: ServerResponse): void {
     const url = new URL(request.url ?? '/', 'http://store');
     this.calls.push(url.pathname);
     this.onCall?.();
@@ -211,11 +211,11 @@
   private handleRange(url: URL, response: ServerResponse): void {
     const after = url.searchParams.get('afterRevision') ?? '';
     const prefix = url.searchParams.get('pathPrefix') ?? '';
-    const rest = [...this.items.values()]
+    const remaining = [...this.items.values()]
       .filter(({ key }) => key.startsWith(prefix) && key > after)
       .sort((left, right) => (left.key < right.key ? -1 : 1));
-    const items = rest.slice(0, PAGE_SIZE);
-    reply(response, 200, { items, more: rest.length > PAGE_SIZE, at: this.revision });
+    const items = remaining.slice(0, PAGE_SIZE);
+    reply(response, 200, { items, more: remaining.length > PAGE_SIZE, at: this.revision });
   }
 
   private async handleTransaction(
@@ -284,7 +284,7 @@
   response.end(JSON.stringify(body));
 }
 
-/** A request as a fake back end received it. */
+/** A request as a fake backend received it. */
 export interface ReceivedRequest {
   readonly method: string;
   readonly path: string;
@@ -292,7 +292,7 @@
   readonly body: string;
 }
 
-/** Fake back end that responds by a handler and records the requests it receives. */
+/** Fake backend that responds by a handler and records the requests it receives. */
 export class FakeBackend {
   readonly received: ReceivedRequest[] = [];
   /** Listening address as IP:PORT; empty before the start. */
--- a/test/support/fleet-faults.ts
+++ b/test/support/fleet-faults.ts
@@ -35,9 +35,9 @@
 export interface FaultRun {
   readonly late: readonly LateGateway[];
   readonly lateForOrders: readonly string[];
-  readonly lateForLeaves: readonly string[];
-  /** Gateways that considered a back end ready after they had learned that it was leaving. */
-  readonly readyAgain: readonly string[];
+  readonly lateForDepartures: readonly string[];
+  /** Gateways that considered a backend ready after they knew that it was draining. */
+  readonly revertedToReady: readonly string[];
   /** Events of the run, in order, each line with its time in milliseconds. */
   readonly story: readonly string[];
 }
@@ -75,7 +75,8 @@
     const extraMs = !order.isOrdered && hadFaults ? REMOVAL_GRACE_MS : 0;
     return isTooLate(fleet, machine, order, nowMs - extraMs);
   };
-  fleet.isLateForDeparture = (machine, leave, nowMs) => isTooLate(fleet, machine, leave, nowMs);
+  fleet.isLateForDeparture = (machine, departure, nowMs) =>
+    isTooLate(fleet, machine, departure, nowMs);
   const faults = options.reportsEpochs === true ? FAULTS_AND_RESTORES : FAULTS;
   const endMs = fleet.clock.now() + options.lengthMs;
   for (let atMs = fleet.clock.now(); atMs < endMs; atMs += randomInteger(random, 300, 5_000)) {
@@ -103,13 +104,13 @@
   const {
     lateGateways: late,
     lateForEvacuations: lateForOrders,
-    lateForDepartures: lateForLeaves,
-    revertedToReady: readyAgain,
+    lateForDepartures,
+    revertedToReady,
   } = fleet;
-  return { late, lateForOrders, lateForLeaves, readyAgain, story: events };
+  return { late, lateForOrders, lateForDepartures, revertedToReady, story: events };
 }
 
-/** Schedules back ends that register and some time later report that they are leaving. */
+/** Schedules backends that register and some time later drain. */
 function scheduleBackends(
   fleet: StoreFleet,
   random: RandomSource,
@@ -123,7 +124,7 @@
     fleet.scheduleAt(atMs, () => fleet.announceBackend(backend));
     fleet.scheduleAt(atMs + randomInteger(random, 200, 12_000), () => {
       fleet.drainBackend(backend);
-      logEvent(`${backend} is leaving`);
+      logEvent(`${backend} is draining`);
     });
   }
 }
--- a/test/support/store-fleet.ts
+++ b/test/support/store-fleet.ts
@@ -48,7 +48,7 @@
   readonly atMs: number;
 }
 
-/** A back end that announced that it leaves. */
+/** A backend that was marked as draining. */
 export interface BackendDeparture {
   readonly backend: string;
   readonly atMs: number;
@@ -74,22 +74,22 @@
 /** Keys of the configuration, and of the evacuation order, which is removed and written again. */
 const CONFIGURATION_KEY = 'op/config';
 const EVACUATION_KEY = 'op/evacuate/z';
-/** Prefix of the keys that back ends register with. */
+/** Prefix of the keys that backends register with. */
 const BACKEND_PREFIX = 'servers/';
 /** Maximum delay until owners rewrite the records that a restored store lacks. */
 const MAX_REWRITE_DELAY_MS = 500;
 
-/** Record that a back end writes about itself. */
+/** Record that a backend writes about itself. */
 interface BackendRecord {
   readonly sequence: number;
   readonly state: 'ready' | 'draining';
 }
 
 /**
- * Returns the owner's own counter of a record: the version of a configuration, or the sequence of a
- * back end's record. An evacuation order has a higher count than its removal.
+ * Returns the version number that the owner wrote into a record: the version of a configuration, or
+ * the sequence of a backend's record. An evacuation order has a higher one than its removal.
  */
-function ownerCountOf({ key, value }: StoreRecord): number | undefined {
+function ownerVersionOf({ key, value }: StoreRecord): number | undefined {
   if (key === EVACUATION_KEY) {
     return value === undefined ? 0 : 1;
   }
@@ -103,8 +103,10 @@
 }
 
 function compareByOwner(left: StoreRecord, right: StoreRecord): number | undefined {
-  const [leftCount, rightCount] = [ownerCountOf(left), ownerCountOf(right)];
-  return leftCount === undefined || rightCount === undefined ? undefined : leftCount - rightCount;
+  const [leftVersion, rightVersion] = [ownerVersionOf(left), ownerVersionOf(right)];
+  return leftVersion === undefined || rightVersion === undefined
+    ? undefined
+    : leftVersion - rightVersion;
 }
 
 /** A machine and the successive gateway processes that run on it. */
@@ -114,8 +116,8 @@
   version = 0;
   /** Whether the gateway treats the zone as evacuated. */
   isEvacuated = false;
-  /** Whether each known back end is leaving, by id. */
-  readonly leaving = new Map<string, boolean>();
+  /** Whether each known backend is draining, by id. */
+  readonly draining = new Map<string, boolean>();
   /** End of the last kill, pause or complete partition of the machine, in milliseconds. */
   disruptedUntilMs = 0;
   /**
@@ -168,7 +170,7 @@
     const start = this.starts;
     this.version = 0;
     this.isEvacuated = false;
-    this.leaving.clear();
+    this.draining.clear();
     const host: NetworkHost = {
       address: this.address,
       runWhenActive: (action) => this.runInStart(start, action),
@@ -244,15 +246,15 @@
 
   private applyBackendRecord(id: string, value: string | undefined): void {
     if (value === undefined) {
-      this.leaving.delete(id);
+      this.draining.delete(id);
     } else {
-      const isLeaving = (JSON.parse(value) as BackendRecord).state === 'draining';
-      if (!isLeaving && this.leaving.get(id) === true) {
+      const isDraining = (JSON.parse(value) as BackendRecord).state === 'draining';
+      if (!isDraining && this.draining.get(id) === true) {
         this.fleet.revertedToReady.push(
           `${this.address}: ${id} ready again at ${this.fleet.clock.now()} ms`,
         );
       }
-      this.leaving.set(id, isLeaving);
+      this.draining.set(id, isDraining);
     }
   }
 
@@ -274,14 +276,17 @@
   readonly departures: BackendDeparture[] = [];
   private readonly backends = new Map<string, BackendRecord>();
   /**
-   * Gateways that treated a leaving back end as ready for too long, once per gateway and back end.
+   * Gateways that treated a draining backend as ready for too long, once per gateway and backend.
    */
   readonly lateForDepartures: string[] = [];
-  /** Gateways that treated a back end as ready again after they knew that it leaves. */
+  /** Gateways that treated a backend as ready again after they knew that it drains. */
   readonly revertedToReady: string[] = [];
-  /** Whether a gateway that does not know yet that a back end leaves is late. */
-  isLateForDeparture: (machine: FleetMachine, leave: BackendDeparture, nowMs: number) => boolean =
-    () => false;
+  /** Whether a gateway that does not know yet that a backend drains is late. */
+  isLateForDeparture: (
+    machine: FleetMachine,
+    departure: BackendDeparture,
+    nowMs: number,
+  ) => boolean = () => false;
   /** Gateways that applied an evacuation order, or its end, too late. */
   readonly lateForEvacuations: string[] = [];
   /** Whether a gateway that has not applied an evacuation order, or its end, is late. */
@@ -322,7 +327,7 @@
     }
   }
 
-  /** Calls `runWhenActive` every `periodMs`. */
+  /** Calls `act` every `periodMs`. */
   scheduleEvery(periodMs: number, act: () => void): void {
     this.clock.setTimeout(() => {
       act();
@@ -330,7 +335,7 @@
     }, periodMs);
   }
 
-  /** Calls `runWhenActive` at `atMs`. */
+  /** Calls `act` at `atMs`. */
   scheduleAt(atMs: number, act: () => void): void {
     this.clock.setTimeout(act, atMs - this.clock.now());
   }
@@ -358,12 +363,12 @@
     }
   }
 
-  /** Registers a back end as ready. */
+  /** Registers a backend as ready. */
   announceBackend(backend: string): void {
     this.writeBackend(backend, { sequence: 1, state: 'ready' });
   }
 
-  /** Marks a back end as leaving. */
+  /** Marks a backend as draining. */
   drainBackend(backend: string): void {
     const sequence = (this.backends.get(backend)?.sequence ?? 0) + 1;
     this.writeBackend(backend, { sequence, state: 'draining' });
@@ -457,9 +462,8 @@
    * milliseconds.
    */
   get storePathSinceMs(): number {
-    const sinceMs = this.machines.map(
-      ({ storeUnreachableUntilMs, disruptedUntilMs: disturbedUntilMs }) =>
-        Math.max(storeUnreachableUntilMs, disturbedUntilMs),
+    const sinceMs = this.machines.map(({ storeUnreachableUntilMs, disruptedUntilMs }) =>
+      Math.max(storeUnreachableUntilMs, disruptedUntilMs),
     );
     return Math.min(...sinceMs);
   }
@@ -498,7 +502,7 @@
   ): GatewayClusterDependencies {
     const { address } = machine;
     const peers = `${address}:${PEERS_PORT}`;
-    const parts = {
+    const dependencies = {
       settings: {
         process: { name: address, zone: 'z' },
         places: { zones: new Map() },
@@ -522,7 +526,7 @@
       compareByOwner,
       onRecords: (records: readonly StoreRecord[]) => machine.applyRecords(records),
     };
-    return parts as unknown as GatewayClusterDependencies;
+    return dependencies as unknown as GatewayClusterDependencies;
   }
 
   private clockFor(host: NetworkHost): Clock {
@@ -563,47 +567,47 @@
     const nowMs = this.clock.now();
     for (const machine of this.machines) {
       const change = this.changes.find(({ version }) => version > machine.version);
-      const name = `${machine.index}/${change?.version}`;
+      const reportKey = `${machine.index}/${change?.version}`;
       if (
         change !== undefined &&
         machine.cluster !== undefined &&
-        !this.reported.has(name) &&
+        !this.reported.has(reportKey) &&
         this.isLate(machine, change, nowMs)
       ) {
-        this.reported.add(name);
+        this.reported.add(reportKey);
         this.lateGateways.push({ gateway: machine.address, change, atMs: nowMs });
       }
       this.checkEvacuation(machine, nowMs);
-      this.departures.forEach((leave) => this.checkDeparture(machine, leave, nowMs));
+      this.departures.forEach((departure) => this.checkDeparture(machine, departure, nowMs));
     }
   }
 
-  private checkDeparture(machine: FleetMachine, leave: BackendDeparture, nowMs: number): void {
-    const name = `${machine.index}/leave ${leave.backend}`;
+  private checkDeparture(machine: FleetMachine, departure: BackendDeparture, nowMs: number): void {
+    const reportKey = `${machine.index}/departure ${departure.backend}`;
     if (
       machine.cluster !== undefined &&
-      machine.leaving.get(leave.backend) === false &&
-      !this.reported.has(name) &&
-      this.isLateForDeparture(machine, leave, nowMs)
+      machine.draining.get(departure.backend) === false &&
+      !this.reported.has(reportKey) &&
+      this.isLateForDeparture(machine, departure, nowMs)
     ) {
-      this.reported.add(name);
+      this.reported.add(reportKey);
       this.lateForDepartures.push(
-        `${machine.address}: ${leave.backend} announced at ${leave.atMs} ms that it leaves, not applied`,
+        `${machine.address}: ${departure.backend} marked as draining at ${departure.atMs} ms, not applied`,
       );
     }
   }
 
   private checkEvacuation(machine: FleetMachine, nowMs: number): void {
     const order = this.evacuationOrders.at(-1);
-    const name = `${machine.index}/order ${order?.number}`;
+    const reportKey = `${machine.index}/order ${order?.number}`;
     if (
       order !== undefined &&
       machine.cluster !== undefined &&
       machine.isEvacuated !== order.isOrdered &&
-      !this.reported.has(name) &&
+      !this.reported.has(reportKey) &&
       this.isLateForEvacuation(machine, order, nowMs)
     ) {
-      this.reported.add(name);
+      this.reported.add(reportKey);
       const what = order.isOrdered ? 'evacuation ordered' : 'evacuation ended';
       this.lateForEvacuations.push(
         `${machine.address}: ${what} at ${order.atMs} ms, not applied by ${nowMs} ms`,
--- a/test/support/virtual-network.ts
+++ b/test/support/virtual-network.ts
@@ -13,7 +13,8 @@
 /** First retransmission interval of unacknowledged bytes, in milliseconds. */
 const RETRANSMIT_MS = 200;
 /**
- * First interval after which a connection attempt without a response is repeated, in milliseconds.
+ * First interval after which a connection attempt without a response is retransmitted, in
+ * milliseconds.
  */
 const CONNECT_RETRANSMIT_MS = 1_000;
 
--- a/test/support/virtual-store.ts
+++ b/test/support/virtual-store.ts
@@ -45,7 +45,7 @@
   extraLatencyMs = 0;
   /** Fraction of responses that are lost. */
   lossRate = 0;
-  /** Whether watches receive no changes, as before the store drops its history. */
+  /** Whether changes are withheld from watches, to drop the history before any watch gets them. */
   isWithholdingChanges = false;
   /**
    * Whether a watch that times out meanwhile returns the current revision without the withheld
@@ -88,7 +88,7 @@
   dropHistory(): void {
     this.history = [];
     this.oldestHistory = this.revision;
-    this.cutWatches();
+    this.cancelWatches();
   }
 
   /** Restores the state at `backupAtMs`: later writes are lost, and their revisions are reused. */
@@ -101,10 +101,10 @@
     }
     this.history = this.history.filter(({ revision }) => revision <= this.revision);
     this.epoch += 1;
-    this.cutWatches();
+    this.cancelWatches();
   }
 
-  private cutWatches(): void {
+  private cancelWatches(): void {
     for (const watch of [...this.watches]) {
       this.watches.delete(watch);
       watch.respond(err(new StoreUnavailableError('the watch was cancelled')));
