--- a/src/gateway/attempt/proxied-request.ts
+++ b/src/gateway/attempt/proxied-request.ts
@@ -152,7 +152,8 @@
     const isAssigned = this.attempt !== undefined && this.backend?.id === id;
     // A draining backend closes its port first and completes its requests; its connections show
     // when it ends.
-    const isDraining = evidence !== 'replaced' && this.ports.directory.find(id)?.isLeaving === true;
+    const isDraining =
+      evidence !== 'replaced' && this.ports.directory.find(id)?.isDraining === true;
     if (isAssigned && !isDraining && !this.endedTimer.isRunning) {
       this.endedTimer.start(ENDED_GRACE_MS, () => this.failEndedBackend());
     }
@@ -493,7 +494,7 @@
   private canRetryElsewhere(): boolean {
     const { route } = this.request;
     const used = new Set([...this.excludedIds, this.backend!.id]);
-    const canMove = this.ports.dispatcher.hasNonResting(this.request, used, this.ports.clock.now());
+    const canMove = this.ports.dispatcher.hasAvailable(this.request, used, this.ports.clock.now());
     return canMove && this.mayRetry() && this.attempts < route.maxAttempts && this.hasTimeLeft();
   }
 
--- a/src/gateway/attempt/request-wait.ts
+++ b/src/gateway/attempt/request-wait.ts
@@ -179,7 +179,7 @@
    * it did.
    */
   private endIfRegionsRefused(nowMs: number): boolean {
-    const reason = this.context.ports.dispatcher.homeRefusal(this.dispatchRequest, nowMs);
+    const reason = this.context.ports.dispatcher.regionRefusal(this.dispatchRequest, nowMs);
     if (reason === undefined) {
       return false;
     }
--- a/src/gateway/dispatch/backend-directory.ts
+++ b/src/gateway/dispatch/backend-directory.ts
@@ -13,8 +13,8 @@
 import type { BackendCondition } from '../statements/backend-condition.js';
 import { selectSubset, DEFAULT_ENGINE_SUBSET_OPTIONS } from './engine-subset.js';
 import type { EngineSubsetOptions, SubsetOwner } from './engine-subset.js';
-import { addHomeEngines } from './home-engines.js';
-import type { HomeRegions } from './home-engines.js';
+import { addEnginesOfNamedRegions } from './named-region-engines.js';
+import type { NamedRegions } from './named-region-engines.js';
 import { KnownBackend } from './known-backend.js';
 import {
   isRemoteRegion,
@@ -31,7 +31,7 @@
    * Home regions in which the gateway needs engines; absent where allowed regions are not
    * supported.
    */
-  homeRegions?(): HomeRegions;
+  namedRegions?(): NamedRegions;
   /** Called when the local region loses or regains its usable backends of a service. */
   onLocalAvailability?(service: string, hasLocalBackends: boolean): void;
   /**
@@ -315,9 +315,9 @@
       .map(({ backend }) => backend)
       .filter(({ zone }) => !this.ports.isEvacuated(zone));
     const chosen = selectSubset(engines, this.owner, this.options.subset);
-    const homes = this.ports.homeRegions?.();
+    const homes = this.ports.namedRegions?.();
     if (homes !== undefined) {
-      addHomeEngines(chosen, engines, this.owner.name, homes);
+      addEnginesOfNamedRegions(chosen, engines, this.owner.name, homes);
     }
     for (const known of ready) {
       const isRetainedLocal = isLocalRegionLost && !isRemoteRegion(known);
--- a/src/gateway/dispatch/backend-picker.ts
+++ b/src/gateway/dispatch/backend-picker.ts
@@ -302,7 +302,7 @@
     const { unlistedAtMs } = known;
     const isRecent =
       unlistedAtMs !== undefined && nowMs - unlistedAtMs < this.options.unlistedGraceMs;
-    return isRecent && !known.isLeaving && !known.isReplaced && !known.isWithdrawn;
+    return isRecent && !known.isDraining && !known.isReplaced && !known.isWithdrawn;
   }
 
   /** Whether the agent has a newer configuration, so that slots are available by grant only. */
--- a/src/gateway/dispatch/dispatcher.ts
+++ b/src/gateway/dispatch/dispatcher.ts
@@ -29,7 +29,7 @@
 import type { KnownBackend, SlotAgentLink } from './known-backend.js';
 import { hasWaitedForLocalRegion } from './region-fallback.js';
 import { nextDemand, UNSENT_DEMAND } from './slot-demand.js';
-import { regionConstraintsOf } from './home-fields.js';
+import { regionConstraintsOf } from './region-constraint-fields.js';
 import { ServiceQueue } from './service-queue.js';
 
 /** Options of a dispatcher. */
@@ -96,7 +96,7 @@
   }
 
   /** Returns why the request is refused because of its allowed regions; undefined if not. */
-  homeRefusal(request: PlacementConstraints, nowMs: number): RegionRefusalReason | undefined {
+  regionRefusal(request: PlacementConstraints, nowMs: number): RegionRefusalReason | undefined {
     return regionRefusalOf(request.allowedRegions, () => this.picker.hasCandidates(request, nowMs));
   }
 
@@ -126,7 +126,7 @@
    * Like `hasReady`, but also skips backends in backoff, so that the request need not wait for one
    * to end.
    */
-  hasNonResting(
+  hasAvailable(
     request: PlacementConstraints,
     excluded: ReadonlySet<string>,
     nowMs: number,
@@ -141,7 +141,7 @@
     );
   }
 
-  /** Like `hasNonResting`, but also skips backends that are closed or on a suspect path. */
+  /** Like `hasAvailable`, but also skips backends that are closed or on a suspect path. */
   hasReachable(
     request: PlacementConstraints,
     excluded: ReadonlySet<string>,
@@ -151,7 +151,7 @@
       .ofService(request.service)
       .filter(({ path, availability }) => path.isSuspect || availability === 'closed')
       .map(({ backend }) => backend.id);
-    return this.hasNonResting(request, new Set([...excluded, ...suspectOrClosed]), nowMs);
+    return this.hasAvailable(request, new Set([...excluded, ...suspectOrClosed]), nowMs);
   }
 
   /**
--- a/src/gateway/dispatch/known-backend.ts
+++ b/src/gateway/dispatch/known-backend.ts
@@ -125,13 +125,13 @@
    * Whether it accepts no new requests, by its announcement or by a statement in a response.
    * Announcements are not updated while the store is unavailable.
    */
-  get isLeaving(): boolean {
+  get isDraining(): boolean {
     return this.backend.state === 'draining' || this.condition.isLeaving;
   }
 
   /** Whether it is listed as accepting new requests. */
   get isReady(): boolean {
-    return this.isCurrent && !this.isLeaving;
+    return this.isCurrent && !this.isDraining;
   }
 
   /** Availability reported by its agent; `open` without one. */
--- a/src/gateway/dispatch/home-engines.ts
+++ b/src/gateway/dispatch/named-region-engines.ts
@@ -6,7 +6,7 @@
 import type { SubsetEngine } from './engine-subset.js';
 
 /** Home regions in which a gateway needs engines. */
-export interface HomeRegions {
+export interface NamedRegions {
   /** Allowed regions of all routes and tenants. */
   readonly named: ReadonlySet<string>;
   regionOf(zone: string): string | undefined;
@@ -24,11 +24,11 @@
  *
  * @param engines - ready engines of one service
  */
-export function addHomeEngines(
+export function addEnginesOfNamedRegions(
   chosen: Set<string>,
   engines: readonly SubsetEngine[],
   gateway: string,
-  { named, regionOf }: HomeRegions,
+  { named, regionOf }: NamedRegions,
 ): void {
   for (const region of named) {
     const inRegion = engines.filter(({ zone }) => regionOf(zone) === region);
--- a/src/gateway/dispatch/slot-demand.ts
+++ b/src/gateway/dispatch/slot-demand.ts
@@ -1,6 +1,6 @@
 /** Builds the demand messages that list waiting requests to slot agents. */
 import type { SlotDemand, WaitingRank } from '../../slot-agent/slot-messages.js';
-import { regionConstraintsOf } from './home-fields.js';
+import { regionConstraintsOf } from './region-constraint-fields.js';
 import type { DispatchRequest } from './dispatch-request.js';
 import type { KnownBackend, SlotAgentLink } from './known-backend.js';
 import { isRemoteRegion } from './region-fallback.js';
--- a/src/gateway/gateway-conditions.ts
+++ b/src/gateway/gateway-conditions.ts
@@ -86,7 +86,7 @@
       settings.process.name,
       {
         limitOf,
-        dealerOf: (backendId) => dependencies.holders().soleHolderOf(issuerKeyOf(backendId)),
+        issuerOf: (backendId) => dependencies.holders().soleHolderOf(issuerKeyOf(backendId)),
         acquireLocally: (backendId, request) => this.pools.acquire(backendId, request),
         sendRightRequest: (holder, { id, backendId, place: { tier, rankInTier } }) =>
           dependencies.holders().sendTo(holder, {
--- a/src/gateway/gateway-crashes.ts
+++ b/src/gateway/gateway-crashes.ts
@@ -40,7 +40,7 @@
     const { directory, adapter, clock } = dependencies;
     this.requests = new CrashingRequests(
       {
-        isLeaving: (backendId) => directory.find(backendId)?.isLeaving === true,
+        isLeaving: (backendId) => directory.find(backendId)?.isDraining === true,
         probe: (backend) => this.exitProber.start(backend),
         onCrash: (crash) => this.reportCrash(crash),
         onTalliesChanged: (tallies, source) => this.publishTallies(tallies, source),
--- a/src/gateway/gateway-role.ts
+++ b/src/gateway/gateway-role.ts
@@ -123,7 +123,7 @@
       { ...settings.process, places: this.places },
       {
         isEngine,
-        homeRegions: () => ({
+        namedRegions: () => ({
           named: this.configuration.regionRestrictions?.regions ?? new Set(),
           regionOf: operatorRules.regionOf,
         }),
--- a/src/gateway/links/gateway-peers.ts
+++ b/src/gateway/links/gateway-peers.ts
@@ -242,7 +242,7 @@
   private sendHeartbeatIfDue(): void {
     const { records } = this.parts;
     const { progress } = records;
-    const hasRollouts = this.parts.rollouts.tell() !== undefined;
+    const hasRollouts = this.parts.rollouts.peerReports() !== undefined;
     const hasNewState =
       isAheadOf(progress, this.lastHeartbeatProgress) || hasRollouts || this.hasReadingChanged;
     if (hasNewState || this.ticks - this.lastHeartbeatTick >= IDLE_HEARTBEAT_TICKS) {
@@ -268,7 +268,7 @@
 
   private buildHeartbeat(): PeerHeartbeat {
     const { records, quotas } = this.parts;
-    const rollouts = this.parts.rollouts.tell();
+    const rollouts = this.parts.rollouts.peerReports();
     return {
       kind: 'beat',
       reach: records.progress,
@@ -297,7 +297,7 @@
       const peer = hello.incarnation;
       quotas.receiveHeartbeat(hello, message);
       readers.receiveHeartbeat(peer, message.isReading, clock.now(), message.region);
-      this.parts.rollouts.hear(peer, message.rollouts ?? {});
+      this.parts.rollouts.applyPeerReports(peer, message.rollouts ?? {});
       exchange.handleProgress(peer, message.reach, reply);
       if (message.knowledgeAgeMs !== undefined) {
         this.parts.onReplicaAge(message.reach, message.knowledgeAgeMs);
--- a/src/gateway/metrics/gateway-snapshot.ts
+++ b/src/gateway/metrics/gateway-snapshot.ts
@@ -97,7 +97,7 @@
   if (!known.isCurrent) {
     return 'gone';
   }
-  if (known.isLeaving) {
+  if (known.isDraining) {
     return 'draining';
   }
   return known.health.isEjected(nowMs) ? 'ejected' : 'ready';
--- a/src/gateway/statements/send-rights.ts
+++ b/src/gateway/statements/send-rights.ts
@@ -22,7 +22,7 @@
   /** Returns the rate for the backend in requests per second; undefined for no limit. */
   limitOf(backendId: string): number | undefined;
   /** Returns the gateway that issues the backend's rights; undefined while unknown. */
-  dealerOf(backendId: string): string | undefined;
+  issuerOf(backendId: string): string | undefined;
   /** Requests a right from this gateway's own pools. */
   acquireLocally(backendId: string, request: RightRequest): void;
   /** Sends a right request to another gateway; returns false without a connection to it. */
@@ -160,7 +160,7 @@
     place: RequestPriority,
     nowMs: number,
   ): boolean {
-    const issuer = this.ports.dealerOf(backendId);
+    const issuer = this.ports.issuerOf(backendId);
     if (issuer === undefined || nowMs < (this.skipIssuerUntilMs.get(issuer) ?? -Infinity)) {
       return false;
     }
--- a/src/rollout/rollouts.ts
+++ b/src/rollout/rollouts.ts
@@ -135,14 +135,14 @@
   }
 
   /** Applies a peer's reports; those of unknown services are ignored. */
-  hear(peer: string, reports: PeerRolloutReports): void {
+  applyPeerReports(peer: string, reports: PeerRolloutReports): void {
     for (const [service, report] of Object.entries(reports)) {
       this.rollouts.get(service)?.applyPeerReport(peer, report, this.clock.now());
     }
   }
 
   /** Returns the reports for peers; undefined where no rollout is in progress. */
-  tell(): PeerRolloutReports | undefined {
+  peerReports(): PeerRolloutReports | undefined {
     const inProgress = [...this.rollouts].filter(([, { isOver }]) => !isOver);
     if (inProgress.length === 0) {
       return undefined;
--- a/test/allowed-regions.test.ts
+++ b/test/allowed-regions.test.ts
@@ -3,7 +3,7 @@
 import { reportRegions, reportExcluded } from '../src/gateway/regions/region-report.js';
 import { RequestRegions } from '../src/gateway/regions/request-regions.js';
 import { RequestAdmission } from '../src/gateway/admission/request-admission.js';
-import { addHomeEngines } from '../src/gateway/dispatch/home-engines.js';
+import { addEnginesOfNamedRegions } from '../src/gateway/dispatch/named-region-engines.js';
 import { SeededRandom } from '../src/random.js';
 import { DEFAULT_CALLER_LIMITS } from '../src/routing/configuration.js';
 import type { Tenant } from '../src/routing/configuration.js';
@@ -44,7 +44,7 @@
 ): GatewayHarness {
   const world = new GatewayHarness();
   REGIONS.forEach((region, zone) => world.regions.set(zone, region));
-  world.homes = restrictions;
+  world.restrictions = restrictions;
   for (const backend of backends) {
     world.dispatcher.updateBackend(backend[0], backendOf(...backend), 0);
   }
@@ -92,7 +92,7 @@
   world.request();
   world.request();
   t.deepEqual(attemptedBackends(world), ['near']);
-  world.homes = regionsOf({ r: ['b'] });
+  world.restrictions = regionsOf({ r: ['b'] });
   world.answer(0, 200, 'done');
   world.dispatcher.tick(world.clock.now());
   t.deepEqual(attemptedBackends(world), ['near', 'far']);
@@ -106,7 +106,7 @@
     ['far', { zone: 'b1' }],
   );
   world.request();
-  world.homes = regionsOf({ r: ['b'] });
+  world.restrictions = regionsOf({ r: ['b'] });
   world.attempts[0]!.handlers.onFailure({ mayHaveRun: false, isPortClosed: true, detail: '' });
   t.is(attemptedBackends(world).length, 2);
   t.is(attemptedBackends(world)[1], 'far');
@@ -184,7 +184,7 @@
   world.request();
   world.request();
   world.request();
-  world.homes = regionsOf({ r: ['c'] });
+  world.restrictions = regionsOf({ r: ['c'] });
   await world.clock.runUntil(world.clock.now() + 150);
   t.is(world.requestEnds[0]?.reason, 'no-backend-at-home');
   t.is(world.attempts.length, 2);
@@ -231,7 +231,7 @@
     world.request();
   }
   world.agentMessages.length = 0;
-  world.homes = regionsOf({ r: ['a'] });
+  world.restrictions = regionsOf({ r: ['a'] });
   world.dispatcher.tick(world.clock.now());
   const sent = world.agentMessages.flatMap(([to, message]) =>
     message.kind === 'demand' ? [[to, message.ranks[0]?.allowedRegions]] : [],
@@ -249,7 +249,7 @@
   }));
   const regionOf = (zone: string) => REGIONS.get(zone);
   const chosen = new Set(['w0', 'w41']);
-  addHomeEngines(chosen, engines, 'g', { named: new Set(['a', 'c']), regionOf });
+  addEnginesOfNamedRegions(chosen, engines, 'g', { named: new Set(['a', 'c']), regionOf });
   const inRegion = [...chosen].filter((id) => Number(id.slice(1)) >= 40);
   t.is(inRegion.length, 4);
   t.true(inRegion.includes('w41'));
@@ -327,7 +327,7 @@
         for (; checked < world.attempts.length; checked += 1) {
           const { backend, path } = world.attempts[checked]!;
           const tenant = path === TENANT_PATH ? 't' : undefined;
-          const allowed = world.homes!.allowedRegionsOf({ route: 'r', tenant });
+          const allowed = world.restrictions!.allowedRegionsOf({ route: 'r', tenant });
           const region = REGIONS.get(backend.zone) ?? 'nowhere';
           if (allowed !== undefined && !allowed.has(region)) {
             throw new Error(`sent to region ${region}; allowed regions: ${[...allowed].join()}`);
@@ -338,10 +338,10 @@
         if (action.kind === 'request') {
           world.request(action.hasTenant ? { tenant: 't', path: TENANT_PATH } : {});
         } else if (action.kind === 'configure') {
-          world.homes = regionsOf({ r: action.route }, { t: action.tenant });
+          world.restrictions = regionsOf({ r: action.route }, { t: action.tenant });
           world.dispatcher.tick(world.clock.now());
         } else if (action.kind === 'drop') {
-          world.homes = regionsOf({});
+          world.restrictions = regionsOf({});
         } else if (action.kind === 'end') {
           const open = world.attempts.filter(({ isCancelled }) => !isCancelled);
           const attempt = open[action.index % Math.max(1, open.length)];
--- a/test/homes-agent.test.ts
+++ b/test/homes-agent.test.ts
@@ -76,7 +76,7 @@
     this.agentView.apply({ kind: 'configuration', configuration: agent }, 0);
     this.world.engines = true;
     this.world.version = gateway.version;
-    this.world.homes = new RegionRestrictions(gateway);
+    this.world.restrictions = new RegionRestrictions(gateway);
     this.world.regions.set('a1', 'a').set('b1', 'b');
     const far = backendOf('far', { zone: 'b1', slots: 1 });
     this.world.dispatcher.updateBackend('far', far, 0);
@@ -102,7 +102,7 @@
     installed[at] = Math.min(configurations.length - 1, installed[at] + 1);
     const configuration = configurations[installed[at]]!;
     if (at === 'gateway') {
-      this.world.homes = new RegionRestrictions(configuration);
+      this.world.restrictions = new RegionRestrictions(configuration);
       this.world.version = configuration.version;
       this.world.dispatcher.tick(this.world.clock.now());
     } else {
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -190,11 +190,11 @@
     [rollouts.versionUse(OLD_BACKEND), rollouts.versionUse(NEW_BACKEND)],
     ['open', 'closed'],
   );
-  t.is(rollouts.tell(), undefined);
+  t.is(rollouts.peerReports(), undefined);
   ready.others = 0;
   t.is(rollouts.versionUse(NEW_BACKEND), 'open');
   rollouts.applyOrder({ ...ORDER, ...positionAt(ORDER.revision + 2) });
-  t.not(rollouts.tell(), undefined);
+  t.not(rollouts.peerReports(), undefined);
 });
 
 test('removing the order of a completed rollout opens every version', (t) => {
--- a/test/support/gateway-harness.ts
+++ b/test/support/gateway-harness.ts
@@ -13,7 +13,7 @@
 import { ColdStartLimiter } from '../../src/gateway/dispatch/cold-start-limiter.js';
 import { Dispatcher } from '../../src/gateway/dispatch/dispatcher.js';
 import type { DispatcherPorts } from '../../src/gateway/dispatch/dispatcher.js';
-import type { HomeRegions } from '../../src/gateway/dispatch/home-engines.js';
+import type { NamedRegions } from '../../src/gateway/dispatch/named-region-engines.js';
 import { withActiveRegions, RequestRegions } from '../../src/gateway/regions/request-regions.js';
 import { ProxiedRequest } from '../../src/gateway/attempt/proxied-request.js';
 import { DEFAULT_REQUEST_OPTIONS } from '../../src/gateway/attempt/request-model.js';
@@ -171,7 +171,7 @@
    * Region restrictions of the configuration in force; undefined leaves the allowed regions of each
    * request unchanged.
    */
-  homes: RegionRestrictions | undefined;
+  restrictions: RegionRestrictions | undefined;
   version = 1;
   /** Reasons for which requests were not sent to backends, in order. */
   readonly restrictedReasons: RestrictionReason[] = [];
@@ -262,8 +262,11 @@
     return this.version;
   }
 
-  homeRegions(): HomeRegions {
-    return { named: this.homes?.regions ?? new Set(), regionOf: (zone) => this.regionOf(zone) };
+  namedRegions(): NamedRegions {
+    return {
+      named: this.restrictions?.regions ?? new Set(),
+      regionOf: (zone) => this.regionOf(zone),
+    };
   }
 
   onReach(_service: string, hasNear: boolean): void {
@@ -377,9 +380,9 @@
     const accepted = this.accept(changes);
     const owner = { route: accepted.route.name, tenant: accepted.tenant };
     const restricted =
-      this.homes === undefined
+      this.restrictions === undefined
         ? accepted
-        : withActiveRegions(accepted, new RequestRegions(owner, () => this.homes));
+        : withActiveRegions(accepted, new RequestRegions(owner, () => this.restrictions));
     const request = new ProxiedRequest(
       restricted,
       reply,
--- a/test/support/limited-backend.ts
+++ b/test/support/limited-backend.ts
@@ -168,12 +168,12 @@
     const internals = process.statements as unknown as {
       rights: {
         use(id: string): void;
-        ports: { dealerOf(id: string): string; countGateways(): number };
+        ports: { issuerOf(id: string): string; countGateways(): number };
       };
       pools: { ports: { heldSinceMs(id: string): number } };
     };
     if (issuesToSelf === true) {
-      internals.rights.ports.dealerOf = () => name;
+      internals.rights.ports.issuerOf = () => name;
       internals.pools.ports.heldSinceMs = () => 0;
     }
     if (reusesRights === true) {
--- a/test/support/rollout-fleet.ts
+++ b/test/support/rollout-fleet.ts
@@ -166,11 +166,11 @@
 
   private exchangeReports(): void {
     this.gateways.forEach((gateway, from) => {
-      const reports = gateway.tell();
+      const reports = gateway.peerReports();
       if (reports !== undefined) {
         this.gateways
           .filter((_peer, index) => index !== from)
-          .forEach((peer) => peer.hear(`g${from}.peer`, reports));
+          .forEach((peer) => peer.applyPeerReports(`g${from}.peer`, reports));
       }
     });
     this.clock.setTimeout(() => this.exchangeReports(), HEARTBEAT_MS);
--- a/test/support/store-fleet.ts
+++ b/test/support/store-fleet.ts
@@ -512,7 +512,7 @@
       incarnation: `${address}.${start}`,
       store: this.store.clientFor(host, STORE_TIMEOUT_MS),
       quotas: { ageMs: 0, position: NO_POSITION, receiveHeartbeat: () => undefined },
-      rollouts: { tell: () => undefined, hear: () => undefined },
+      rollouts: { peerReports: () => undefined, applyPeerReports: () => undefined },
       crashes: { tell: () => [], hear: () => [] },
       statements: { tell: () => [], hearPeer: () => undefined },
       clock: this.clockFor(host),
