--- a/test/support/gateway-harness.ts
+++ b/test/support/gateway-harness.ts
@@ -269,7 +269,7 @@
     };
   }
 
-  onReach(_service: string, hasNear: boolean): void {
+  onLocalAvailability(_service: string, hasNear: boolean): void {
     this.reachChanges.push(hasNear);
   }
 
@@ -292,7 +292,7 @@
     this.dispatcher.changeOrders(apply, this.clock.now());
   }
 
-  isNamed(service: string): boolean {
+  isServiceConfigured(service: string): boolean {
     return this.configuredServices?.has(service) ?? true;
   }
 
--- a/test/support/store-fleet.ts
+++ b/test/support/store-fleet.ts
@@ -513,7 +513,7 @@
       store: this.store.clientFor(host, STORE_TIMEOUT_MS),
       quotas: { ageMs: 0, position: NO_POSITION, receiveHeartbeat: () => undefined },
       rollouts: { peerReports: () => undefined, applyPeerReports: () => undefined },
-      crashes: { tell: () => [], hear: () => [] },
+      crashes: { snapshot: () => [], merge: () => [] },
       statements: { tell: () => [], hearPeer: () => undefined },
       clock: this.clockFor(host),
       random: this.random,
